--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -39,7 +39,7 @@
         }
         return v;
     }
-    double need(const std::string& key, double low, double high) const {
+    double task_resources(const std::string& key, double low, double high) const {
         auto v = number(key, low, high);
         if (!v) fail(key, "is missing");
         return *v;
@@ -117,14 +117,14 @@
     const Section root(doc, "", path);
     s.name = root.text("host_name");
     s.zone = root.text("site");
-    s.front = root.endpoint("front");
-    s.mesh = root.endpoint("mesh_addr");
+    s.public_endpoint = root.endpoint("front");
+    s.peer_endpoint = root.endpoint("mesh_addr");
     root.each("peers", [&](const Section& p) {
         s.peers.push_back({p.text("host_name"), p.text("site"), p.endpoint("endpoint")});
     });
     const auto ext = root.sub("external");
-    s.cloud = ext.endpoint("cloud");
-    s.state = ext.endpoint("state");
+    s.cloud_endpoint = ext.endpoint("cloud");
+    s.store_endpoint = ext.endpoint("state");
     const auto params = root.sub("params");
     s.zones = params.texts("zones");
     s.time_bound_ms = params.number("time_bound_ms", 0, 1e7).value_or(0);
@@ -137,31 +137,35 @@
                                 o.number("share", 0, 1), o.number("times", 0, amount_max)});
     });
     const auto w = params.sub("workers");
-    s.report_s = w.need("report_s", 0.1, 3600);
-    s.lease_s = w.need("lease_s", 1, 86400);
-    s.gang_wait_s = w.need("gang_wait_s", 0, 86400);
-    s.gang_peer_s = w.need("gang_peer_s", 0, 86400);
-    s.cancel_s = w.need("cancel_s", 1, 86400);
+    s.heartbeat_period_s = w.task_resources("report_s", 0.1, 3600);
+    s.worker_lease_s = w.task_resources("lease_s", 1, 86400);
+    s.gang_start_timeout_s = w.task_resources("gang_wait_s", 0, 86400);
+    s.gang_failure_detection_s = w.task_resources("gang_peer_s", 0, 86400);
+    s.cancellation_timeout_s = w.task_resources("cancel_s", 1, 86400);
     const auto st = params.sub("state");
-    s.state_rps = st.need("rps", 1, amount_max);
-    s.write_rps = st.need("write_rps", 1, amount_max);
-    s.value_kb = st.need("value_kb", 1, 1e6);
-    s.txn_ops = static_cast<int>(st.need("txn_ops", 4, 1e6));
-    s.present_value_kb = s.value_kb;
+    s.store_requests_per_s = st.task_resources("rps", 1, amount_max);
+    s.store_writes_per_s = st.task_resources("write_rps", 1, amount_max);
+    s.value_kb = st.task_resources("value_kb", 1, 1e6);
+    s.max_transaction_changes = static_cast<int>(st.task_resources("txn_ops", 4, 1e6));
+    s.current_value_kb = s.value_kb;
     if (st.has("next")) {
         const auto next = st.sub("next");
-        s.state_rps = std::min(s.state_rps, next.number("rps", 1, amount_max).value_or(s.state_rps));
-        s.write_rps = std::min(s.write_rps, next.number("write_rps", 1, amount_max).value_or(s.write_rps));
+        s.store_requests_per_s = std::min(s.store_requests_per_s,
+                                          next.number("rps", 1, amount_max).value_or(s.store_requests_per_s));
+        s.store_writes_per_s = std::min(
+            s.store_writes_per_s, next.number("write_rps", 1, amount_max).value_or(s.store_writes_per_s));
         s.value_kb = std::min(s.value_kb, next.number("value_kb", 1, 1e6).value_or(s.value_kb));
-        s.txn_ops = std::min(s.txn_ops, static_cast<int>(next.number("txn_ops", 4, 1e6).value_or(s.txn_ops)));
+        s.max_transaction_changes =
+            std::min(s.max_transaction_changes,
+                     static_cast<int>(next.number("txn_ops", 4, 1e6).value_or(s.max_transaction_changes)));
     }
     const auto c = params.sub("cloud");
-    s.cloud_rps = c.need("rps", 0.1, amount_max);
-    s.list_lag_s = c.need("list_lag_s", 0, 86400);
+    s.cloud_requests_per_s = c.task_resources("rps", 0.1, amount_max);
+    s.list_lag_s = c.task_resources("list_lag_s", 0, 86400);
     const auto l = params.sub("limits");
-    s.cpu_share = l.need("cpu_share", 0.001, 1024);
-    s.memory_mb = l.need("memory_mb", 16, 1e9);
-    s.max_sockets = static_cast<int>(l.need("max_sockets", 32, 1e7));
+    s.cpu_share = l.task_resources("cpu_share", 0.001, 1024);
+    s.memory_mb = l.task_resources("memory_mb", 16, 1e9);
+    s.max_sockets = static_cast<int>(l.task_resources("max_sockets", 32, 1e7));
     return s;
 }
 
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -36,19 +36,20 @@
 
 struct Settings {
     std::string name, zone;
-    Endpoint front, mesh, cloud, state;
+    Endpoint public_endpoint, peer_endpoint, cloud_endpoint, store_endpoint;
     std::vector<Peer> peers;
     std::vector<std::string> zones;
     double time_bound_ms = 0;
     std::vector<Team> teams;
     std::vector<Objective> objectives;
-    double report_s = 3, lease_s = 30, gang_wait_s = 30, gang_peer_s = 5, cancel_s = 60;
+    double heartbeat_period_s = 3, worker_lease_s = 30, gang_start_timeout_s = 30,
+           gang_failure_detection_s = 5, cancellation_timeout_s = 60;
     // Limits of the state service: the smaller of those in force and those announced for later, since the
     // change comes without notice.
-    double state_rps = 100, write_rps = 20, value_kb = 8;
-    int txn_ops = 12;
-    double present_value_kb = 8;  // in force now
-    double cloud_rps = 5, list_lag_s = 5;
+    double store_requests_per_s = 100, store_writes_per_s = 20, value_kb = 8;
+    int max_transaction_changes = 12;
+    double current_value_kb = 8;  // in force now
+    double cloud_requests_per_s = 5, list_lag_s = 5;
     double cpu_share = 1, memory_mb = 200;
     int max_sockets = 1000;
 
--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -22,17 +22,17 @@
 };
 
 constexpr Entry entries[] = {
-    {"suspension-factor", &Tuning::suspension_factor, 1.0, 100.0},
-    {"suspension-period", &Tuning::suspension_period_s, 1.0, 3600.0},
+    {"suspension-factor", &Tuning::preemption_factor, 1.0, 100.0},
+    {"suspension-period", &Tuning::preemption_period_s, 1.0, 3600.0},
     {"width-ratio", &Tuning::width_ratio, 0.1, 100.0},
     {"category-multiplier", &Tuning::category_multiplier, 1.0, 100.0},
     {"category-width", &Tuning::category_width_cpus, 1.0, 100000.0},
     {"category-length", &Tuning::category_length_s, 1.0, 86400.0},
-    {"holding-wait", &Tuning::holding_wait_s, 1.0, 86400.0},
-    {"image-band", &Tuning::image_band, 1.0, 100.0},
-    {"idle-hold", &Tuning::idle_hold_s, 0.0, 86400.0},
+    {"holding-wait", &Tuning::reservation_wait_s, 1.0, 86400.0},
+    {"image-band", &Tuning::image_locality_band, 1.0, 100.0},
+    {"idle-hold", &Tuning::idle_timeout_s, 0.0, 86400.0},
     {"headroom", &Tuning::headroom, 0.0, 100.0},
-    {"drain", &Tuning::drain, 0.0, 100.0},
+    {"drain", &Tuning::drain_boot_times, 0.0, 100.0},
     {"price-patience", &Tuning::price_patience, 0.0, 4.0},
     {"queue-patience", &Tuning::queue_patience, 0.0, 10.0},
 };
--- a/src/control/leader.cpp
+++ b/src/controller/leader_loops.cpp
@@ -7,54 +7,60 @@
 #include <boost/asio/use_awaitable.hpp>
 #include <utility>
 
-#include "control/node.hpp"
+#include "controller/controller.hpp"
 
-namespace pineroad::control {
+namespace pineroad::controller {
 
 namespace c = constants;
 namespace records = wire::records;
 using net::Reply;
 using net::sleep_for;
 
-bool Node::open_book(Term& term) {
-    if (!mirror_.leader || mirror_.leader->value.nonce != term.nonce) return false;
-    term.stamp = mirror_.leader->stamp;
-    term.book = std::make_unique<Book>(settings_, tuning_, term.token, term.stamp, now());
-    Book& book = *term.book;
-    book.load(mirror_, now(), wall_ms());
+bool Controller::load_cluster_state(Term& term) {
+    if (!watch_cache_.leader || watch_cache_.leader->value.nonce != term.nonce) return false;
+    term.mod_revision = watch_cache_.leader->mod_revision;
+    term.cluster_state = std::make_unique<cluster::ClusterState>(settings_, tuning_, term.fencing_token,
+                                                                 term.mod_revision, now());
+    cluster::ClusterState& cluster_state = *term.cluster_state;
+    cluster_state.load(watch_cache_, now(), wall_ms());
     // What a peer named since the mirror was read counts too: the proof stands on it.
-    if (const auto named = mirror_.cancellations().above(mirror_.epoch))
-        for (const auto& [revision, id] : *named) book.job_cancelled(id, now());
+    if (const auto named = watch_cache_.cancellations().after(watch_cache_.revision))
+        for (const auto& [revision, id] : *named) cluster_state.job_cancelled(id, now());
     else
         return false;
-    mirror_.on_job = [this, &book, &term](const model::JobSpec& spec, std::uint64_t stamp) {
-        book.job_added(spec, stamp, now());
-        term.writes.by_others(1);
+    watch_cache_.on_job = [this, &cluster_state, &term](const model::JobSpec& spec,
+                                                        std::uint64_t mod_revision) {
+        cluster_state.job_added(spec, mod_revision, now());
+        term.writes.record_writes_of_others(1);
         term.replan.notify();
     };
-    mirror_.on_cancelled = [this, &book, &term](const std::string& id, bool fresh) {
-        const bool by_user = book.jobs().contains(id);  // what this term ended itself is gone from the book
-        book.job_cancelled(id, now());
-        if (fresh && by_user) term.writes.by_others(2);
+    watch_cache_.on_cancelled = [this, &cluster_state, &term](const std::string& id, bool fresh) {
+        const bool by_user =
+            cluster_state.jobs().contains(id);  // what this term ended itself is gone from the book
+        cluster_state.job_cancelled(id, now());
+        if (fresh && by_user) term.writes.record_writes_of_others(2);
         term.replan.notify();
     };
-    mirror_.on_dependencies = [this, &book, &term](const model::DependencyGraph::Change& change) {
-        for (const auto& id : change.cancelled) book.job_withdrawn(id, now());
+    watch_cache_.on_dependencies = [this, &cluster_state,
+                                    &term](const model::DependencyGraph::Change& change) {
+        for (const auto& id : change.cancelled) cluster_state.job_cancelled_by_dependency(id, now());
         term.replan.notify();
     };
-    spdlog::info("term {}: {} jobs, {} machines with tasks, {} rentals open", term.token, book.jobs().size(),
-                 book.machines().size(), mirror_.open_rentals.value.size() + mirror_.rentals.size());
+    spdlog::info(
+        "term {}: {} jobs, {} machines with tasks, {} rentals open", term.fencing_token,
+        cluster_state.jobs().size(), cluster_state.machines().size(),
+        watch_cache_.open_provisioning_requests.value.size() + watch_cache_.provisioning_records.size());
     return true;
 }
 
 // One transaction at a time, each conditional on the leadership key and on every record's own version, so
 // that a copy applied late finds them changed. What got no answer is settled by reading back before anything
 // goes on.
-net::awaitable<void> Node::commit_loop(std::shared_ptr<Term> term) {
-    Book& book = *term->book;
-    term->writes.start(settings_.write_rps, now());
+net::awaitable<void> Controller::commit_loop(std::shared_ptr<Term> term) {
+    cluster::ClusterState& cluster_state = *term->cluster_state;
+    term->writes.start(settings_.store_writes_per_s, now());
     while (!term->over) {
-        if (const double wait = term->writes.wait_s(c::least_batch, now()); wait > 0) {
+        if (const double wait = term->writes.delay_s(c::target_batch_changes, now()); wait > 0) {
             co_await sleep_for(wait + 0.005);
             continue;
         }
@@ -63,7 +69,8 @@
             continue;
         }
         // No more at once than the budget holds: a debt would make the next starts wait.
-        auto batch = book.dirty() ? book.next_batch(term->writes.available(now())) : std::nullopt;
+        auto batch = cluster_state.write_due() ? cluster_state.next_write_batch(term->writes.available(now()))
+                                               : std::nullopt;
         if (!batch) {
             co_await term->dirty.wait(0.5);
             continue;
@@ -73,52 +80,53 @@
         while (!term->over) {
             const auto reply =
                 co_await state("POST", std::string(wire::commit_path), body, c::commit_timeout_s);
-            term->writes.spend(batch->txn.apply.size());
+            term->writes.record_writes(batch->txn.changes.size());
             if (term->over) break;
             if (reply && reply->status == 200) {
-                const auto epoch = wire::parse_epoch(reply->body);
-                if (!epoch) {
+                const auto revision = wire::parse_revision(reply->body);
+                if (!revision) {
                     end_term(*term, "a commit's answer cannot be read");
                     break;
                 }
-                apply_committed(*term, *batch, *epoch);
+                apply_committed(*term, *batch, *revision);
                 break;
             }
             if (!reply) {
                 uncertain = true;                      // the same again: at most one copy can apply
-                co_await sleep_for(c::state_retry_s);  // a refused connection answers at once
+                co_await sleep_for(c::store_retry_s);  // a refused connection answers at once
                 continue;
             }
             if (reply->status == 409) {
-                const auto failed = wire::parse_failed(reply->body);
+                const auto failed = wire::parse_failed_conditions(reply->body);
                 if (std::find(failed.begin(), failed.end(), records::leader_key) != failed.end()) {
                     end_term(*term, "its leadership key is gone");
                     break;
                 }
                 if (!uncertain) {
                     // A user's cancellation came first; the watch tells which.
-                    co_await barrier();
+                    co_await linearizable_read();
                     break;
                 }
                 // Applied by an earlier copy, or beaten by a cancellation. All or nothing was applied, so one
                 // record tells: a written one holds our value; a dropped one (only the leader drops these) is
                 // gone.
-                const auto written = std::find_if(batch->txn.apply.begin(), batch->txn.apply.end(),
+                const auto written = std::find_if(batch->txn.changes.begin(), batch->txn.changes.end(),
                                                   [](const auto& ch) { return ch.value.has_value(); });
-                const auto& probe = written != batch->txn.apply.end() ? *written : batch->txn.apply.front();
+                const auto& probe =
+                    written != batch->txn.changes.end() ? *written : batch->txn.changes.front();
                 const auto read = co_await state("GET", wire::store_target(probe.key));
                 if (!read || (read->status != 200 && read->status != 404)) {
-                    co_await sleep_for(c::state_retry_s);
+                    co_await sleep_for(c::store_retry_s);
                     continue;
                 }
                 const auto row = read->status == 200 ? wire::parse_row(read->body) : std::nullopt;
                 const bool applied = probe.value ? row && row->value == *probe.value : read->status == 404;
                 if (applied) {
-                    apply_committed(*term, *batch, row ? row->stamp : 0);
+                    apply_committed(*term, *batch, row ? row->mod_revision : 0);
                 } else {
-                    spdlog::info("commit of {} changes was not applied (term {})", batch->txn.apply.size(),
-                                 term->token);
-                    co_await barrier();
+                    spdlog::info("commit of {} changes was not applied (term {})", batch->txn.changes.size(),
+                                 term->fencing_token);
+                    co_await linearizable_read();
                 }
                 break;
             }
@@ -126,13 +134,13 @@
                 spdlog::error("a commit was refused as malformed: {}", reply->body);
                 // Never the same again: an earlier copy may have been applied, or the limits are lower than
                 // was announced.
-                if (uncertain || !book.batch_refused()) end_term(*term, "a commit was refused");
+                if (uncertain || !cluster_state.reject_write_batch()) end_term(*term, "a commit was refused");
                 break;
             }
             if (reply->status == 429) term->writes.refused();
-            co_await sleep_for(c::state_retry_s);  // 429, 503: not executed
+            co_await sleep_for(c::store_retry_s);  // 429, 503: not executed
         }
-        for (const auto& id : book.take_ready())
+        for (const auto& id : cluster_state.take_machines_with_durable_starts())
             if (const auto held = term->held.find(id); held != term->held.end()) held->second->cancel();
         term->cloud.notify();
         co_await sleep_for(c::commit_gap_s);
@@ -140,28 +148,29 @@
 }
 
 // What ended is known here at once, not only by the watch: jobs may wait for it.
-void Node::apply_committed(Term& term, const Batch& batch, std::uint64_t epoch) {
-    term.book->committed(batch, epoch, now(), wall_ms());
-    for (const auto& ended : batch.finals) mirror_.learn_final(ended.job, ended.ending, epoch);
+void Controller::apply_committed(Term& term, const cluster::WriteBatch& batch, std::uint64_t revision) {
+    term.cluster_state->apply_commit(batch, revision, now(), wall_ms());
+    for (const auto& ended : batch.finished_jobs)
+        watch_cache_.record_outcome(ended.job, ended.outcome, revision);
 }
 
 // The controllers that are known to read the present record format, beyond those written down: this one,
 // peers that said so, and, once a user has asked for a job with dependencies, peers that are silent. Users
 // ask only after every controller was replaced, so what is silent is not an earlier version that goes on.
-std::set<std::string> Node::format_readers() const {
-    auto out = mirror_.format.value;
+std::set<std::string> Controller::format_readers() const {
+    auto out = watch_cache_.format.value;
     out.insert(settings_.name);
     const double before = now() - c::format_silence_s;
     for (std::size_t i = 0; i < peers_.size(); ++i) {
         const auto& p = peers_[i];
-        const bool silent = p.heard_at < before && p.question_at < before && started_ < before;
+        const bool silent = p.contacted_at < before && p.last_request_at < before && started_at_ < before;
         if (p.reads_format || (asked_to_depend_ && silent)) out.insert(settings_.peers[i].name);
     }
     return out;
 }
 
-bool Node::format_agreed() const {
-    const auto& readers = mirror_.format.value;
+bool Controller::format_agreed() const {
+    const auto& readers = watch_cache_.format.value;
     return record_format_ >= records::format && readers.contains(settings_.name) &&
            std::all_of(settings_.peers.begin(), settings_.peers.end(),
                        [&](const config::Peer& p) { return readers.contains(p.name); });
@@ -169,44 +178,44 @@
 
 // Writes down who reads the present record format. A process that was replaced never comes back as the
 // earlier version, so the list only grows.
-net::awaitable<void> Node::format_loop(std::shared_ptr<Term> term) {
+net::awaitable<void> Controller::format_loop(std::shared_ptr<Term> term) {
     if (record_format_ < records::format) co_return;
     while (!term->over && !format_agreed()) {
         auto readers = format_readers();
-        if (may_start(*term) && readers != mirror_.format.value) {
+        if (may_start(*term) && readers != watch_cache_.format.value) {
             wire::Transaction txn;
-            txn.when = {{std::string(records::leader_key), term->stamp},
-                        {std::string(records::format_key), mirror_.format.stamp}};
-            txn.apply = {{std::string(records::format_key), records::format_json(readers), std::nullopt}};
+            txn.conditions = {{std::string(records::leader_key), term->mod_revision},
+                              {std::string(records::format_key), watch_cache_.format.mod_revision}};
+            txn.changes = {{std::string(records::format_key), records::format_json(readers), std::nullopt}};
             co_await state("POST", std::string(wire::commit_path), wire::commit_request(txn));
-            co_await barrier();
+            co_await linearizable_read();
         }
         co_await sleep_for(c::format_period_s);
     }
     if (!term->over) spdlog::info("every controller reads record format {}", records::format);
 }
 
-void Node::plan(Term& term) {
-    Book& book = *term.book;
-    if (format_agreed()) book.allow_parts();
+void Controller::plan(Term& term) {
+    cluster::ClusterState& cluster_state = *term.cluster_state;
+    if (format_agreed()) cluster_state.allow_sharding();
     if (may_start(term)) {
-        if (std::exchange(term.blind, false)) book.listening_from(now());
-        book.tick(now());
-        book.plan(now(), wall_ms(), mirror_.demand.classes(settings_, now()));
+        if (std::exchange(term.lease_unprovable, false)) cluster_state.restart_silence_timers(now());
+        cluster_state.detect_failures(now());
+        cluster_state.plan(now(), wall_ms(), watch_cache_.demand.classes(settings_, now()));
     } else {
-        term.blind = true;
+        term.lease_unprovable = true;
     }
-    if (book.dirty()) term.dirty.notify();
+    if (cluster_state.write_due()) term.dirty.notify();
     queue_stops(term);
-    if (!book.next_releases(now()).empty()) term.cloud.notify();
+    if (!cluster_state.machines_to_release(now()).empty()) term.cloud.notify();
 }
 
 // One plan for all that was reported since the last: a plan a report costs more than the share of a processor
 // holds once hundreds of machines report every second.
-net::awaitable<void> Node::plan_loop(std::shared_ptr<Term> term) {
+net::awaitable<void> Controller::plan_loop(std::shared_ptr<Term> term) {
     while (!term->over) {
         plan(*term);
-        co_await sleep_for(c::plan_gap_s + std::min(lag_s_, c::plan_period_s));
+        co_await sleep_for(c::plan_gap_s + std::min(event_loop_lag_s_, c::plan_period_s));
         co_await term->replan.wait(c::plan_period_s);
     }
 }
@@ -215,139 +224,143 @@
 // many at once are on their way: a round that stops hundreds of tasks, or a crowd of machines that hang, must
 // not take the sockets that workers report over. Tasks that save come first, since their gang has only
 // gang_peer_s; what has waited longer than that is left to the answers.
-void Node::queue_stops(Term& term) {
-    for (auto& d : term.book->direct_orders()) {
-        const bool saves = std::any_of(d.orders.begin(), d.orders.end(),
-                                       [](const model::Order& o) { return o.grace_s > 0; });
+void Controller::queue_stops(Term& term) {
+    for (auto& d : term.cluster_state->take_direct_commands()) {
+        const bool saves = std::any_of(d.commands.begin(), d.commands.end(),
+                                       [](const model::Command& o) { return o.grace_s > 0; });
         if (saves)
             term.stops.push_front({now(), std::move(d)});
         else
             term.stops.push_back({now(), std::move(d)});
     }
-    while (term.stops.size() > c::stops_waiting) term.stops.pop_back();
+    while (term.stops.size() > c::max_queued_stops) term.stops.pop_back();
     send_queued(term_);
 }
 
-void Node::send_queued(const std::shared_ptr<Term>& term) {
+void Controller::send_queued(const std::shared_ptr<Term>& term) {
     if (!term) return;
     // A stop needs no lease: it carries the token and the session, and ends only what has to end. Without the
     // state service these are the tasks of cancelled jobs.
     if (term->over) term->stops.clear();
-    while (!term->stops.empty() && term->stops_under_way < sockets_.stops) {
+    while (!term->stops.empty() && term->max_stops_in_flight < sockets_.stops) {
         auto next = std::move(term->stops.front());
         term->stops.pop_front();
-        if (now() - next.decided > settings_.gang_peer_s + settings_.report_s) continue;
-        ++term->stops_under_way;
-        net::asio::co_spawn(io_, send_stops(term, std::move(next.orders)), net::asio::detached);
+        if (now() - next.decided > settings_.gang_failure_detection_s + settings_.heartbeat_period_s)
+            continue;
+        ++term->max_stops_in_flight;
+        net::asio::co_spawn(io_, send_stops(term, std::move(next.commands)), net::asio::detached);
     }
 }
 
-net::awaitable<void> Node::send_stops(std::shared_ptr<Term> term, DirectOrders d) {
+net::awaitable<void> Controller::send_stops(std::shared_ptr<Term> term, cluster::DirectCommands d) {
     try {
         const auto worker = connect_(config::parse_endpoint(d.address));
-        const auto reply =
-            co_await worker->request("POST", std::string(wire::do_path),
-                                     wire::do_request(term->token, d.session, d.orders), c::do_timeout_s);
+        const auto reply = co_await worker->request(
+            "POST", std::string(wire::direct_command_path),
+            wire::direct_command_request(term->fencing_token, d.agent_epoch, d.commands),
+            c::direct_command_timeout_s);
         spdlog::debug("stops to {}: {}", d.machine, reply ? reply->status : 0);
     } catch (const std::exception& e) {
         spdlog::warn("stops to {} ({}) failed: {}", d.machine, d.address, e.what());
     }
-    --term->stops_under_way;
+    --term->max_stops_in_flight;
     send_queued(term);
 }
 
 // --- cloud -------------------------------------------------------------------------------------------------
 
 // Only the leader calls the cloud; its loops share the rate.
-net::awaitable<void> Node::cloud_turn() {
-    const double gap = 1.0 / (settings_.cloud_rps * c::cloud_share);
-    const double at = std::max(now(), cloud_turn_);
-    cloud_turn_ = at + gap;
+net::awaitable<void> Controller::wait_for_cloud_slot() {
+    const double gap = 1.0 / (settings_.cloud_requests_per_s * c::cloud_share);
+    const double at = std::max(now(), next_cloud_slot_);
+    next_cloud_slot_ = at + gap;
     if (at > now()) co_await sleep_for(at - now());
 }
 
-net::awaitable<void> Node::types_loop(std::shared_ptr<Term> term) {
+net::awaitable<void> Controller::machine_types_loop(std::shared_ptr<Term> term) {
     while (!term->over) {
-        co_await cloud_turn();
+        co_await wait_for_cloud_slot();
         const auto reply =
-            co_await cloud_->request("GET", std::string(wire::flavors_path), {}, c::cloud_timeout_s);
+            co_await cloud_->request("GET", std::string(wire::machine_types_path), {}, c::cloud_timeout_s);
         if (term->over) break;
         const auto doc = reply && reply->status == 200 ? wire::parse_json(reply->body) : std::nullopt;
-        const auto types = doc ? wire::parse_types(*doc) : std::nullopt;
-        if (types && term->book->set_types(*types)) {
+        const auto types = doc ? wire::parse_machine_types(*doc) : std::nullopt;
+        if (types && term->cluster_state->set_machine_types(*types)) {
             spdlog::info("{} machine types known", types->size());
             term->dirty.notify();
         }
-        co_await sleep_for(types ? c::flavors_period_s : 1.0);
+        co_await sleep_for(types ? c::machine_types_period_s : 1.0);
     }
 }
 
-net::awaitable<void> Node::list_loop(std::shared_ptr<Term> term) {
+net::awaitable<void> Controller::machine_list_loop(std::shared_ptr<Term> term) {
     while (!term->over) {
         std::vector<model::ListedMachine> all;
         std::string after;
         bool ok = true;
         for (bool more = true; more && ok && !term->over;) {
-            co_await cloud_turn();
-            const auto reply =
-                co_await cloud_->request("GET", wire::list_target(after, 500), {}, c::cloud_timeout_s);
-            auto page = reply && reply->status == 200 ? wire::parse_list(reply->body) : std::nullopt;
+            co_await wait_for_cloud_slot();
+            const auto reply = co_await cloud_->request("GET", wire::machine_list_target(after, 500), {},
+                                                        c::cloud_timeout_s);
+            auto page = reply && reply->status == 200 ? wire::parse_machine_list(reply->body) : std::nullopt;
             ok = page.has_value();
             if (!ok) break;
-            more = page->more && !page->machines.empty();
+            more = page->truncated && !page->machines.empty();
             if (more) after = page->machines.back().id;
             all.insert(all.end(), page->machines.begin(), page->machines.end());
         }
-        if (ok && !term->over) term->book->listed(all, now());
+        if (ok && !term->over) term->cluster_state->apply_machine_list(all, now());
         co_await sleep_for(c::list_period_s);
     }
 }
 
-net::awaitable<void> Node::rent_loop(std::shared_ptr<Term> term) {
-    Book& book = *term->book;
+net::awaitable<void> Controller::provisioning_loop(std::shared_ptr<Term> term) {
+    cluster::ClusterState& cluster_state = *term->cluster_state;
     while (!term->over) {
-        if (!book.has_rental()) {
+        if (!cluster_state.has_provisioning_request()) {
             co_await term->cloud.wait(0.5);
             continue;
         }
-        co_await cloud_turn();
+        co_await wait_for_cloud_slot();
         // Asked anew after every wait: a process that stood still meanwhile holds no term any more.
-        const auto rental = may_start(*term) ? book.next_rental() : std::nullopt;
+        const auto rental = may_start(*term) ? cluster_state.next_provisioning_request() : std::nullopt;
         if (!rental) continue;
         const auto reply = co_await cloud_->request("POST", std::string(wire::machines_path),
-                                                    wire::rental_request(*rental), c::cloud_timeout_s);
+                                                    wire::provisioning_request(*rental), c::cloud_timeout_s);
         if (term->over) break;
-        const auto got = reply && reply->status == 200 ? wire::parse_rented(reply->body) : std::nullopt;
+        const auto got =
+            reply && reply->status == 200 ? wire::parse_provisioned_machines(reply->body) : std::nullopt;
         if (got) {
-            book.rented(rental->name, *got, now());
+            cluster_state.machines_provisioned(rental->name, *got, now());
         } else if (reply && ((reply->status == 503 && reply->body.find("no capacity") != std::string::npos) ||
                              reply->status == 400)) {
-            book.rental_refused(rental->name, now());
+            cluster_state.provisioning_refused(rental->name, now());
         } else {
             // No answer, 429 or an outage: the same name again, it rents only once.
-            book.rental_unanswered(rental->name);
+            cluster_state.provisioning_unanswered(rental->name);
             co_await sleep_for(1.0);
         }
         term->replan.notify();
     }
 }
 
-net::awaitable<void> Node::release_loop(std::shared_ptr<Term> term) {
-    Book& book = *term->book;
+net::awaitable<void> Controller::release_loop(std::shared_ptr<Term> term) {
+    cluster::ClusterState& cluster_state = *term->cluster_state;
     while (!term->over) {
-        if (book.next_releases(now()).empty()) {
+        if (cluster_state.machines_to_release(now()).empty()) {
             co_await term->cloud.wait(0.5);
             continue;
         }
-        co_await cloud_turn();
+        co_await wait_for_cloud_slot();
         // A leader that stood still while it waited would delete machines that the next one has found alive.
-        const auto machines = may_start(*term) ? book.next_releases(now()) : std::vector<std::string>{};
+        const auto machines =
+            may_start(*term) ? cluster_state.machines_to_release(now()) : std::vector<std::string>{};
         if (machines.empty()) continue;
         const auto reply = co_await cloud_->request("POST", std::string(wire::release_path),
                                                     wire::release_request(machines), c::cloud_timeout_s);
         if (term->over) break;
         if (reply && reply->status == 200) {
-            book.released(machines, now());
+            cluster_state.machines_released(machines, now());
             term->replan.notify();
         } else {
             co_await sleep_for(1.0);
@@ -357,28 +370,29 @@
 
 // --- workers -----------------------------------------------------------------------------------------------
 
-net::awaitable<Reply> Node::checkin(std::string body) {
-    const auto parsed = wire::parse_report(body);
-    if (const auto* why = std::get_if<std::string>(&parsed)) co_return Reply{400, wire::error_answer(*why)};
-    const auto& report = std::get<model::Report>(parsed);
-    heard_token(report.token, "");
+net::awaitable<Reply> Controller::handle_heartbeat(std::string body) {
+    const auto parsed = wire::parse_heartbeat(body);
+    if (const auto* why = std::get_if<std::string>(&parsed)) co_return Reply{400, wire::error_response(*why)};
+    const auto& report = std::get<model::Heartbeat>(parsed);
+    observe_token(report.fencing_token, "");
     const auto term = term_;
     auto redirect = [&] {
         // A node cut off from the state service still knows an old leader; its peers may have told of a
         // newer.
-        const bool known = mirror_.leader && mirror_.leader->value.token >= heard_token_;
-        const auto& leader = known ? mirror_.leader->value.node : heard_leader_;
-        return Reply{421, wire::redirect_answer(leader == settings_.name ? "" : leader)};
+        const bool known = watch_cache_.leader && watch_cache_.leader->value.fencing_token >= highest_token_;
+        const auto& leader = known ? watch_cache_.leader->value.node : known_leader_;
+        return Reply{421, wire::redirect_response(leader == settings_.name ? "" : leader)};
     };
-    if (!term || !may_answer(*term)) {
-        reported_ = now();
+    if (!term || !may_answer_heartbeats(*term)) {
+        last_heartbeat_ = now();
         co_return redirect();
     }
-    Book& book = *term->book;
+    cluster::ClusterState& cluster_state = *term->cluster_state;
     // A copy of an earlier report tells nothing: not even that somebody reports here. No worker waits for
     // this answer, and it carries no orders: it must not renew a lease.
-    if (!book.absorb(report, now())) co_return Reply{503, wire::error_answer("an older report")};
-    reported_ = now();
+    if (!cluster_state.apply_heartbeat(report, now()))
+        co_return Reply{503, wire::error_response("an older report")};
+    last_heartbeat_ = now();
     term->replan.notify();
     // A start may be given only once its placement is durable, and only in the answer to a report: a moment's
     // wait saves a whole report period. A machine without work can wait longer than one whose tasks' ends are
@@ -386,18 +400,19 @@
     const bool freed = std::any_of(report.tasks.begin(), report.tasks.end(),
                                    [](const auto& t) { return t.state == model::TaskState::exited; });
     double until = now();
-    if (book.has_room(report.machine, now()))
-        until += c::report_hold_idle_s;
-    else if (freed || !book.settled(report.machine))
-        until += c::report_hold_s;
+    if (cluster_state.has_room(report.machine, now()))
+        until += c::heartbeat_hold_idle_s;
+    else if (freed || !cluster_state.placements_durable(report.machine))
+        until += c::heartbeat_hold_s;
     const auto newest = [&] {
-        const auto m = book.machines().find(report.machine);
-        return m != book.machines().end() && m->second.session == report.session &&
-               m->second.tick == report.tick;
+        const auto m = cluster_state.machines().find(report.machine);
+        return m != cluster_state.machines().end() && m->second.agent_epoch == report.agent_epoch &&
+               m->second.sequence == report.sequence;
     };
-    while (!term->over && may_start(*term) && newest() && now() < until && !book.has_news(report.machine) &&
-           lag_s_ < c::lag_no_hold_s) {
-        net::Timer timer(io_, net::seconds(std::max(until - now(), c::least_wait_s)));
+    while (!term->over && may_start(*term) && newest() && now() < until &&
+           !cluster_state.has_pending_commands(report.machine) &&
+           event_loop_lag_s_ < c::lag_disables_hold_s) {
+        net::Timer timer(io_, net::seconds(std::max(until - now(), c::min_wait_s)));
         auto& held = term->held[report.machine];
         if (held) held->cancel();  // an older report of the machine: nobody waits for its answer
         held = &timer;
@@ -405,12 +420,12 @@
         if (const auto at = term->held.find(report.machine); at != term->held.end() && at->second == &timer)
             term->held.erase(at);
     }
-    if (!may_answer(*term)) co_return redirect();
+    if (!may_answer_heartbeats(*term)) co_return redirect();
     // If the worker has given this report up and sent another, nobody waits for this answer: it must not
     // count as told, and without its orders it must not renew a lease.
-    if (!newest()) co_return Reply{503, wire::error_answer("a newer report came meanwhile")};
-    const auto orders = book.orders_for(report.machine, may_start(*term), now());
-    co_return Reply{200, wire::orders_answer(term->token, orders)};
+    if (!newest()) co_return Reply{503, wire::error_response("a newer report came meanwhile")};
+    const auto commands = cluster_state.commands_for(report.machine, may_start(*term), now());
+    co_return Reply{200, wire::heartbeat_response(term->fencing_token, commands)};
 }
 
-}  // namespace pineroad::control
+}  // namespace pineroad::controller
--- a/src/control/proof.hpp
+++ b/src/leadership/lease_guard.hpp
@@ -8,12 +8,13 @@
 
 #include "config/constants.hpp"
 
-namespace pineroad::control {
+namespace pineroad::leadership {
 
-class Proof {
+class LeaseGuard {
    public:
-    Proof(double cancel_s, double lease_s)
-        : grace_s_(std::max(cancel_s - lease_s - constants::cancel_margin_s, constants::least_grace_s)) {}
+    LeaseGuard(double cancellation_timeout_s, double worker_lease_s)
+        : grace_s_(std::max(cancellation_timeout_s - worker_lease_s - constants::cancellation_margin_s,
+                            constants::min_disconnected_grace_s)) {}
 
     // A renewal was answered; it was sent at `sent`, and the lease cannot end before that plus its length.
     void renewed(double sent) {
@@ -23,31 +24,35 @@
     }
     void restart() { lease_until_ = 0; }
     // Every cancellation told before `sent` is known here.
-    void synced(double sent) { synced_ = std::max(synced_, sent); }
+    void cancellations_known_until(double sent) {
+        cancellations_known_until_ = std::max(cancellations_known_until_, sent);
+    }
 
     // A peer's answer to a question sent at `asked_at`.
     struct Peer {
-        double asked_at = -1, answered_at = -1;
-        double up_s = 0;       // how long it had been running when it answered
-        bool vouches = false;  // it named every cancellation it knew that our mirror did not hold
+        double requested_at = -1, answered_at = -1;
+        double uptime_s = 0;  // how long it had been running when it answered
+        bool confirms_cancellations =
+            false;  // it named every cancellation it knew that our mirror did not hold
     };
     // A peer vouches for all that it told in its present life. Those lives began before our last proof, so
     // nothing told since by an earlier life is missing: as good as a proof of the moment the oldest of these
     // questions was sent. A life began by the answer's arrival less its length, by its own clock.
-    void confirmed_by(const std::vector<Peer>& peers) {
-        if (peers.empty() || synced_ < 0) return;
-        double oldest = peers.front().asked_at;
+    void confirm_by_peers(const std::vector<Peer>& peers) {
+        if (peers.empty() || cancellations_known_until_ < 0) return;
+        double oldest = peers.front().requested_at;
         for (const auto& p : peers) {
-            const double began_by = p.answered_at - p.up_s * (1 - constants::clock_drift);
-            if (p.asked_at < 0 || !p.vouches || began_by >= synced_) return;
-            oldest = std::min(oldest, p.asked_at);
+            const double began_by = p.answered_at - p.uptime_s * (1 - constants::clock_drift);
+            if (p.requested_at < 0 || !p.confirms_cancellations || began_by >= cancellations_known_until_)
+                return;
+            oldest = std::min(oldest, p.requested_at);
         }
-        synced(oldest);
+        cancellations_known_until(oldest);
     }
 
     // What a peer lately told of its own contact with the state service: the question was sent at `heard_at`.
     struct Contact {
-        double heard_at = -1, state_age_s = 0;
+        double contacted_at = -1, store_contact_age_s = 0;
     };
     // That this node is refused by the state service: when it first saw so since it was last served, and when
     // the latest request was sent that failed.
@@ -57,10 +62,10 @@
     // The peer was served after this node was refused, and this node is refused still. Contact that is only
     // young proves nothing: in the first seconds of an outage of all, every node's is (found by a day of
     // crowds: a leader let go 4 s into an outage, nobody else could lead, and 3,800 tasks met their lease).
-    [[nodiscard]] static bool served_elsewhere(double now, const Refusal& own, const Contact& peer) {
-        return own.since >= 0 && peer.heard_at >= now - constants::peer_fresh_s &&
-               peer.heard_at - peer.state_age_s > own.since &&
-               own.last_sent > peer.heard_at + constants::gossip_timeout_s;
+    [[nodiscard]] static bool store_serves_peer(double now, const Refusal& own, const Contact& peer) {
+        return own.since >= 0 && peer.contacted_at >= now - constants::peer_contact_fresh_s &&
+               peer.contacted_at - peer.store_contact_age_s > own.since &&
+               own.last_sent > peer.contacted_at + constants::peer_message_timeout_s;
     }
     // Without its lease a leader may answer for a while, because in an outage nobody else can lead. Cut off
     // alone, it would keep from its workers the leader that the others elect: it lets go once a peer was
@@ -68,31 +73,35 @@
     // proves nothing: where the state service refuses the leader alone and then everybody, its lease still
     // lives there and nobody else can lead (found by the operators' day: thousands of tasks met their leases,
     // since the leader let them go 3 s into the outage).
-    [[nodiscard]] bool should_let_go(double now, const Refusal& own,
-                                     const std::vector<Contact>& peers) const {
+    [[nodiscard]] bool should_step_down(double now, const Refusal& own,
+                                        const std::vector<Contact>& peers) const {
         if (peers.empty() || now < lease_until_) return false;
         bool heard = false;
         for (const auto& p : peers) {
-            if (served_elsewhere(now, own, p) &&
-                p.heard_at - p.state_age_s > lease_until_ + constants::lease_end_s)
+            if (store_serves_peer(now, own, p) &&
+                p.contacted_at - p.store_contact_age_s > lease_until_ + constants::lease_expiry_margin_s)
                 return true;
-            heard |= p.heard_at >= 0 && p.heard_at >= now - constants::peer_fresh_s;
+            heard |= p.contacted_at >= 0 && p.contacted_at >= now - constants::peer_contact_fresh_s;
         }
-        return !heard && now > lease_until_ + constants::alone_s;
+        return !heard && now > lease_until_ + constants::isolated_leader_grace_s;
     }
 
     // A lease alone is not enough: a leader whose watches are stuck while its renewals go through would never
     // hear of a cancellation.
-    [[nodiscard]] bool may_start(double now) const { return now < lease_until_ && may_answer(now); }
+    [[nodiscard]] bool may_start(double now) const {
+        return now < lease_until_ && may_answer_heartbeats(now);
+    }
     // Without the lease reports may be answered, so that workers keep their tasks through an outage; but only
     // while a worker that hears us last now would still drop its tasks in time for a cancellation that we
     // have not heard of.
-    [[nodiscard]] bool may_answer(double now) const { return synced_ >= 0 && now < synced_ + grace_s_; }
+    [[nodiscard]] bool may_answer_heartbeats(double now) const {
+        return cancellations_known_until_ >= 0 && now < cancellations_known_until_ + grace_s_;
+    }
 
    private:
     double grace_s_;
     double lease_until_ = 0;
-    double synced_ = -1;
+    double cancellations_known_until_ = -1;
 };
 
-}  // namespace pineroad::control
+}  // namespace pineroad::leadership
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -8,7 +8,7 @@
 
 #include "config/settings.hpp"
 #include "config/tuning.hpp"
-#include "control/node.hpp"
+#include "controller/controller.hpp"
 
 namespace {
 
@@ -50,7 +50,7 @@
             std::cout << "settings are valid\n";
             return 0;
         }
-        pineroad::control::run(settings, tuning);
+        pineroad::controller::run(settings, tuning);
     } catch (const pineroad::config::SettingsError& e) {
         std::cerr << "pineroad: " << e.what() << '\n';
         return 2;
--- a/src/model/dependency_graph.cpp
+++ b/src/model/dependency_graph.cpp
@@ -8,7 +8,7 @@
 
 namespace pineroad::model {
 
-const DependencyGraph::Node* DependencyGraph::find(const std::string& id) const {
+const DependencyGraph::Controller* DependencyGraph::find(const std::string& id) const {
     const auto at = live_.find(id);
     return at == live_.end() ? nullptr : &at->second;
 }
@@ -17,7 +17,7 @@
     Change change;
     auto [at, fresh] = live_.try_emplace(spec.id);
     if (!fresh) return change;
-    Node& node = at->second;
+    Controller& node = at->second;
     open_.erase(spec.id);
     node.dependencies = spec.dependencies;
     node.pending = spec.dependencies.size();
@@ -25,12 +25,12 @@
     node.duration_ms =
         static_cast<std::int64_t>((spec.estimate_s + constants::dependency_overhead_s) * 1000.0);
     if (spec.deadline_s)
-        node.own_due_ms = spec.accepted_ms + static_cast<std::int64_t>(*spec.deadline_s * 1000.0);
+        node.own_deadline_ms = spec.accepted_ms + static_cast<std::int64_t>(*spec.deadline_s * 1000.0);
     for (const auto& dependency : spec.dependencies) {
         dependents_[dependency].insert(spec.id);
-        if (const auto ending = endings_.find(dependency); ending != endings_.end())
+        if (const auto ending = outcomes_.find(dependency); ending != outcomes_.end())
             settle(node, ending->second);
-        else if (const Node* before = find(dependency))
+        else if (const Controller* before = find(dependency))
             node.cancelled |= before->cancelled;
         else
             open_.insert(dependency);
@@ -45,26 +45,26 @@
     return change;
 }
 
-void DependencyGraph::settle(Node& dependent, const Ending& ending) {
-    if (ending.final == Final::cancelled) {
+void DependencyGraph::settle(Controller& dependent, const JobOutcome& ending) {
+    if (ending.status == FinalStatus::cancelled) {
         dependent.cancelled = true;
         return;
     }
     --dependent.pending;
-    dependent.ready_since_ms = std::max(dependent.ready_since_ms, ending.at_ms);
+    dependent.ready_since_ms = std::max(dependent.ready_since_ms, ending.ended_at_ms);
 }
 
-DependencyGraph::Change DependencyGraph::end(const std::string& id, const Ending& ending) {
+DependencyGraph::Change DependencyGraph::end(const std::string& id, const JobOutcome& ending) {
     Change change;
     const auto after = dependents_.find(id);
-    if (after == dependents_.end() || !endings_.try_emplace(id, ending).second) return change;
+    if (after == dependents_.end() || !outcomes_.try_emplace(id, ending).second) return change;
     open_.erase(id);
-    if (ending.final == Final::cancelled) {
+    if (ending.status == FinalStatus::cancelled) {
         cancel_after(id, change);
         return change;
     }
     for (const auto& dependent : after->second) {
-        Node& node = live_.at(dependent);
+        Controller& node = live_.at(dependent);
         settle(node, ending);
         if (node.pending == 0 && !node.cancelled) change.ready.push_back(dependent);
     }
@@ -81,7 +81,7 @@
         open.pop_back();
         if (after == dependents_.end()) continue;
         for (const auto& dependent : after->second) {
-            Node& node = live_.at(dependent);
+            Controller& node = live_.at(dependent);
             if (node.cancelled) continue;
             node.cancelled = true;
             marked.push_back(dependent);
@@ -102,13 +102,13 @@
     if (at == live_.end()) return;
     const auto dependencies = std::move(at->second.dependencies);
     live_.erase(at);
-    if (dependents_.contains(id) && !endings_.contains(id)) open_.insert(id);
+    if (dependents_.contains(id) && !outcomes_.contains(id)) open_.insert(id);
     for (const auto& dependency : dependencies) {
         const auto after = dependents_.find(dependency);
         after->second.erase(id);
         if (!after->second.empty()) continue;
         dependents_.erase(after);
-        endings_.erase(dependency);
+        outcomes_.erase(dependency);
         open_.erase(dependency);
     }
     inherit(dependencies);
@@ -120,21 +120,21 @@
     open_.clear();
 }
 
-bool DependencyGraph::inherit_one(const std::string& id, Node& node) {
+bool DependencyGraph::inherit_one(const std::string& id, Controller& node) {
     Priority priority = node.own_priority;
-    auto due = node.own_due_ms;
+    auto due = node.own_deadline_ms;
     if (const auto after = dependents_.find(id); after != dependents_.end())
         for (const auto& dependent : after->second) {
-            const Node& later = live_.at(dependent);
+            const Controller& later = live_.at(dependent);
             if (later.cancelled) continue;
             priority = std::min(priority, later.priority);
-            if (!later.due_ms) continue;
-            const auto start_by = *later.due_ms - later.duration_ms;
+            if (!later.deadline_ms) continue;
+            const auto start_by = *later.deadline_ms - later.duration_ms;
             due = due ? std::min(*due, start_by) : start_by;
         }
-    if (priority == node.priority && due == node.due_ms) return false;
+    if (priority == node.priority && due == node.deadline_ms) return false;
     node.priority = priority;
-    node.due_ms = due;
+    node.deadline_ms = due;
     return true;
 }
 
@@ -152,22 +152,22 @@
         const auto id = std::move(line.front());
         line.pop_front();
         queued.erase(id);
-        Node& node = live_.at(id);
+        Controller& node = live_.at(id);
         if (inherit_one(id, node)) enqueue(node.dependencies);
     }
 }
 
 void DependencyGraph::forget_unneeded() {
-    std::erase_if(endings_, [&](const auto& ending) { return !dependents_.contains(ending.first); });
+    std::erase_if(outcomes_, [&](const auto& ending) { return !dependents_.contains(ending.first); });
 }
 
 bool DependencyGraph::is_ready(const std::string& id) const {
-    const Node* node = find(id);
+    const Controller* node = find(id);
     return node && node->pending == 0 && !node->cancelled;
 }
 
 bool DependencyGraph::is_cancelled(const std::string& id) const {
-    const Node* node = find(id);
+    const Controller* node = find(id);
     return node && node->cancelled;
 }
 
@@ -179,19 +179,19 @@
 }
 
 std::optional<std::int64_t> DependencyGraph::ready_since_ms(const std::string& id) const {
-    const Node* node = find(id);
+    const Controller* node = find(id);
     if (!node || node->dependencies.empty() || node->pending > 0) return std::nullopt;
     return node->ready_since_ms;
 }
 
 Priority DependencyGraph::priority(const JobSpec& spec) const {
-    const Node* node = find(spec.id);
+    const Controller* node = find(spec.id);
     return node ? node->priority : spec.priority;
 }
 
-std::optional<std::int64_t> DependencyGraph::due_ms(const JobSpec& spec) const {
-    const Node* node = find(spec.id);
-    return node ? node->due_ms : std::nullopt;
+std::optional<std::int64_t> DependencyGraph::deadline_ms(const JobSpec& spec) const {
+    const Controller* node = find(spec.id);
+    return node ? node->deadline_ms : std::nullopt;
 }
 
 bool DependencyGraph::in_pipeline(const JobSpec& spec) const {
@@ -206,7 +206,7 @@
     std::set<std::string> seen, out;
     std::vector<std::string> line{id};
     while (!line.empty() && !open_.empty()) {
-        const Node* node = find(line.back());
+        const Controller* node = find(line.back());
         line.pop_back();
         if (!node) continue;
         for (const auto& dependency : node->dependencies) {
--- a/src/model/dependency_graph.hpp
+++ b/src/model/dependency_graph.hpp
@@ -28,7 +28,7 @@
     // A live job. Its dependencies may be live, over or not known yet, in any order.
     Change add(const JobSpec& spec);
     // The final state of a job became known. Kept while live jobs depend on it.
-    Change end(const std::string& id, const Ending& ending);
+    Change end(const std::string& id, const JobOutcome& ending);
     // The job's live record is gone.
     void remove(const std::string& id);
     // Forgets the live jobs, but not the final states that they depend on.
@@ -47,7 +47,7 @@
     // The highest priority of the job and of all live jobs after it.
     [[nodiscard]] Priority priority(const JobSpec& spec) const;
     // By when the job should be done, by the time of day, so that all after it can meet their deadlines.
-    [[nodiscard]] std::optional<std::int64_t> due_ms(const JobSpec& spec) const;
+    [[nodiscard]] std::optional<std::int64_t> deadline_ms(const JobSpec& spec) const;
     // Dependencies of live jobs that are neither live nor known to be over.
     [[nodiscard]] std::vector<std::string> unresolved() const;
     // The same, of one job and of the live jobs before it.
@@ -57,25 +57,25 @@
     [[nodiscard]] bool in_pipeline(const model::JobSpec& spec) const;
 
    private:
-    struct Node {
+    struct Controller {
         std::vector<std::string> dependencies;
         std::size_t pending = 0;  // dependencies that are not known to be done
         std::int64_t ready_since_ms = 0;
         bool cancelled = false;
         Priority own_priority = Priority::low, priority = Priority::low;
-        std::optional<std::int64_t> own_due_ms, due_ms;
+        std::optional<std::int64_t> own_deadline_ms, deadline_ms;
         std::int64_t duration_ms = 0;  // from its start to the start of what comes after, as expected
     };
-    static void settle(Node& dependent, const Ending& ending);
+    static void settle(Controller& dependent, const JobOutcome& ending);
     void cancel_after(const std::string& id, Change& change);
     // Works out the inherited priority and deadline of these jobs and of all before them.
     void inherit(const std::vector<std::string>& changed);
-    bool inherit_one(const std::string& id, Node& node);
-    [[nodiscard]] const Node* find(const std::string& id) const;
+    bool inherit_one(const std::string& id, Controller& node);
+    [[nodiscard]] const Controller* find(const std::string& id) const;
 
-    std::map<std::string, Node> live_;
+    std::map<std::string, Controller> live_;
     std::map<std::string, std::set<std::string>> dependents_;  // live jobs, by what they depend on
-    std::map<std::string, Ending> endings_;                    // of jobs in `dependents_`
+    std::map<std::string, JobOutcome> outcomes_;               // of jobs in `dependents_`
     std::set<std::string> open_;                               // in `dependents_`, neither live nor over
 };
 
--- a/src/model/model.hpp
+++ b/src/model/model.hpp
@@ -39,13 +39,13 @@
     std::string id, job_class, team, image;
     Shape shape = Shape::array;
     Priority priority = Priority::normal;
-    std::uint32_t tasks = 1;
-    Resources need;
+    std::uint32_t task_count = 1;
+    Resources task_resources;
     double image_gb = 0;
-    std::optional<std::vector<std::string>> types;
+    std::optional<std::vector<std::string>> allowed_machine_types;
     std::optional<std::string> zone;
-    bool one_zone = false, spread = false, spot_ok = false;
-    double estimate_s = 0, checkpoint_s = 0, save_s = 0;
+    bool same_zone = false, spread = false, allows_spot = false;
+    double estimate_s = 0, checkpoint_interval_s = 0, checkpoint_save_s = 0;
     std::optional<double> deadline_s;
     std::int64_t accepted_ms = 0;  // time of day at acceptance
     // Jobs that must be done before any task of this one starts; none twice.
@@ -53,8 +53,8 @@
     std::uint32_t dependency_records = 0;  // further records that hold the end of that list
 
     [[nodiscard]] bool allows_type(const std::string& type) const {
-        if (!types) return true;
-        for (const auto& t : *types)
+        if (!allowed_machine_types) return true;
+        for (const auto& t : *allowed_machine_types)
             if (t == type) return true;
         return false;
     }
@@ -74,31 +74,41 @@
     TaskSet done;
     std::vector<Placement> placements;
     std::uint64_t next_attempt = 1;
-    double ran_s = 0;  // run time kept by orderly stops; everything else counts as wait
-    Resources need;    // repeated here: a withdrawn job has no other record left
+    double checkpointed_run_s = 0;  // run time kept by orderly stops; everything else counts as wait
+    Resources task_resources;       // repeated here: a withdrawn job has no other record left
     std::string team;
     bool partial = false;  // speaks of the tasks of its own part of the job only
     [[nodiscard]] std::uint32_t done_count() const { return static_cast<std::uint32_t>(done.size()); }
 };
 
-enum class Final { done, cancelled };
+enum class FinalStatus { done, cancelled };
 
 // How a job ended, and when by the time of day (0: before that was recorded).
-struct Ending {
-    Final final = Final::done;
-    std::int64_t at_ms = 0;
-    bool operator==(const Ending&) const = default;
+struct JobOutcome {
+    FinalStatus status = FinalStatus::done;
+    std::int64_t ended_at_ms = 0;
+    bool operator==(const JobOutcome&) const = default;
 };
 
 struct MachineType {
     std::string name;
-    Resources room;
+    Resources capacity;
     double cache_gb = 0, fetch_gb_per_s = 0, price = 0, spot_price = 0, boot_s = 0;
     std::vector<std::string> zones;
 };
 
-enum class TaskState { fetching, waiting, running, saving, exited };
-enum class ExitCause { none, done, stopped, peers, alone, error, no_room, busy, unknown };
+enum class TaskState { fetching, waiting_for_gang, running, checkpointing, exited };
+enum class ExitCause {
+    none,
+    done,
+    stopped,
+    gang_member_lost,
+    gang_incomplete,
+    error,
+    insufficient_resources,
+    already_running,
+    unknown_task
+};
 
 struct TaskId {
     std::string job;
@@ -114,16 +124,16 @@
     bool saved = false;
 };
 
-struct Report {
+struct Heartbeat {
     std::string machine, address, type, zone;
     bool spot = false;
-    std::uint64_t session = 0, tick = 0, token = 0;
-    std::optional<double> notice_s;
+    std::uint64_t agent_epoch = 0, sequence = 0, fencing_token = 0;
+    std::optional<double> interruption_notice_s;
     std::vector<ReportedTask> tasks;
 };
 
-struct Order {
-    enum class Op { start, stop, forget } op = Op::start;
+struct Command {
+    enum class Kind { start, stop, forget } kind = Kind::start;
     TaskId task;
     std::uint64_t attempt = 0;
     double grace_s = 0;
@@ -139,17 +149,17 @@
 };
 
 // A rental request under a name that is never used twice.
-struct Rental {
+struct ProvisioningRequest {
     std::string name, type, zone;
     bool spot = false;
     std::uint32_t count = 1;
 };
 
 // Running mean of slowdown for the design's categories (width x length).
-struct CategoryMean {
+struct CategoryAverage {
     double mean = 0;
     std::uint64_t count = 0;
 };
-using CategoryMeans = std::map<std::string, CategoryMean>;
+using CategoryAverages = std::map<std::string, CategoryAverage>;
 
 }  // namespace pineroad::model
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -51,10 +51,10 @@
         state->waiting.erase(at);
     }
     ++state->open;
-    struct Slot {
+    struct TaskPlacement {
         State& s;
-        ~Slot() { s.release(); }
-    } slot{*state};
+        ~TaskPlacement() { s.release(); }
+    } placement{*state};
 
     std::unique_ptr<beast::tcp_stream> stream;
     if (!state->idle.empty()) {
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -95,11 +95,11 @@
                         std::move(message.body())};
         // A connection is of the class of its latest request.
         bool refused = false;
-        if (limits.favoured(request.target))
+        if (limits.prioritized(request.target))
             ordinary.reset();
         else if (!ordinary && !(refused = ordinary_count >= limits.ordinary))
             ordinary.emplace(ordinary_count);
-        idle_s = ordinary ? limits.ordinary_idle_s : limits.favoured_idle_s;
+        idle_s = ordinary ? limits.ordinary_idle_s : limits.prioritized_idle_s;
         Reply reply;
         if (refused)
             reply = limits.full();
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -18,8 +18,8 @@
     struct Limits {
         std::size_t connections = 0;      // of both classes and of those that have not asked yet
         std::size_t ordinary = SIZE_MAX;  // of these: beyond, a request gets `full` and the connection ends
-        double first_request_s = 0, favoured_idle_s = 0, ordinary_idle_s = 0;  // a silent one is closed
-        std::function<bool(const std::string& target)> favoured = [](const std::string&) { return true; };
+        double first_request_s = 0, prioritized_idle_s = 0, ordinary_idle_s = 0;  // a silent one is closed
+        std::function<bool(const std::string& target)> prioritized = [](const std::string&) { return true; };
         std::function<Reply()> full = [] { return Reply{503, {}, 1, true}; };
     };
 
--- a/src/control/event.hpp
+++ b/src/net/notification.hpp
@@ -8,12 +8,12 @@
 
 #include "net/http.hpp"
 
-namespace pineroad::control {
+namespace pineroad::net {
 
-class Event {
+class Notification {
    public:
-    net::awaitable<void> wait(double at_most_s) {
-        net::Timer timer(co_await boost::asio::this_coro::executor, net::seconds(at_most_s));
+    awaitable<void> wait(double at_most_s) {
+        Timer timer(co_await boost::asio::this_coro::executor, seconds(at_most_s));
         const auto at = waiting_.insert(waiting_.end(), &timer);
         co_await timer.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
         waiting_.erase(at);
@@ -23,7 +23,7 @@
     }
 
    private:
-    std::list<net::Timer*> waiting_;
+    std::list<Timer*> waiting_;
 };
 
-}  // namespace pineroad::control
+}  // namespace pineroad::net
--- a/src/sched/suspension.cpp
+++ b/src/scheduling/preemption.cpp
@@ -1,65 +1,66 @@
 #include <algorithm>
 
-#include "sched/picture.hpp"
+#include "scheduling/snapshot.hpp"
 
-namespace pineroad::sched {
+namespace pineroad::scheduling {
 namespace {
 
 // PROTOCOL "Preemption" on top of the design's three tests: who may stop whom at all.
-bool may_stop(const Picture& p, const JobView& waiting, const RunningGang& running) {
+bool may_stop(const Snapshot& p, const PendingJob& waiting, const RunningGang& running) {
     if (waiting.priority < running.priority) return true;
     const auto &waiter = *waiting.spec, &victim = *running.spec;
     if (waiter.team == victim.team) return false;
     const auto *ours = p.settings->team(waiter.team), *theirs = p.settings->team(victim.team);
     if (!ours || !theirs || (ours->cpus <= 0 && ours->gpus <= 0)) return false;
     auto use_of = [&](const std::string& team) {
-        const auto it = p.use.find(team);
-        return it == p.use.end() ? TeamUse{} : it->second;
+        const auto it = p.usage.find(team);
+        return it == p.usage.end() ? TeamUsage{} : it->second;
     };
     const auto mine = use_of(waiter.team), other = use_of(victim.team);
-    const double n = waiter.shape == model::Shape::gang ? waiter.tasks : 1;
-    const bool owed = mine.cpus + n * waiter.need.cpus <= ours->cpus + 1e-6 &&
-                      mine.gpus + n * waiter.need.gpus <= ours->gpus + 1e-6;
+    const double n = waiter.shape == model::Shape::gang ? waiter.task_count : 1;
+    const bool owed = mine.cpus + n * waiter.task_resources.cpus <= ours->cpus + 1e-6 &&
+                      mine.gpus + n * waiter.task_resources.gpus <= ours->gpus + 1e-6;
     const bool beyond = other.cpus > theirs->cpus + 1e-6 || other.gpus > theirs->gpus + 1e-6;
     return owed && beyond;
 }
 
-bool is_victim(const Picture& p, const JobView& waiter, const RunningGang& victim) {
-    if (!victim.stoppable || victim.spec->checkpoint_s <= 0) return false;
+bool is_victim(const Snapshot& p, const PendingJob& waiter, const RunningGang& victim) {
+    if (!victim.stoppable || victim.spec->checkpoint_interval_s <= 0) return false;
     if (!may_stop(p, waiter, victim)) return false;
     const auto& t = *p.tuning;
-    if (waiter.xfactor < t.suspension_factor * victim.xfactor) return false;
+    if (waiter.xfactor < t.preemption_factor * victim.xfactor) return false;
     if (width(*victim.spec) > t.width_ratio * width(*waiter.spec)) return false;
     // The paper's prose bounds the victim, its formula the waiter; the design takes the prose. A category
     // nobody has finished in yet counts as one without any slowdown.
-    const auto mean = p.means.find(category(*victim.spec, t));
-    const double average = mean == p.means.end() || mean->second.count == 0 ? 1.0 : mean->second.mean;
+    const auto mean = p.category_averages.find(category(*victim.spec, t));
+    const double average =
+        mean == p.category_averages.end() || mean->second.count == 0 ? 1.0 : mean->second.mean;
     return victim.xfactor <= t.category_multiplier * average;
 }
 
 // Whether the waiter (a gang whole, an array with one task) fits once the machines have the given extra room.
-bool fits(const Picture& p, const JobView& waiter, const std::map<std::string, model::Resources>& freed) {
-    Picture trial;
+bool fits(const Snapshot& p, const PendingJob& waiter, const std::map<std::string, model::Resources>& freed) {
+    Snapshot trial;
     trial.machines = p.machines;
     trial.pools = p.pools;
-    trial.use = p.use;
+    trial.usage = p.usage;
     trial.settings = p.settings;
     trial.tuning = p.tuning;
     for (auto& m : trial.machines)
         if (const auto it = freed.find(m.id); it != freed.end()) m.free += it->second;
     trial.jobs.push_back(waiter);
     trial.jobs.back().waited_s = 0;  // no holding inside the trial
-    return !place(trial).empty();
+    return !place_tasks(trial).empty();
 }
 
 }  // namespace
 
-std::optional<Suspension> suspend(const Picture& p) {
+std::optional<Preemption> select_preemption(const Snapshot& p) {
     auto jobs = p.jobs;
-    const auto order = waiting_line(jobs);
+    const auto order = pending_queue(jobs);
     for (const auto* waiter : order) {
         std::vector<const RunningGang*> candidates;
-        for (const auto& g : p.gangs)
+        for (const auto& g : p.running_gangs)
             if (is_victim(p, *waiter, g)) candidates.push_back(&g);
         if (candidates.empty()) continue;
         std::stable_sort(
@@ -69,7 +70,7 @@
         const auto enough = [&](std::size_t n) {
             std::map<std::string, model::Resources> freed;
             for (std::size_t i = 0; i < n; ++i)
-                for (const auto& m : candidates[i]->machines) freed[m] += candidates[i]->spec->need;
+                for (const auto& m : candidates[i]->machines) freed[m] += candidates[i]->spec->task_resources;
             return fits(p, *waiter, freed);
         };
         if (!enough(candidates.size())) continue;  // all of them make no room: no job is stopped
@@ -81,41 +82,41 @@
             else
                 low = middle + 1;
         }
-        Suspension out{waiter->spec->id, {}};
+        Preemption out{waiter->spec->id, {}};
         for (std::size_t i = 0; i < low; ++i) out.victims.push_back(candidates[i]->spec->id);
         return out;
     }
     return std::nullopt;
 }
 
-Hold hold(const Picture& p) {
-    const JobView* holder = nullptr;
+Reservation reserve_machines(const Snapshot& p) {
+    const PendingJob* holder = nullptr;
     for (const auto& j : p.jobs)
-        if (!j.waiting.empty() && j.spec->shape == model::Shape::gang &&
-            j.waited_s > p.tuning->holding_wait_s && (!holder || j.waited_s > holder->waited_s) &&
-            within_limit(p, *j.spec, static_cast<double>(j.waiting.size())))
+        if (!j.pending_tasks.empty() && j.spec->shape == model::Shape::gang &&
+            j.waited_s > p.tuning->reservation_wait_s && (!holder || j.waited_s > holder->waited_s) &&
+            within_limit(p, *j.spec, static_cast<double>(j.pending_tasks.size())))
             holder = &j;
     if (!holder) return {};
     const auto& spec = *holder->spec;
-    const auto suits = [&](const MachineView& m) {
-        return m.ready && spec.need.fits_in(m.free) && allowed_on(spec, m.type, m.zone, m.spot) &&
-               zone_ok(*holder, m.zone) && !holder->avoid.contains(m.id);
+    const auto suits = [&](const MachineSnapshot& m) {
+        return m.ready && spec.task_resources.fits_in(m.free) && allowed_on(spec, m.type, m.zone, m.spot) &&
+               zone_allowed(*holder, m.zone) && !holder->excluded_machines.contains(m.id);
     };
     // Machines of two zones are of no use to a gang that must stay together: the zone with most room it is.
     std::map<std::string, int> room;
     for (const auto& m : p.machines)
-        if (suits(m)) room[m.zone] += slots(spec, m.free);
+        if (suits(m)) room[m.zone] += task_capacity(spec, m.free);
     const auto widest = std::max_element(room.begin(), room.end(),
                                          [](const auto& a, const auto& b) { return a.second < b.second; });
-    Hold out{spec.id, {}};
-    auto missing = static_cast<int>(holder->waiting.size());
+    Reservation out{spec.id, {}};
+    auto missing = static_cast<int>(holder->pending_tasks.size());
     for (const auto& m : p.machines) {
         if (missing <= 0) break;
-        if (!suits(m) || (spec.one_zone && m.zone != widest->first)) continue;
+        if (!suits(m) || (spec.same_zone && m.zone != widest->first)) continue;
         out.machines.insert(m.id);
-        missing -= slots(spec, m.free);
+        missing -= task_capacity(spec, m.free);
     }
     return out;
 }
 
-}  // namespace pineroad::sched
+}  // namespace pineroad::scheduling
--- a/src/control/cancellation_log.hpp
+++ b/src/store/cancellation_log.hpp
@@ -14,16 +14,16 @@
 
 #include "config/constants.hpp"
 
-namespace pineroad::control {
+namespace pineroad::store {
 
 class CancellationLog {
    public:
     using Entry = std::pair<std::uint64_t, std::string>;  // revision, job
 
     // True if it was not known.
-    bool learn(const std::string& job, std::uint64_t revision) {
+    bool add(const std::string& job, std::uint64_t revision) {
         if (!entries_.emplace(revision, job).second) return false;
-        while (entries_.size() > constants::cancellations_kept) {
+        while (entries_.size() > constants::max_cancellations_kept) {
             forgotten_ = std::max(forgotten_, entries_.begin()->first);
             entries_.erase(entries_.begin());
         }
@@ -31,10 +31,10 @@
     }
     // Every cancellation known here above the revision. Nothing, rather than a part, when some of these were
     // forgotten or they are more than one message holds: the asker would take a part for the whole.
-    [[nodiscard]] std::optional<std::vector<Entry>> above(std::uint64_t revision) const {
+    [[nodiscard]] std::optional<std::vector<Entry>> after(std::uint64_t revision) const {
         if (revision < forgotten_) return std::nullopt;
         std::vector<Entry> out(entries_.lower_bound({revision + 1, ""}), entries_.end());
-        if (out.size() > constants::gossip_cancels) return std::nullopt;
+        if (out.size() > constants::max_cancellations_per_message) return std::nullopt;
         return out;
     }
 
@@ -43,4 +43,4 @@
     std::uint64_t forgotten_ = 0;  // the greatest revision that was forgotten
 };
 
-}  // namespace pineroad::control
+}  // namespace pineroad::store
--- a/src/control/mirror.cpp
+++ b/src/store/watch_cache.cpp
@@ -1,4 +1,4 @@
-#include "control/mirror.hpp"
+#include "store/watch_cache.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -6,11 +6,11 @@
 
 #include "config/constants.hpp"
 
-namespace pineroad::control {
+namespace pineroad::store {
 
 namespace records = wire::records;
 
-void Demand::arrived(const model::JobSpec& spec, double now) {
+void ArrivalTracker::arrived(const model::JobSpec& spec, double now) {
     if (!classes_.contains(spec.job_class) && classes_.size() >= constants::demand_classes) return;
     auto& k = classes_[spec.job_class];
     if (k.arrivals.empty() && k.first == 0) k.first = now;
@@ -21,16 +21,16 @@
         k.arrivals.pop_front();
 }
 
-std::map<std::string, sched::ClassDemand> Demand::classes(const config::Settings& settings,
-                                                          double now) const {
-    std::map<std::string, sched::ClassDemand> out;
+std::map<std::string, scheduling::ClassDemand> ArrivalTracker::classes(const config::Settings& settings,
+                                                                       double now) const {
+    std::map<std::string, scheduling::ClassDemand> out;
     for (const auto& [name, k] : classes_) {
         auto& d = out[name];
         d.sample = k.sample;
         const double from = std::max(k.first + constants::demand_settle_s, now - constants::demand_window_s);
         const auto n =
             std::count_if(k.arrivals.begin(), k.arrivals.end(), [&](double t) { return t >= from; });
-        d.arrivals_per_s = static_cast<double>(n) / std::max(now - from, constants::demand_least_s);
+        d.arrivals_per_s = static_cast<double>(n) / std::max(now - from, constants::min_demand_window_s);
         for (const auto& o : settings.objectives)
             if (o.job_class == name && o.kind == "wait" && o.within_s)
                 d.start_within_s = std::min(d.start_within_s.value_or(*o.within_s), *o.within_s);
@@ -38,76 +38,77 @@
     return out;
 }
 
-Mirror::Mirror() : finals_(constants::final_cache) {}
+WatchCache::WatchCache() : outcomes_(constants::outcome_cache_size) {}
 
-void Mirror::clear() {
+void WatchCache::clear() {
     ready = false;
-    epoch = 0;
+    revision = 0;
     jobs.clear();
     progress.clear();
     segments.clear();
     latest_.clear();
-    open_rentals = {};
-    rentals.clear();
+    open_provisioning_requests = {};
+    provisioning_records.clear();
     leader.reset();
     term = {};
-    types.reset();
-    means = {};
+    machine_types.reset();
+    category_averages = {};
     format = {};
     dependencies_.clear();
     dependency_records_.clear();
     incomplete_.clear();
 }
 
-void Mirror::complete() {
+void WatchCache::complete() {
     ready = true;
     dependencies_.forget_unneeded();
 }
 
-std::optional<model::Final> Mirror::final_of(const std::string& id) {
-    if (const auto ending = finals_.get(id)) return ending->final;
-    if (dependencies_.is_cancelled(id)) return model::Final::cancelled;
+std::optional<model::FinalStatus> WatchCache::outcome_of(const std::string& id) {
+    if (const auto ending = outcomes_.get(id)) return ending->status;
+    if (dependencies_.is_cancelled(id)) return model::FinalStatus::cancelled;
     return std::nullopt;
 }
 
-void Mirror::learn_final(const std::string& id, const model::Ending& ending, std::uint64_t revision) {
-    finals_.insert(id, ending);
+void WatchCache::record_outcome(const std::string& id, const model::JobOutcome& ending,
+                                std::uint64_t revision) {
+    outcomes_.insert(id, ending);
     const auto change = dependencies_.end(id, ending);
-    if (ending.final == model::Final::cancelled) {
-        const bool fresh = cancellations_.learn(id, revision);
+    if (ending.status == model::FinalStatus::cancelled) {
+        const bool fresh = cancellations_.add(id, revision);
         if (on_cancelled) on_cancelled(id, fresh);
     }
     dependencies_changed(change);
 }
 
-void Mirror::dependencies_changed(const model::DependencyGraph::Change& change) {
+void WatchCache::dependencies_changed(const model::DependencyGraph::Change& change) {
     for (const auto& id : change.ready)
         if (const auto job = jobs.find(id); job != jobs.end()) demand.arrived(job->second.value, now_);
     if (on_dependencies && !(change.ready.empty() && change.cancelled.empty())) on_dependencies(change);
 }
 
-void Mirror::add_job(model::JobSpec spec, std::uint64_t stamp, double now) {
+void WatchCache::add_job(model::JobSpec spec, std::uint64_t mod_revision, double now) {
     now_ = now;
     const std::string id = spec.id;
     if (!assemble(spec)) {
-        incomplete_[id] = {std::move(spec), stamp};
+        incomplete_[id] = {std::move(spec), mod_revision};
         return;
     }
     const bool fresh = !jobs.contains(id);
-    auto& job = jobs[id] = {std::move(spec), stamp};
+    auto& job = jobs[id] = {std::move(spec), mod_revision};
     if (!fresh) return;
     auto change = dependencies_.add(job.value);
-    if (on_job) on_job(job.value, stamp);
+    if (on_job) on_job(job.value, mod_revision);
     // Until its dependencies are done a job asks for nothing.
     if (dependencies_.is_ready(id)) demand.arrived(job.value, now);
     dependencies_changed(change);
     for (const auto& dependency : job.value.dependencies)
-        if (const auto ending = finals_.get(dependency))
+        if (const auto ending = outcomes_.get(dependency))
             dependencies_changed(dependencies_.end(dependency, *ending));
 }
 
 // False while a record of the end of its list is missing.
-bool Mirror::assemble(model::JobSpec& spec) const {
+bool WatchCache::assemble(model::JobSpec& spec) const {
     const auto at = dependency_records_.find(spec.id);
     const auto found = at == dependency_records_.end() ? 0 : at->second.size();
     if (found < spec.dependency_records) return false;
@@ -117,7 +118,7 @@
     return true;
 }
 
-void Mirror::add_dependency_record(const std::string& name, const wire::Json& value, double now) {
+void WatchCache::add_dependency_record(const std::string& name, const wire::Json& value, double now) {
     const auto slash = name.find('/');
     auto list = records::parse_dependencies(value);
     if (slash == std::string::npos || !list) {
@@ -130,20 +131,21 @@
     if (waiting == incomplete_.end()) return;
     auto job = std::move(waiting->second);
     incomplete_.erase(waiting);
-    add_job(std::move(job.value), job.stamp, now);
+    add_job(std::move(job.value), job.mod_revision, now);
 }
 
-void Mirror::apply_row(const std::string& key, const wire::Json& value, std::uint64_t stamp, double now) {
+void WatchCache::apply_row(const std::string& key, const wire::Json& value, std::uint64_t mod_revision,
+                           double now) {
     auto put = [&](auto& map, const std::string& id, auto parsed) {
         if (parsed)
-            map[id] = {std::move(*parsed), stamp};
+            map[id] = {std::move(*parsed), mod_revision};
         else
             spdlog::error("record {} cannot be read", key);
         return map.contains(id);
     };
     if (auto id = records::under(key, records::job_prefix)) {
         if (auto spec = records::parse_job(*id, value))
-            add_job(std::move(*spec), stamp, now);
+            add_job(std::move(*spec), mod_revision, now);
         else
             spdlog::error("record {} cannot be read", key);
     } else if (auto list = records::under(key, records::dependencies_prefix)) {
@@ -153,32 +155,32 @@
         if (!parsed)
             spdlog::error("record {} cannot be read", key);
         else if (const auto it = progress.find({*pid, 0}); it == progress.end() || it->second.segment.empty())
-            progress[{*pid, 0}] = {std::move(*parsed), stamp, ""};
+            progress[{*pid, 0}] = {std::move(*parsed), mod_revision, ""};
     } else if (auto segment = records::under(key, records::segment_prefix)) {
-        apply_segment(*segment, value, stamp);
-    } else if (auto name = records::under(key, records::rental_prefix)) {
-        put(rentals, *name, records::parse_rental(*name, value));
-    } else if (auto fid = records::under(key, records::final_prefix)) {
-        if (const auto f = records::parse_final(value)) learn_final(*fid, *f, stamp);
-    } else if (key == records::rentals_key) {
-        if (auto list = records::parse_rentals(value))
-            open_rentals = {std::move(*list), stamp};
+        apply_segment(*segment, value, mod_revision);
+    } else if (auto name = records::under(key, records::provisioning_request_prefix)) {
+        put(provisioning_records, *name, records::parse_provisioning_request(*name, value));
+    } else if (auto fid = records::under(key, records::outcome_prefix)) {
+        if (const auto f = records::parse_outcome(value)) record_outcome(*fid, *f, mod_revision);
+    } else if (key == records::provisioning_requests_key) {
+        if (auto list = records::parse_provisioning_requests(value))
+            open_provisioning_requests = {std::move(*list), mod_revision};
         else
             spdlog::error("record {} cannot be read", key);
     } else if (key == records::leader_key) {
-        if (auto l = records::parse_leader(value)) leader = {*l, stamp};
+        if (auto l = records::parse_leader(value)) leader = {*l, mod_revision};
     } else if (key == records::term_key) {
-        if (auto t = records::parse_term(value)) term = {*t, stamp};
-    } else if (key == records::types_key) {
-        if (auto t = wire::parse_types(value)) types = {*t, stamp};
+        if (auto t = records::parse_term(value)) term = {*t, mod_revision};
+    } else if (key == records::machine_types_key) {
+        if (auto t = wire::parse_machine_types(value)) machine_types = {*t, mod_revision};
     } else if (key == records::format_key) {
-        if (auto controllers = records::parse_format(value)) format = {std::move(*controllers), stamp};
-    } else if (key == records::means_key) {
-        means = {records::parse_means(value), stamp};
+        if (auto controllers = records::parse_format(value)) format = {std::move(*controllers), mod_revision};
+    } else if (key == records::category_averages_key) {
+        category_averages = {records::parse_category_averages(value), mod_revision};
     }
 }
 
-void Mirror::apply_segment(const std::string& name, const wire::Json& value, std::uint64_t stamp) {
+void WatchCache::apply_segment(const std::string& name, const wire::Json& value, std::uint64_t mod_revision) {
     auto entries = records::parse_segment(value);
     if (!entries) {
         spdlog::error("segment {} cannot be read", name);
@@ -191,25 +193,25 @@
             latest_.erase(at);
             progress.erase(entry);
         }
-    known = {entries->sequence, {}, stamp};
+    known = {entries->sequence, {}, mod_revision};
     for (auto& [entry, p] : entries->entries) {
         known.entries.push_back(entry);
         auto& latest = latest_[entry];  // {0, 0} comes before all
         if (latest > entries->sequence) continue;
         latest = entries->sequence;
         if (p)
-            progress[entry] = {std::move(*p), stamp, name};
+            progress[entry] = {std::move(*p), mod_revision, name};
         else
             progress.erase(entry);
     }
 }
 
-bool Mirror::is_current(const EntryName& entry, const model::Placement& placement) const {
-    const auto part = placement.index / constants::part_tasks;
-    return part == entry.part || !progress.contains({entry.job, part});
+bool WatchCache::is_current(const EntryName& entry, const model::Placement& placement) const {
+    const auto shard = placement.index / constants::tasks_per_shard;
+    return shard == entry.shard || !progress.contains({entry.job, shard});
 }
 
-Mirror::TaskCounts Mirror::task_counts(const std::string& id) const {
+WatchCache::TaskCounts WatchCache::task_counts(const std::string& id) const {
     model::TaskSet done;
     TaskCounts out;
     for (auto at = progress.lower_bound({id, 0}); at != progress.end() && at->first.job == id; ++at) {
@@ -221,7 +223,7 @@
     return out;
 }
 
-void Mirror::apply_drop(const std::string& key) {
+void WatchCache::apply_drop(const std::string& key) {
     if (auto id = records::under(key, records::job_prefix)) {
         jobs.erase(*id);
         incomplete_.erase(*id);
@@ -230,25 +232,25 @@
     } else if (auto pid = records::under(key, records::progress_prefix)) {
         if (const auto at = progress.find({*pid, 0}); at != progress.end() && at->second.segment.empty())
             progress.erase(at);
-    } else if (auto name = records::under(key, records::rental_prefix)) {
-        rentals.erase(*name);
+    } else if (auto name = records::under(key, records::provisioning_request_prefix)) {
+        provisioning_records.erase(*name);
     } else if (key == records::leader_key) {
         leader.reset();
     }
 }
 
-void Mirror::apply(const wire::Events& e, double now) {
+void WatchCache::apply(const wire::WatchEvents& e, double now) {
     // Two watches may answer out of order; each holds all that came after its start, so what is known is
     // skipped.
     for (const auto& event : e.events) {
-        if (event.stamp <= epoch) continue;
+        if (event.mod_revision <= revision) continue;
         if (event.value)
-            apply_row(event.key, *event.value, event.stamp, now);
+            apply_row(event.key, *event.value, event.mod_revision, now);
         else
             apply_drop(event.key);
     }
-    epoch = std::max(epoch, e.epoch);
+    revision = std::max(revision, e.revision);
     now_ = now;
 }
 
-}  // namespace pineroad::control
+}  // namespace pineroad::store
--- a/src/control/mirror.hpp
+++ b/src/store/watch_cache.hpp
@@ -10,26 +10,26 @@
 #include <set>
 #include <string>
 
-#include "control/cancellation_log.hpp"
 #include "model/dependency_graph.hpp"
 #include "model/model.hpp"
-#include "sched/picture.hpp"
+#include "scheduling/snapshot.hpp"
+#include "store/cancellation_log.hpp"
 #include "wire/records.hpp"
 
-namespace pineroad::control {
+namespace pineroad::store {
 
 template <class T>
 struct Versioned {
     T value;
-    std::uint64_t stamp = 0;
+    std::uint64_t mod_revision = 0;
 };
 
 // Arrivals by class, as every node sees them: a new leader knows the demand at once.
-class Demand {
+class ArrivalTracker {
    public:
     void arrived(const model::JobSpec& spec, double now);
-    [[nodiscard]] std::map<std::string, sched::ClassDemand> classes(const config::Settings& settings,
-                                                                    double now) const;
+    [[nodiscard]] std::map<std::string, scheduling::ClassDemand> classes(const config::Settings& settings,
+                                                                         double now) const;
 
    private:
     struct Class {
@@ -40,21 +40,21 @@
     std::map<std::string, Class> classes_;
 };
 
-class Mirror {
+class WatchCache {
    public:
-    Mirror();
+    WatchCache();
     void clear();
-    void apply_row(const std::string& key, const wire::Json& value, std::uint64_t stamp, double now);
+    void apply_row(const std::string& key, const wire::Json& value, std::uint64_t mod_revision, double now);
     void apply_drop(const std::string& key);
     // Events of one watch answer; those already known are skipped.
-    void apply(const wire::Events& events, double now);
+    void apply(const wire::WatchEvents& events, double now);
 
     bool ready = false;
-    std::uint64_t epoch = 0;
+    std::uint64_t revision = 0;
     std::map<std::string, Versioned<model::JobSpec>> jobs;
     struct Progress {
         model::Progress value;
-        std::uint64_t stamp = 0;
+        std::uint64_t mod_revision = 0;
         std::string segment;  // that it was read from; empty: a record of its own
     };
     using EntryName = wire::records::EntryName;
@@ -62,7 +62,7 @@
     struct Segment {
         wire::records::Sequence sequence;
         std::vector<EntryName> entries;  // that it holds
-        std::uint64_t stamp = 0;
+        std::uint64_t mod_revision = 0;
     };
     // Whether the placement, which stands in that entry, counts: an entry of a whole job counts for tasks
     // whose part has no entry of its own, which is later.
@@ -73,14 +73,15 @@
     };
     [[nodiscard]] TaskCounts task_counts(const std::string& id) const;
     std::map<std::string, Segment> segments;
-    Versioned<std::vector<model::Rental>> open_rentals;
-    std::map<std::string, Versioned<model::Rental>> rentals;  // records of their own, from version 0.2
+    Versioned<std::vector<model::ProvisioningRequest>> open_provisioning_requests;
+    std::map<std::string, Versioned<model::ProvisioningRequest>>
+        provisioning_records;  // records of their own, from version 0.2
     std::optional<Versioned<wire::records::Leader>> leader;
     Versioned<std::uint64_t> term;
-    std::optional<Versioned<std::vector<model::MachineType>>> types;
-    Versioned<model::CategoryMeans> means;
+    std::optional<Versioned<std::vector<model::MachineType>>> machine_types;
+    Versioned<model::CategoryAverages> category_averages;
     Versioned<std::set<std::string>> format;  // controllers that read the present record format
-    Demand demand;
+    ArrivalTracker demand;
     // Hooks of the leader.
     std::function<void(const model::JobSpec&, std::uint64_t)> on_job;
     std::function<void(const std::string&, bool fresh)> on_cancelled;
@@ -90,24 +91,24 @@
     void complete();
 
     // Of two parts that speak of one job the newer counts.
-    void apply_segment(const std::string& name, const wire::Json& value, std::uint64_t stamp);
+    void apply_segment(const std::string& name, const wire::Json& value, std::uint64_t mod_revision);
     // How the job ended, as far as memory tells. That includes a live job that is cancelled because one
     // before it was: it can't end in any other way, whether or not its own final record is written yet.
-    std::optional<model::Final> final_of(const std::string& id);
+    std::optional<model::FinalStatus> outcome_of(const std::string& id);
     [[nodiscard]] const model::DependencyGraph& dependencies() const { return dependencies_; }
     // The one way by which a final state becomes known here, before anybody is told of it: by a watch, an
     // answer of the state service or a peer.
-    void learn_final(const std::string& id, const model::Ending& ending, std::uint64_t revision);
+    void record_outcome(const std::string& id, const model::JobOutcome& ending, std::uint64_t revision);
     [[nodiscard]] const CancellationLog& cancellations() const { return cancellations_; }
 
    private:
-    void add_job(model::JobSpec spec, std::uint64_t stamp, double now);
+    void add_job(model::JobSpec spec, std::uint64_t mod_revision, double now);
     void add_dependency_record(const std::string& name, const wire::Json& value, double now);
     [[nodiscard]] bool assemble(model::JobSpec& spec) const;
     void dependencies_changed(const model::DependencyGraph::Change& change);
 
     std::map<EntryName, wire::records::Sequence> latest_;  // of the segments that hold an entry
-    boost::compute::detail::lru_cache<std::string, model::Ending> finals_;
+    boost::compute::detail::lru_cache<std::string, model::JobOutcome> outcomes_;
     model::DependencyGraph dependencies_;
     // Further records of long lists, by job and number, and jobs whose list is not complete yet: pages of a
     // list are read one after the other.
@@ -117,4 +118,4 @@
     CancellationLog cancellations_;  // outlives a mirror that is read anew: what was told stays told
 };
 
-}  // namespace pineroad::control
+}  // namespace pineroad::store
--- a/src/control/write_budget.hpp
+++ b/src/store/write_rate_limiter.hpp
@@ -8,23 +8,24 @@
 
 #include "config/constants.hpp"
 
-namespace pineroad::control {
+namespace pineroad::store {
 
-class WriteBudget {
+class WriteRateLimiter {
    public:
     void start(double per_s, double now) {
         rate_ = per_s * constants::write_share;
         tokens_ = rate_;
         at_ = now;
     }
-    void by_others(std::size_t changes) { others_ += static_cast<double>(changes); }
-    void spend(std::size_t changes) { tokens_ -= static_cast<double>(changes); }
+    void record_writes_of_others(std::size_t changes) { others_ += static_cast<double>(changes); }
+    void record_writes(std::size_t changes) { tokens_ -= static_cast<double>(changes); }
     void refused() { tokens_ = std::min(tokens_, 0.0); }
 
     // Until so many changes may be made.
-    double wait_s(std::size_t changes, double now) {
+    double delay_s(std::size_t changes, double now) {
         refill(now);
-        return std::max(0.0, (static_cast<double>(changes) - tokens_) / (rate_ * constants::leader_keeps));
+        return std::max(
+            0.0, (static_cast<double>(changes) - tokens_) / (rate_ * constants::leader_reserved_share));
     }
     std::size_t available(double now) {
         refill(now);
@@ -35,11 +36,11 @@
     void refill(double now) {
         const double gain = (now - at_) * rate_;
         at_ = now;
-        const double taken = std::min(others_, gain * (1 - constants::leader_keeps));
+        const double taken = std::min(others_, gain * (1 - constants::leader_reserved_share));
         others_ = std::min(others_ - taken, rate_);  // a crowd is not held against the leader for ever
         tokens_ = std::min(rate_, tokens_ + gain - taken);
     }
     double rate_ = 1, tokens_ = 0, others_ = 0, at_ = 0;
 };
 
-}  // namespace pineroad::control
+}  // namespace pineroad::store
--- a/src/wire/gossip.cpp
+++ b/src/wire/peer_protocol.cpp
@@ -1,4 +1,4 @@
-#include "wire/gossip.hpp"
+#include "wire/peer_protocol.hpp"
 
 #include <cbor.h>
 
@@ -33,18 +33,18 @@
 
 }  // namespace
 
-std::string gossip_bytes(const Gossip& g) {
+std::string encode_peer_message(const PeerMessage& g) {
     const Item map(cbor_new_definite_map(required_fields + 2));
     add(map.get(), "node", text_item(g.node));
-    add(map.get(), "token", uint_item(g.token));
+    add(map.get(), "token", uint_item(g.fencing_token));
     add(map.get(), "leader", text_item(g.leader));
-    add(map.get(), "up_ms", uint_item(g.up_ms));
-    add(map.get(), "state_age_ms", uint_item(g.state_age_ms));
-    add(map.get(), "report_age_ms", uint_item(g.report_age_ms));
-    add(map.get(), "epoch", uint_item(g.epoch));
+    add(map.get(), "up_ms", uint_item(g.uptime_ms));
+    add(map.get(), "state_age_ms", uint_item(g.store_contact_age_ms));
+    add(map.get(), "report_age_ms", uint_item(g.heartbeat_age_ms));
+    add(map.get(), "epoch", uint_item(g.revision));
     add(map.get(), "format", uint_item(g.format));
-    add(map.get(), "asked_to_depend", Item(cbor_build_bool(g.asked_to_depend)));
-    add(map.get(), "vouches", Item(cbor_build_bool(g.vouches)));
+    add(map.get(), "asked_to_depend", Item(cbor_build_bool(g.dependencies_requested)));
+    add(map.get(), "vouches", Item(cbor_build_bool(g.confirms_cancellations)));
     // Revision and job in turn.
     const Item list(cbor_new_definite_array(2 * g.cancelled.size()));
     for (const auto& [revision, id] : g.cancelled) {
@@ -61,11 +61,11 @@
     return out;
 }
 
-std::optional<Gossip> parse_gossip(std::string_view bytes) {
+std::optional<PeerMessage> parse_peer_message(std::string_view bytes) {
     cbor_load_result result{};
     const Item map(cbor_load(reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size(), &result));
     if (!map || result.error.code != CBOR_ERR_NONE || !cbor_isa_map(map.get())) return std::nullopt;
-    Gossip g;
+    PeerMessage g;
     int found = 0;
     const auto* pairs = cbor_map_handle(map.get());
     for (std::size_t i = 0; i < cbor_map_size(map.get()); ++i) {
@@ -88,18 +88,18 @@
         else if (*key == "leader")
             ok = text(g.leader);
         else if (*key == "token")
-            ok = number(g.token);
+            ok = number(g.fencing_token);
         else if (*key == "up_ms")
-            ok = number(g.up_ms);
+            ok = number(g.uptime_ms);
         else if (*key == "state_age_ms")
-            ok = number(g.state_age_ms);
+            ok = number(g.store_contact_age_ms);
         else if (*key == "report_age_ms")
-            ok = number(g.report_age_ms);
+            ok = number(g.heartbeat_age_ms);
         else if (*key == "epoch")
-            ok = number(g.epoch);
+            ok = number(g.revision);
         else if (*key == "vouches") {
             ok = cbor_is_bool(v);
-            g.vouches = ok && cbor_get_bool(v);
+            g.confirms_cancellations = ok && cbor_get_bool(v);
         } else if (*key == "cancelled") {
             ok = cbor_isa_array(v) && cbor_array_size(v) % 2 == 0;
             for (std::size_t n = 0; ok && n < cbor_array_size(v); n += 2) {
@@ -113,7 +113,7 @@
             if (*key == "format") ok = number(g.format);
             if (*key == "asked_to_depend") {
                 ok = cbor_is_bool(v);
-                g.asked_to_depend = ok && cbor_get_bool(v);
+                g.dependencies_requested = ok && cbor_get_bool(v);
             }
         }
         if (!ok) return std::nullopt;
--- a/src/wire/protocol.cpp
+++ b/src/wire/protocol.cpp
@@ -6,7 +6,7 @@
 #include <set>
 
 #include "config/constants.hpp"
-#include "wire/read.hpp"
+#include "wire/json_reader.hpp"
 
 namespace pineroad::wire {
 namespace {
@@ -26,24 +26,28 @@
                                                 {"standard", model::Priority::normal},
                                                 {"best_effort", model::Priority::low}};
 constexpr Word<model::TaskState> task_states[] = {{"fetching", model::TaskState::fetching},
-                                                  {"waiting", model::TaskState::waiting},
+                                                  {"waiting", model::TaskState::waiting_for_gang},
                                                   {"running", model::TaskState::running},
-                                                  {"saving", model::TaskState::saving},
+                                                  {"saving", model::TaskState::checkpointing},
                                                   {"ended", model::TaskState::exited}};
-constexpr Word<model::ExitCause> causes[] = {
-    {"done", model::ExitCause::done},        {"stopped", model::ExitCause::stopped},
-    {"mates_gone", model::ExitCause::peers}, {"alone", model::ExitCause::alone},
-    {"error", model::ExitCause::error},      {"full", model::ExitCause::no_room},
-    {"busy", model::ExitCause::busy},        {"unknown", model::ExitCause::unknown}};
-constexpr Word<model::Order::Op> verbs[] = {
-    {"start", model::Order::Op::start}, {"stop", model::Order::Op::stop}, {"reap", model::Order::Op::forget}};
+constexpr Word<model::ExitCause> causes[] = {{"done", model::ExitCause::done},
+                                             {"stopped", model::ExitCause::stopped},
+                                             {"mates_gone", model::ExitCause::gang_member_lost},
+                                             {"alone", model::ExitCause::gang_incomplete},
+                                             {"error", model::ExitCause::error},
+                                             {"full", model::ExitCause::insufficient_resources},
+                                             {"busy", model::ExitCause::already_running},
+                                             {"unknown", model::ExitCause::unknown_task}};
+constexpr Word<model::Command::Kind> verbs[] = {{"start", model::Command::Kind::start},
+                                                {"stop", model::Command::Kind::stop},
+                                                {"reap", model::Command::Kind::forget}};
 constexpr Word<model::MachineStatus> statuses[] = {{"booting", model::MachineStatus::booting},
                                                    {"running", model::MachineStatus::running},
                                                    {"failed", model::MachineStatus::failed}};
-constexpr Word<JobState> job_states[] = {{"queued", JobState::queued},
-                                         {"running", JobState::running},
-                                         {"done", JobState::done},
-                                         {"withdrawn", JobState::cancelled}};
+constexpr Word<JobStatus> job_states[] = {{"queued", JobStatus::queued},
+                                          {"running", JobStatus::running},
+                                          {"done", JobStatus::done},
+                                          {"withdrawn", JobStatus::cancelled}};
 
 template <class E, std::size_t N>
 std::optional<E> lookup(const Word<E> (&table)[N], const std::optional<std::string>& word) {
@@ -83,11 +87,11 @@
     return std::move(doc->get_object());
 }
 
-json::array orders_json(const std::vector<model::Order>& orders) {
+json::array commands_json(const std::vector<model::Command>& commands) {
     json::array out;
-    for (const auto& o : orders) {
-        json::object j{{"Verb", word_of(verbs, o.op)}, {"Piece", task_name(o.task)}, {"Try", o.attempt}};
-        if (o.op == model::Order::Op::stop) j["LeewayS"] = o.grace_s;
+    for (const auto& o : commands) {
+        json::object j{{"Verb", word_of(verbs, o.kind)}, {"Piece", task_name(o.task)}, {"Try", o.attempt}};
+        if (o.kind == model::Command::Kind::stop) j["LeewayS"] = o.grace_s;
         out.push_back(std::move(j));
     }
     return out;
@@ -177,12 +181,12 @@
     else
         wrong("Urgency");
     if (auto v = count(*o, "Pieces"); v && *v >= 1 && *v <= constants::max_tasks)
-        s.tasks = static_cast<std::uint32_t>(*v);
+        s.task_count = static_cast<std::uint32_t>(*v);
     else
         wrong("Pieces");
-    get_amount("Vcpus", s.need.cpus);
-    get_amount("Accelerators", s.need.gpus);
-    get_amount("MemGb", s.need.memory_gb);
+    get_amount("Vcpus", s.task_resources.cpus);
+    get_amount("Accelerators", s.task_resources.gpus);
+    get_amount("MemGb", s.task_resources.memory_gb);
     get_text("Bundle", s.image);
     get_amount("SizeGb", s.image_gb);
     if (const auto* v = field(*o, "Breeds")) {
@@ -190,12 +194,12 @@
         if (!list || list->size() > constants::max_list) {
             wrong("Breeds");
         } else {
-            s.types.emplace();
+            s.allowed_machine_types.emplace();
             for (const auto& t : *list) {
                 if (!t.is_string() || t.get_string().empty() || t.get_string().size() > constants::max_text)
                     wrong("Breeds");
                 else
-                    s.types->emplace_back(t.get_string());
+                    s.allowed_machine_types->emplace_back(t.get_string());
             }
         }
     }
@@ -203,12 +207,12 @@
         s.zone.emplace();
         get_text("Yard", *s.zone);
     }
-    get_flag("Together", s.one_zone);
+    get_flag("Together", s.same_zone);
     get_flag("Spread", s.spread);
-    get_flag("Loaners", s.spot_ok);
+    get_flag("Loaners", s.allows_spot);
     get_amount("GuessS", s.estimate_s);
-    get_amount("NotchS", s.checkpoint_s);
-    get_amount("StashS", s.save_s);
+    get_amount("NotchS", s.checkpoint_interval_s);
+    get_amount("StashS", s.checkpoint_save_s);
     if (field(*o, "DueS")) {
         s.deadline_s.emplace();
         get_amount("DueS", *s.deadline_s);
@@ -223,8 +227,8 @@
     return s;
 }
 
-std::string job_answer(std::string_view id, JobState state,
-                       std::optional<std::pair<std::uint64_t, std::uint64_t>> counts) {
+std::string job_status_response(std::string_view id, JobStatus state,
+                                std::optional<std::pair<std::uint64_t, std::uint64_t>> counts) {
     json::object o{{"NameId", id}, {"Status", word_of(job_states, state)}};
     if (counts) {
         o["done"] = counts->first;
@@ -233,26 +237,26 @@
     return json::serialize(o);
 }
 
-std::string error_answer(std::string_view reason) {
+std::string error_response(std::string_view reason) {
     return json::serialize(json::object{{"error", reason}});
 }
 
-std::variant<model::Report, std::string> parse_report(std::string_view body) {
+std::variant<model::Heartbeat, std::string> parse_heartbeat(std::string_view body) {
     auto o = parse_object(body);
     if (!o) return std::string("not a JSON object");
-    model::Report r;
+    model::Heartbeat r;
     auto host = text(*o, "Host"), address = text(*o, "Address"), breed = text(*o, "Breed"),
          yard = text(*o, "Yard");
     auto spot = flag(*o, "Loaners");
-    auto stint = count(*o, "Stint"), tick = count(*o, "Tick"), baton = count(*o, "Baton");
+    auto stint = count(*o, "Stint"), sequence = count(*o, "Tick"), baton = count(*o, "Baton");
     if (!host || host->empty() || host->size() > constants::max_text)
         return std::string("Host is missing or invalid");
-    if (!address || !breed || !yard || !spot || !stint || !tick || !baton)
+    if (!address || !breed || !yard || !spot || !stint || !sequence || !baton)
         return std::string("a field is missing or invalid");
     r.machine = std::move(*host), r.address = std::move(*address), r.type = std::move(*breed),
     r.zone = std::move(*yard);
-    r.spot = *spot, r.session = *stint, r.tick = *tick, r.token = *baton;
-    r.notice_s = number(*o, "WarningS");
+    r.spot = *spot, r.agent_epoch = *stint, r.sequence = *sequence, r.fencing_token = *baton;
+    r.interruption_notice_s = number(*o, "WarningS");
     if (const auto* v = field(*o, "Pieces")) {
         if (!v->is_array()) return std::string("Pieces is invalid");
         for (const auto& item : v->get_array()) {
@@ -274,22 +278,23 @@
     return r;
 }
 
-std::string orders_answer(std::uint64_t token, const std::vector<model::Order>& orders) {
-    return json::serialize(json::object{{"Baton", token}, {"Orders", orders_json(orders)}});
+std::string heartbeat_response(std::uint64_t fencing_token, const std::vector<model::Command>& commands) {
+    return json::serialize(json::object{{"Baton", fencing_token}, {"Orders", commands_json(commands)}});
 }
 
-std::string do_request(std::uint64_t token, std::uint64_t session, const std::vector<model::Order>& orders) {
+std::string direct_command_request(std::uint64_t fencing_token, std::uint64_t agent_epoch,
+                                   const std::vector<model::Command>& commands) {
     return json::serialize(
-        json::object{{"Baton", token}, {"Stint", session}, {"Orders", orders_json(orders)}});
+        json::object{{"Baton", fencing_token}, {"Stint", agent_epoch}, {"Orders", commands_json(commands)}});
 }
 
-std::string redirect_answer(std::string_view leader) {
+std::string redirect_response(std::string_view leader) {
     json::object o;
     if (!leader.empty()) o["Foreman"] = leader;
     return json::serialize(o);
 }
 
-std::optional<std::vector<model::MachineType>> parse_types(const Json& doc) {
+std::optional<std::vector<model::MachineType>> parse_machine_types(const Json& doc) {
     const auto* o = doc.if_object();
     const auto* list = o ? field(*o, "Breeds") : nullptr;
     if (!list || !list->is_array()) return std::nullopt;
@@ -303,7 +308,7 @@
         if (!name || !cpus || !gpus || !mem || !zones || !zones->is_array()) return std::nullopt;
         model::MachineType m;
         m.name = *name;
-        m.room = {*cpus, *gpus, *mem};
+        m.capacity = {*cpus, *gpus, *mem};
         m.cache_gb = number(*t, "CacheGb").value_or(0);
         m.fetch_gb_per_s = number(*t, "PullGbPerS").value_or(1);
         m.price = number(*t, "Hourly").value_or(1);
@@ -318,15 +323,15 @@
     return out;
 }
 
-Json types_json(const std::vector<model::MachineType>& types) {
+Json machine_types_json(const std::vector<model::MachineType>& types) {
     json::array list;
     for (const auto& t : types) {
         json::array zones;
         for (const auto& z : t.zones) zones.emplace_back(z);
         list.push_back(json::object{{"Name", t.name},
-                                    {"Vcpus", t.room.cpus},
-                                    {"Accelerators", t.room.gpus},
-                                    {"MemGb", t.room.memory_gb},
+                                    {"Vcpus", t.capacity.cpus},
+                                    {"Accelerators", t.capacity.gpus},
+                                    {"MemGb", t.capacity.memory_gb},
                                     {"CacheGb", t.cache_gb},
                                     {"PullGbPerS", t.fetch_gb_per_s},
                                     {"Hourly", t.price},
@@ -337,12 +342,12 @@
     return json::object{{"Breeds", list}};
 }
 
-std::string rental_request(const model::Rental& r) {
+std::string provisioning_request(const model::ProvisioningRequest& r) {
     return json::serialize(json::object{
         {"Hire", r.name}, {"Breed", r.type}, {"Yard", r.zone}, {"Loaners", r.spot}, {"Count", r.count}});
 }
 
-std::optional<std::vector<std::string>> parse_rented(std::string_view body) {
+std::optional<std::vector<std::string>> parse_provisioned_machines(std::string_view body) {
     auto o = parse_object(body);
     const auto* list = o ? field(*o, "Hosts") : nullptr;
     if (!list || !list->is_array()) return std::nullopt;
@@ -360,18 +365,18 @@
     return json::serialize(json::object{{"Hosts", list}});
 }
 
-std::string list_target(std::string_view after, int page) {
+std::string machine_list_target(std::string_view after, int page) {
     std::string out = std::string(machines_path) + "?Page=" + std::to_string(page);
     if (!after.empty()) out += "&Since=" + escape(after);
     return out;
 }
 
-std::optional<MachineList> parse_list(std::string_view body) {
+std::optional<MachineList> parse_machine_list(std::string_view body) {
     auto o = parse_object(body);
     const auto* list = o ? field(*o, "Hosts") : nullptr;
     if (!list || !list->is_array()) return std::nullopt;
     MachineList out;
-    out.more = flag(*o, "Truncated").value_or(false);
+    out.truncated = flag(*o, "Truncated").value_or(false);
     for (const auto& item : list->get_array()) {
         const auto* m = item.if_object();
         if (!m) return std::nullopt;
@@ -395,15 +400,16 @@
     return out;
 }
 
-std::string follow_target(std::string_view prefix, std::uint64_t since, int block_ms) {
+std::string watch_target(std::string_view prefix, std::uint64_t since, int block_ms) {
     return "/follow?Under=" + escape(prefix) + "&Since=" + std::to_string(since) +
            "&BlockMs=" + std::to_string(block_ms);
 }
 
 std::string commit_request(const Transaction& txn) {
     json::array when, apply;
-    for (const auto& c : txn.when) when.push_back(json::object{{"Key", c.key}, {"Stamp", c.stamp}});
-    for (const auto& c : txn.apply) {
+    for (const auto& c : txn.conditions)
+        when.push_back(json::object{{"Key", c.key}, {"Stamp", c.mod_revision}});
+    for (const auto& c : txn.changes) {
         if (!c.value) {
             apply.push_back(json::object{{"Drop", c.key}});
             continue;
@@ -415,12 +421,12 @@
     return json::serialize(json::object{{"When", std::move(when)}, {"Apply", std::move(apply)}});
 }
 
-std::optional<std::uint64_t> parse_epoch(std::string_view body) {
+std::optional<std::uint64_t> parse_revision(std::string_view body) {
     auto o = parse_object(body);
     return o ? count(*o, "Epoch") : std::nullopt;
 }
 
-std::vector<std::string> parse_failed(std::string_view body) {
+std::vector<std::string> parse_failed_conditions(std::string_view body) {
     std::vector<std::string> out;
     auto o = parse_object(body);
     if (const auto* list = o ? field(*o, "failed") : nullptr; list && list->is_array())
@@ -433,51 +439,51 @@
     auto o = parse_object(body);
     if (!o) return std::nullopt;
     auto key = text(*o, "Key");
-    auto stamp = count(*o, "Stamp");
+    auto mod_revision = count(*o, "Stamp");
     const auto* value = o->if_contains("Value");
-    if (!key || !stamp || !value) return std::nullopt;
-    return Row{std::move(*key), *value, *stamp};
+    if (!key || !mod_revision || !value) return std::nullopt;
+    return Row{std::move(*key), *value, *mod_revision};
 }
 
 std::optional<Rows> parse_rows(std::string_view body) {
     auto o = parse_object(body);
     const auto* list = o ? field(*o, "Rows") : nullptr;
-    auto epoch = o ? count(*o, "Epoch") : std::nullopt;
-    if (!list || !list->is_array() || !epoch) return std::nullopt;
+    auto revision = o ? count(*o, "Epoch") : std::nullopt;
+    if (!list || !list->is_array() || !revision) return std::nullopt;
     Rows out;
-    out.epoch = *epoch;
-    out.more = flag(*o, "Truncated").value_or(false);
+    out.revision = *revision;
+    out.truncated = flag(*o, "Truncated").value_or(false);
     for (const auto& item : list->get_array()) {
         const auto* r = item.if_object();
         if (!r) return std::nullopt;
         auto key = text(*r, "Key");
-        auto stamp = count(*r, "Stamp");
+        auto mod_revision = count(*r, "Stamp");
         const auto* value = r->if_contains("Value");
-        if (!key || !stamp || !value) return std::nullopt;
-        out.rows.push_back({std::move(*key), *value, *stamp});
+        if (!key || !mod_revision || !value) return std::nullopt;
+        out.rows.push_back({std::move(*key), *value, *mod_revision});
     }
     return out;
 }
 
-std::optional<Events> parse_events(std::string_view body) {
+std::optional<WatchEvents> parse_watch_events(std::string_view body) {
     auto o = parse_object(body);
-    auto epoch = o ? count(*o, "Epoch") : std::nullopt;
-    if (!epoch) return std::nullopt;
-    Events out;
-    out.epoch = *epoch;
+    auto revision = o ? count(*o, "Epoch") : std::nullopt;
+    if (!revision) return std::nullopt;
+    WatchEvents out;
+    out.revision = *revision;
     const auto* list = field(*o, "Events");
     if (!list) return out;
     if (!list->is_array()) return std::nullopt;
     for (const auto& item : list->get_array()) {
         const auto* e = item.if_object();
-        auto stamp = e ? count(*e, "Stamp") : std::nullopt;
-        if (!stamp) return std::nullopt;
+        auto mod_revision = e ? count(*e, "Stamp") : std::nullopt;
+        if (!mod_revision) return std::nullopt;
         if (auto key = text(*e, "Write")) {
             const auto* value = e->if_contains("Value");
             if (!value) return std::nullopt;
-            out.events.push_back({std::move(*key), *value, *stamp});
+            out.events.push_back({std::move(*key), *value, *mod_revision});
         } else if (auto dropped = text(*e, "Drop")) {
-            out.events.push_back({std::move(*dropped), std::nullopt, *stamp});
+            out.events.push_back({std::move(*dropped), std::nullopt, *mod_revision});
         } else {
             return std::nullopt;
         }
@@ -494,7 +500,7 @@
     return o ? count(*o, "Permit") : std::nullopt;
 }
 
-std::string touch_target(std::uint64_t lease) {
+std::string renew_lease_target(std::uint64_t lease) {
     return lease_target(lease) + "/touch";
 }
 std::string lease_target(std::uint64_t lease) {
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -5,17 +5,17 @@
 #include <charconv>
 #include <set>
 
-#include "wire/read.hpp"
+#include "wire/json_reader.hpp"
 
 namespace pineroad::wire::records {
 namespace {
 namespace json = boost::json;
 using namespace read;
 
-json::array need_json(const model::Resources& r) {
+json::array resources_json(const model::Resources& r) {
     return {r.cpus, r.gpus, r.memory_gb};
 }
-std::optional<model::Resources> parse_need(const json::object& o, std::string_view key) {
+std::optional<model::Resources> parse_resources(const json::object& o, std::string_view key) {
     const auto* v = field(o, key);
     if (!v || !v->is_array() || v->get_array().size() != 3) return std::nullopt;
     const auto& a = v->get_array();
@@ -34,11 +34,11 @@
 std::string segment_key(std::string_view name) {
     return std::string(segment_prefix).append(name);
 }
-std::string rental_key(std::string_view name) {
-    return std::string(rental_prefix).append(name);
+std::string provisioning_request_key(std::string_view name) {
+    return std::string(provisioning_request_prefix).append(name);
 }
-std::string final_key(std::string_view id) {
-    return std::string(final_prefix).append(id);
+std::string outcome_key(std::string_view id) {
+    return std::string(outcome_prefix).append(id);
 }
 
 std::string dependencies_key(std::string_view id, std::uint32_t number) {
@@ -51,19 +51,19 @@
 }
 
 Json leader_json(const Leader& l) {
-    return json::object{{"node", l.node}, {"token", l.token}, {"lease", l.lease}, {"nonce", l.nonce}};
+    return json::object{{"node", l.node}, {"token", l.fencing_token}, {"lease", l.lease}, {"nonce", l.nonce}};
 }
 std::optional<Leader> parse_leader(const Json& v) {
     const auto* o = v.if_object();
     if (!o) return std::nullopt;
     auto node = text(*o, "node");
-    auto token = count(*o, "token"), lease = count(*o, "lease"), nonce = count(*o, "nonce");
-    if (!node || !token || !lease || !nonce) return std::nullopt;
-    return Leader{*node, *token, *lease, *nonce};
+    auto fencing_token = count(*o, "token"), lease = count(*o, "lease"), nonce = count(*o, "nonce");
+    if (!node || !fencing_token || !lease || !nonce) return std::nullopt;
+    return Leader{*node, *fencing_token, *lease, *nonce};
 }
 
-Json term_json(std::uint64_t token) {
-    return json::object{{"token", token}};
+Json term_json(std::uint64_t fencing_token) {
+    return json::object{{"token", fencing_token}};
 }
 std::optional<std::uint64_t> parse_term(const Json& v) {
     const auto* o = v.if_object();
@@ -155,19 +155,19 @@
                    {"image", s.image},
                    {"shape", static_cast<int>(s.shape)},
                    {"prio", static_cast<int>(s.priority)},
-                   {"tasks", s.tasks},
-                   {"need", need_json(s.need)},
+                   {"tasks", s.task_count},
+                   {"need", resources_json(s.task_resources)},
                    {"gb", s.image_gb},
-                   {"one_zone", s.one_zone},
+                   {"one_zone", s.same_zone},
                    {"spread", s.spread},
-                   {"spot", s.spot_ok},
+                   {"spot", s.allows_spot},
                    {"est", s.estimate_s},
-                   {"ckpt", s.checkpoint_s},
-                   {"save", s.save_s},
+                   {"ckpt", s.checkpoint_interval_s},
+                   {"save", s.checkpoint_save_s},
                    {"at", s.accepted_ms}};
-    if (s.types) {
+    if (s.allowed_machine_types) {
         json::array list;
-        for (const auto& t : *s.types) list.emplace_back(t);
+        for (const auto& t : *s.allowed_machine_types) list.emplace_back(t);
         o["types"] = std::move(list);
     }
     if (s.zone) o["zone"] = *s.zone;
@@ -182,26 +182,27 @@
     if (!o) return std::nullopt;
     auto cls = text(*o, "class"), team = text(*o, "team"), image = text(*o, "image");
     auto prio = count(*o, "prio"), tasks = count(*o, "tasks"), at = count(*o, "at");
-    auto need = parse_need(*o, "need");
-    if (!cls || !team || !image || !prio || *prio > 3 || !tasks || !at || !need) return std::nullopt;
+    auto task_resources = parse_resources(*o, "need");
+    if (!cls || !team || !image || !prio || *prio > 3 || !tasks || !at || !task_resources)
+        return std::nullopt;
     model::JobSpec s;
     s.id = id, s.job_class = *cls, s.team = *team, s.image = *image;
     s.shape = static_cast<model::Shape>(std::min<std::uint64_t>(count(*o, "shape").value_or(0), 2));
     s.priority = static_cast<model::Priority>(*prio);
-    s.tasks = static_cast<std::uint32_t>(*tasks);
-    s.need = *need;
+    s.task_count = static_cast<std::uint32_t>(*tasks);
+    s.task_resources = *task_resources;
     s.image_gb = number(*o, "gb").value_or(0);
-    s.one_zone = flag(*o, "one_zone").value_or(false);
+    s.same_zone = flag(*o, "one_zone").value_or(false);
     s.spread = flag(*o, "spread").value_or(false);
-    s.spot_ok = flag(*o, "spot").value_or(false);
+    s.allows_spot = flag(*o, "spot").value_or(false);
     s.estimate_s = number(*o, "est").value_or(0);
-    s.checkpoint_s = number(*o, "ckpt").value_or(0);
-    s.save_s = number(*o, "save").value_or(0);
+    s.checkpoint_interval_s = number(*o, "ckpt").value_or(0);
+    s.checkpoint_save_s = number(*o, "save").value_or(0);
     s.accepted_ms = static_cast<std::int64_t>(*at);
     if (const auto* list = field(*o, "types"); list && list->is_array()) {
-        s.types.emplace();
+        s.allowed_machine_types.emplace();
         for (const auto& t : list->get_array())
-            if (t.is_string()) s.types->emplace_back(t.get_string());
+            if (t.is_string()) s.allowed_machine_types->emplace_back(t.get_string());
     }
     s.zone = text(*o, "zone");
     s.deadline_s = number(*o, "due");
@@ -211,28 +212,28 @@
 }
 
 std::string entry_name(const EntryName& entry) {
-    return entry.part == 0 ? entry.job : entry.job + '#' + std::to_string(entry.part);
+    return entry.shard == 0 ? entry.job : entry.job + '#' + std::to_string(entry.shard);
 }
 
 std::optional<EntryName> parse_entry_name(std::string_view name) {
     const auto mark = name.find('#');
     if (mark == std::string_view::npos) return EntryName{std::string(name), 0};
-    std::uint32_t part = 0;
+    std::uint32_t shard = 0;
     const auto digits = name.substr(mark + 1);
-    const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), part);
-    if (error != std::errc() || end != digits.data() + digits.size() || part == 0) return std::nullopt;
-    return EntryName{std::string(name.substr(0, mark)), part};
+    const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), shard);
+    if (error != std::errc() || end != digits.data() + digits.size() || shard == 0) return std::nullopt;
+    return EntryName{std::string(name.substr(0, mark)), shard};
 }
 
-Json progress_json(const model::Progress& p, std::uint32_t part) {
+Json progress_json(const model::Progress& p, std::uint32_t shard) {
     json::array done, placements;
     for (const auto& i : p.done) done.push_back(json::array{boost::icl::first(i), boost::icl::last(i)});
     for (const auto& x : p.placements) placements.push_back(json::array{x.index, x.attempt, x.machine});
     json::object out{{"d", std::move(done)}, {"r", std::move(placements)}, {"n", p.next_attempt}};
     if (p.partial) out["c"] = true;
-    if (part > 0) return out;
-    out["s"] = p.ran_s;
-    out["w"] = need_json(p.need);
+    if (shard > 0) return out;
+    out["s"] = p.checkpointed_run_s;
+    out["w"] = resources_json(p.task_resources);
     out["t"] = p.team;
     return out;
 }
@@ -242,12 +243,12 @@
     if (!o) return std::nullopt;
     const auto *done = field(*o, "d"), *placed = field(*o, "r");
     auto next = count(*o, "n");
-    auto need = parse_need(*o, "w");
+    auto task_resources = parse_resources(*o, "w");
     auto team = text(*o, "t");
     if (!done || !done->is_array() || !placed || !placed->is_array() || !next) return std::nullopt;
     model::Progress p;
     p.partial = flag(*o, "c").value_or(false);
-    if (!p.partial && (!need || !team)) return std::nullopt;
+    if (!p.partial && (!task_resources || !team)) return std::nullopt;
     for (const auto& i : done->get_array()) {
         const auto* a = i.if_array();
         if (!a || a->size() != 2) return std::nullopt;
@@ -265,8 +266,8 @@
             {static_cast<std::uint32_t>(*index), *attempt, std::string((*a)[2].get_string())});
     }
     p.next_attempt = *next;
-    p.ran_s = number(*o, "s").value_or(0);
-    p.need = need.value_or(model::Resources{});
+    p.checkpointed_run_s = number(*o, "s").value_or(0);
+    p.task_resources = task_resources.value_or(model::Resources{});
     p.team = team.value_or("");
     return p;
 }
@@ -294,56 +295,56 @@
     return out;
 }
 
-Json rental_json(const model::Rental& r) {
+Json provisioning_request_json(const model::ProvisioningRequest& r) {
     return json::object{{"type", r.type}, {"zone", r.zone}, {"spot", r.spot}, {"count", r.count}};
 }
-std::optional<model::Rental> parse_rental(const std::string& name, const Json& v) {
+std::optional<model::ProvisioningRequest> parse_provisioning_request(const std::string& name, const Json& v) {
     const auto* o = v.if_object();
     if (!o) return std::nullopt;
     auto type = text(*o, "type"), zone = text(*o, "zone");
     auto spot = flag(*o, "spot");
     auto n = count(*o, "count");
     if (!type || !zone || !spot || !n) return std::nullopt;
-    return model::Rental{name, *type, *zone, *spot, static_cast<std::uint32_t>(*n)};
+    return model::ProvisioningRequest{name, *type, *zone, *spot, static_cast<std::uint32_t>(*n)};
 }
 
-Json rentals_json(const std::vector<model::Rental>& rentals) {
+Json provisioning_requests_json(const std::vector<model::ProvisioningRequest>& provisioning_requests) {
     json::object o;
-    for (const auto& r : rentals) o[r.name] = rental_json(r);
+    for (const auto& r : provisioning_requests) o[r.name] = provisioning_request_json(r);
     return o;
 }
-std::optional<std::vector<model::Rental>> parse_rentals(const Json& v) {
+std::optional<std::vector<model::ProvisioningRequest>> parse_provisioning_requests(const Json& v) {
     const auto* o = v.if_object();
     if (!o) return std::nullopt;
-    std::vector<model::Rental> out;
+    std::vector<model::ProvisioningRequest> out;
     for (const auto& [name, entry] : *o) {
-        auto r = parse_rental(name, entry);
+        auto r = parse_provisioning_request(name, entry);
         if (!r) return std::nullopt;
         out.push_back(std::move(*r));
     }
     return out;
 }
 
-Json final_json(const model::Ending& ending) {
-    json::object out{{"f", ending.final == model::Final::done ? "done" : "cancelled"}};
-    if (ending.at_ms > 0) out["at"] = ending.at_ms;
+Json outcome_json(const model::JobOutcome& ending) {
+    json::object out{{"f", ending.status == model::FinalStatus::done ? "done" : "cancelled"}};
+    if (ending.ended_at_ms > 0) out["at"] = ending.ended_at_ms;
     return out;
 }
-std::optional<model::Ending> parse_final(const Json& v) {
+std::optional<model::JobOutcome> parse_outcome(const Json& v) {
     const auto* o = v.if_object();
     auto f = o ? text(*o, "f") : std::nullopt;
     if (!f) return std::nullopt;
     const auto at = static_cast<std::int64_t>(count(*o, "at").value_or(0));
-    return model::Ending{*f == "done" ? model::Final::done : model::Final::cancelled, at};
+    return model::JobOutcome{*f == "done" ? model::FinalStatus::done : model::FinalStatus::cancelled, at};
 }
 
-Json means_json(const model::CategoryMeans& m) {
+Json category_averages_json(const model::CategoryAverages& m) {
     json::object o;
     for (const auto& [name, c] : m) o[name] = json::array{c.mean, c.count};
     return o;
 }
-model::CategoryMeans parse_means(const Json& v) {
-    model::CategoryMeans out;
+model::CategoryAverages parse_category_averages(const Json& v) {
+    model::CategoryAverages out;
     if (const auto* o = v.if_object())
         for (const auto& [name, c] : *o) {
             const auto* a = c.if_array();
--- a/src/wire/records.hpp
+++ b/src/wire/records.hpp
@@ -38,34 +38,34 @@
 inline constexpr std::string_view live_prefix = "pr/live/";
 inline constexpr std::string_view leader_key = "pr/live/leader";
 inline constexpr std::string_view term_key = "pr/live/term";
-inline constexpr std::string_view types_key = "pr/live/types";
-inline constexpr std::string_view means_key = "pr/live/means";
+inline constexpr std::string_view machine_types_key = "pr/live/types";
+inline constexpr std::string_view category_averages_key = "pr/live/means";
 inline constexpr std::string_view format_key = "pr/live/format";
 inline constexpr std::string_view dependencies_prefix = "pr/live/w/";
 inline constexpr std::string_view job_prefix = "pr/live/a/";
 inline constexpr std::string_view progress_prefix = "pr/live/p/";
 inline constexpr std::string_view segment_prefix = "pr/live/s/";
-inline constexpr std::string_view rentals_key = "pr/live/rentals";
-inline constexpr std::string_view rental_prefix = "pr/live/r/";
-inline constexpr std::string_view final_prefix = "pr/final/";
+inline constexpr std::string_view provisioning_requests_key = "pr/live/rentals";
+inline constexpr std::string_view provisioning_request_prefix = "pr/live/r/";
+inline constexpr std::string_view outcome_prefix = "pr/final/";
 
 std::string job_key(std::string_view id);
 std::string progress_key(std::string_view id);
 std::string segment_key(std::string_view name);
-std::string rental_key(std::string_view name);
-std::string final_key(std::string_view id);
+std::string provisioning_request_key(std::string_view name);
+std::string outcome_key(std::string_view id);
 std::string dependencies_key(std::string_view id, std::uint32_t number);
 // The rest of KEY after PREFIX, or nothing.
 std::optional<std::string> under(std::string_view key, std::string_view prefix);
 
 struct Leader {
     std::string node;
-    std::uint64_t token = 0, lease = 0, nonce = 0;
+    std::uint64_t fencing_token = 0, lease = 0, nonce = 0;
 };
 
 Json leader_json(const Leader& l);
 std::optional<Leader> parse_leader(const Json& v);
-Json term_json(std::uint64_t token);
+Json term_json(std::uint64_t fencing_token);
 std::optional<std::uint64_t> parse_term(const Json& v);
 // The record format that this version reads and, once every controller does, writes. Version 0.4 knows 1
 // only.
@@ -88,13 +88,13 @@
 // The name of a part's entry in a segment, and back.
 struct EntryName {
     std::string job;
-    std::uint32_t part = 0;
+    std::uint32_t shard = 0;
     auto operator<=>(const EntryName&) const = default;
 };
 std::string entry_name(const EntryName& entry);
 std::optional<EntryName> parse_entry_name(std::string_view name);
 // Parts but the first leave out what the first one says of the whole job.
-Json progress_json(const model::Progress& p, std::uint32_t part = 0);
+Json progress_json(const model::Progress& p, std::uint32_t shard = 0);
 std::optional<model::Progress> parse_progress(const Json& v);
 // Later segments have greater sequences: by term, then by number.
 using Sequence = std::pair<std::uint64_t, std::uint64_t>;
@@ -104,13 +104,14 @@
 };
 Json segment_json(const Sequence& sequence, boost::json::object jobs);
 std::optional<Segment> parse_segment(const Json& v);
-Json rental_json(const model::Rental& r);
-std::optional<model::Rental> parse_rental(const std::string& name, const Json& v);
-Json rentals_json(const std::vector<model::Rental>& rentals);  // by name
-std::optional<std::vector<model::Rental>> parse_rentals(const Json& v);
-Json final_json(const model::Ending& ending);
-std::optional<model::Ending> parse_final(const Json& v);
-Json means_json(const model::CategoryMeans& m);
-model::CategoryMeans parse_means(const Json& v);
+Json provisioning_request_json(const model::ProvisioningRequest& r);
+std::optional<model::ProvisioningRequest> parse_provisioning_request(const std::string& name, const Json& v);
+Json provisioning_requests_json(
+    const std::vector<model::ProvisioningRequest>& provisioning_requests);  // by name
+std::optional<std::vector<model::ProvisioningRequest>> parse_provisioning_requests(const Json& v);
+Json outcome_json(const model::JobOutcome& ending);
+std::optional<model::JobOutcome> parse_outcome(const Json& v);
+Json category_averages_json(const model::CategoryAverages& m);
+model::CategoryAverages parse_category_averages(const Json& v);
 
 }  // namespace pineroad::wire::records
--- a/tests/cluster.cpp
+++ b/tests/cluster.cpp
@@ -35,12 +35,12 @@
 // --- the state service -------------------------------------------------------------------------------------
 
 void StateService::drop(const std::string& key) {
-    if (rows_.erase(key)) log_.push_back({{"Drop", key}, {"Stamp", epoch_}});
+    if (rows_.erase(key)) log_.push_back({{"Drop", key}, {"Stamp", revision_}});
 }
 
 void StateService::end_lease(std::uint64_t id) {
     if (!leases_.erase(id)) return;
-    ++epoch_;
+    ++revision_;
     for (auto it = rows_.begin(); it != rows_.end();) {
         const auto at = it++;
         if (at->second.lease == id) drop(std::string(at->first));
@@ -66,8 +66,8 @@
     return rows_under(records::job_prefix);
 }
 void StateService::put(const std::string& key, wire::Json value) {
-    rows_[key] = {value, ++epoch_, 0};
-    log_.push_back({{"Write", key}, {"Value", std::move(value)}, {"Stamp", epoch_}});
+    rows_[key] = {value, ++revision_, 0};
+    log_.push_back({{"Write", key}, {"Value", std::move(value)}, {"Stamp", revision_}});
 }
 void StateService::put_job(model::JobSpec spec, double now) {
     spec.accepted_ms = static_cast<std::int64_t>(now * 1000);
@@ -77,14 +77,15 @@
     const auto it = rows_.find(std::string(records::leader_key));
     return it == rows_.end() ? "" : records::parse_leader(it->second.value)->node;
 }
-std::uint64_t StateService::token() const {
+std::uint64_t StateService::fencing_token() const {
     const auto it = rows_.find(std::string(records::term_key));
     return it == rows_.end() ? 0 : *records::parse_term(it->second.value);
 }
 
 bool StateService::within_limits(const wire::Json& transaction) const {
     const auto& changes = transaction.at("Apply").as_array();
-    return changes.size() <= txn_ops && std::all_of(changes.begin(), changes.end(), [&](const auto& change) {
+    return changes.size() <= max_transaction_changes &&
+           std::all_of(changes.begin(), changes.end(), [&](const auto& change) {
                const auto* value = change.as_object().if_contains("Value");
                return !value || json::serialize(*value).size() <= value_bytes;
            });
@@ -100,15 +101,15 @@
     for (const auto& w : doc.at("When").as_array()) {
         const std::string key(w.at("Key").as_string());
         const auto it = rows_.find(key);
-        if ((it == rows_.end() ? 0 : it->second.stamp) != w.at("Stamp").to_number<std::uint64_t>())
+        if ((it == rows_.end() ? 0 : it->second.mod_revision) != w.at("Stamp").to_number<std::uint64_t>())
             failed.emplace_back(key);
     }
     for (const auto& c : doc.at("Apply").as_array())
         if (const auto* permit = c.as_object().if_contains("Permit");
             permit && !leases_.contains(permit->to_number<std::uint64_t>()))
             return reply(400, {{"error", "no such lease"}});
-    if (!failed.empty()) return reply(409, {{"failed", failed}, {"Epoch", epoch_}});
-    ++epoch_;
+    if (!failed.empty()) return reply(409, {{"failed", failed}, {"Epoch", revision_}});
+    ++revision_;
     for (const auto& c : doc.at("Apply").as_array()) {
         if (const auto* dropped = c.as_object().if_contains("Drop")) {
             drop(std::string(dropped->as_string()));
@@ -116,10 +117,10 @@
         }
         const std::string key(c.at("Write").as_string());
         const auto* permit = c.as_object().if_contains("Permit");
-        rows_[key] = {c.at("Value"), epoch_, permit ? permit->to_number<std::uint64_t>() : 0};
-        log_.push_back({{"Write", key}, {"Value", c.at("Value")}, {"Stamp", epoch_}});
+        rows_[key] = {c.at("Value"), revision_, permit ? permit->to_number<std::uint64_t>() : 0};
+        log_.push_back({{"Write", key}, {"Value", c.at("Value")}, {"Stamp", revision_}});
     }
-    return reply(200, {{"Epoch", epoch_}});
+    return reply(200, {{"Epoch", revision_}});
 }
 
 Reply StateService::answer(const std::string& method, const std::string& target, const std::string& body,
@@ -145,20 +146,20 @@
         json::array events;
         for (const auto& e : log_)
             if (e.at("Stamp").to_number<std::uint64_t>() > since) events.push_back(e);
-        return reply(200, {{"Epoch", epoch_}, {"Events", events}});
+        return reply(200, {{"Epoch", revision_}, {"Events", events}});
     }
     if (target.starts_with("/store?")) {
         const auto under = parameter(target, "Under"), since = parameter(target, "Since");
         json::array rows;
         for (const auto& [key, row] : rows_)
             if (key.starts_with(under) && key > since)
-                rows.push_back(json::object{{"Key", key}, {"Value", row.value}, {"Stamp", row.stamp}});
-        return reply(200, {{"Rows", rows}, {"Truncated", false}, {"Epoch", epoch_}});
+                rows.push_back(json::object{{"Key", key}, {"Value", row.value}, {"Stamp", row.mod_revision}});
+        return reply(200, {{"Rows", rows}, {"Truncated", false}, {"Epoch", revision_}});
     }
     const auto key = target.substr(std::string("/store/").size());
     const auto it = rows_.find(key);
-    if (it == rows_.end()) return reply(404, {{"Epoch", epoch_}});
-    return reply(200, {{"Key", key}, {"Value", it->second.value}, {"Stamp", it->second.stamp}});
+    if (it == rows_.end()) return reply(404, {{"Epoch", revision_}});
+    return reply(200, {{"Key", key}, {"Value", it->second.value}, {"Stamp", it->second.mod_revision}});
 }
 
 // --- links -------------------------------------------------------------------------------------------------
@@ -176,8 +177,8 @@
             out = co_await cluster_.to_state(from_, method, target, body, timeout_s);
         else if (to_.host == "peer")
             out = co_await cluster_.to_peer(from_, to_.port, method, target, body, timeout_s);
-        else if (to_.host == "cloud" && target == wire::flavors_path)
-            out = Reply{200, json::serialize(wire::types_json(machine_types()))};
+        else if (to_.host == "cloud" && target == wire::machine_types_path)
+            out = Reply{200, json::serialize(wire::machine_types_json(machine_types()))};
         else if (to_.host == "cloud")
             out = cluster_.fleet.cloud(method, target, body);
         else if (!(out = cluster_.fleet.command(from_, to_.host, body)))
@@ -259,8 +260,8 @@
         auto& n = inner_->nodes[static_cast<std::size_t>(i)];
         n.settings = settings();
         n.settings.name = "c-" + std::to_string(i);
-        n.settings.state = {"state", 1}, n.settings.cloud = {"cloud", 1};
-        n.settings.front = n.settings.mesh = {"127.0.0.1", 1};
+        n.settings.store_endpoint = {"state", 1}, n.settings.cloud_endpoint = {"cloud", 1};
+        n.settings.public_endpoint = n.settings.peer_endpoint = {"127.0.0.1", 1};
         n.record_format = options.record_format;
         if (options.adjust) options.adjust(n.settings);
         for (int p = 0; p < nodes; ++p)
@@ -292,8 +293,8 @@
                           node](const config::Endpoint& to) -> std::unique_ptr<net::Client> {
         return std::make_unique<Link>(*this, alive, node, to);
     };
-    n.process =
-        std::make_unique<control::Node>(*n.io, n.settings, inner_->tuning, connect, ++seed_, n.record_format);
+    n.process = std::make_unique<controller::Controller>(*n.io, n.settings, inner_->tuning, connect, ++seed_,
+                                                         n.record_format);
     n.process->run_loops();
 }
 
@@ -330,9 +331,9 @@
         }
         fleet.step(step_s);
         // A new leader is worth a line whenever it comes.
-        if (const auto token = state.token(); token != noted_token_) {
-            noted_token_ = token;
-            note("term    " + std::to_string(token) + " is won by " + state.leader());
+        if (const auto fencing_token = state.fencing_token(); fencing_token != noted_token_) {
+            noted_token_ = fencing_token;
+            note("term    " + std::to_string(fencing_token) + " is won by " + state.leader());
         }
     }
 }
@@ -354,7 +355,7 @@
     net::Request request{method, target, body};
     net::asio::co_spawn(
         *n.io,
-        [](control::Node& process, net::Request r,
+        [](controller::Controller& process, net::Request r,
            std::shared_ptr<std::optional<Reply>> into) -> net::awaitable<void> {
             *into = co_await process.front(std::move(r));
         }(*n.process, std::move(request), out),
@@ -402,11 +403,11 @@
     return r;
 }
 
-std::optional<Reply> Cluster::report(int node, const model::Report& r) {
+std::optional<Reply> Cluster::report(int node, const model::Heartbeat& r) {
     return ask(node, "POST", "/checkin", body_of(r));
 }
 
-std::string Cluster::body_of(const model::Report& r) {
+std::string Cluster::body_of(const model::Heartbeat& r) {
     json::array tasks;
     for (const auto& t : r.tasks) {
         static const char* names[] = {"fetching", "waiting", "running", "saving", "ended"};
@@ -419,9 +420,9 @@
                                         {"Breed", "g4"},
                                         {"Yard", "a"},
                                         {"Loaners", false},
-                                        {"Stint", r.session},
-                                        {"Tick", r.tick},
-                                        {"Baton", r.token},
+                                        {"Stint", r.agent_epoch},
+                                        {"Tick", r.sequence},
+                                        {"Baton", r.fencing_token},
                                         {"Pieces", tasks}});
 }
 
--- a/tests/cluster.hpp
+++ b/tests/cluster.hpp
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "control/node.hpp"
+#include "controller/controller.hpp"
 #include "fleet.hpp"
 #include "world.hpp"
 
@@ -25,14 +25,14 @@
    public:
     net::Reply answer(const std::string& method, const std::string& target, const std::string& body,
                       double now);
-    [[nodiscard]] bool changed_since(std::uint64_t epoch) const { return epoch_ > epoch; }
+    [[nodiscard]] bool changed_since(std::uint64_t revision) const { return revision_ > revision; }
     [[nodiscard]] std::string leader() const;
-    [[nodiscard]] std::uint64_t token() const;
+    [[nodiscard]] std::uint64_t fencing_token() const;
     void expire(double now);
     void extend_leases(double now);  // an outage is over
     struct Row {
         wire::Json value;
-        std::uint64_t stamp = 0, lease = 0;
+        std::uint64_t mod_revision = 0, lease = 0;
     };
     struct Lease {
         double until = 0, ttl = 0;
@@ -44,7 +44,7 @@
     void put_job(model::JobSpec spec, double now);
     void put(const std::string& key, wire::Json value);
     // Limits of a transaction; beyond, it is answered 400.
-    std::size_t value_bytes = SIZE_MAX, txn_ops = SIZE_MAX;
+    std::size_t value_bytes = SIZE_MAX, max_transaction_changes = SIZE_MAX;
     int refused_commits = 0;  // for these limits
 
    private:
@@ -55,7 +55,7 @@
     std::map<std::string, Row> rows_;
     std::map<std::uint64_t, Lease> leases_;
     std::vector<boost::json::object> log_;  // every change, with its revision
-    std::uint64_t epoch_ = 0, next_lease_ = 1;
+    std::uint64_t revision_ = 0, next_lease_ = 1;
 };
 
 // How a cluster's controllers begin.
@@ -81,11 +81,11 @@
     std::optional<net::Reply> submit(int node, const std::string& id, const boost::json::object& other = {});
     std::optional<net::Reply> poll(int node, const std::string& id);
     std::optional<net::Reply> cancel(int node, const std::string& id);
-    std::optional<net::Reply> report(int node, const model::Report& report);
+    std::optional<net::Reply> report(int node, const model::Heartbeat& report);
     // A request whose answer is looked at later: a frozen process gives none.
     std::shared_ptr<std::optional<net::Reply>> send(int node, const std::string& method,
                                                     const std::string& target, const std::string& body = {});
-    static std::string body_of(const model::Report& report);
+    static std::string body_of(const model::Heartbeat& report);
     void end(int node);
     void restart(int node);  // the process ends, and a new one begins at once
     void upgrade(int node);  // the same, and the new one is of the present version
@@ -126,11 +126,11 @@
             std::unique_ptr<boost::asio::io_context> io = std::make_unique<boost::asio::io_context>();
             config::Settings settings;
             std::uint64_t record_format = wire::records::format;
-            std::unique_ptr<control::Node> process;
+            std::unique_ptr<controller::Controller> process;
             std::shared_ptr<bool> alive;
         };
         std::vector<Process> nodes;
-        std::vector<std::unique_ptr<control::Node>> ended;
+        std::vector<std::unique_ptr<controller::Controller>> ended;
     };
     std::shared_ptr<Inner> inner_;
     std::function<void(config::Settings&)> on_upgrade_;
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -23,7 +23,7 @@
 void run_task(World& w, const std::string& task, const std::string& machine) {
     w.decide(machine);
     w.set(task, TaskState::running);
-    w.checkin(machine);
+    w.handle_heartbeat(machine);
 }
 
 // --- the leader --------------------------------------------------------------------------------------------
@@ -39,17 +39,17 @@
     w.submit(after("j-2", {"j-1"}));
     run_task(w, "j-1/0", "m-1");
     w.set("j-1/0", TaskState::exited, ExitCause::done);
-    w.checkin("m-1");
+    w.handle_heartbeat("m-1");
     w.plan();
-    EXPECT_EQ(w.book().jobs().at("j-2").slots.size(), 0U);
+    EXPECT_EQ(w.cluster_state().jobs().at("j-2").placements.size(), 0U);
     w.lead();
     w.meet("m-1");
     w.plan();
-    EXPECT_TRUE(w.book().jobs().at("j-1").finished);
-    EXPECT_EQ(w.book().jobs().at("j-2").slots.size(), 0U);
+    EXPECT_TRUE(w.cluster_state().jobs().at("j-1").finished);
+    EXPECT_EQ(w.cluster_state().jobs().at("j-2").placements.size(), 0U);
     w.commit();
     w.decide("m-1");
-    EXPECT_EQ(w.book().jobs().at("j-2").slots.size(), 1U);
+    EXPECT_EQ(w.cluster_state().jobs().at("j-2").placements.size(), 1U);
     EXPECT_EQ(w.starts, 2);
 }
 
@@ -66,7 +66,7 @@
     w.meet("m-1");
     w.decide("m-1");
     EXPECT_EQ(w.starts, 0);
-    w.state.put(records::final_key("j-1"), records::final_json({model::Final::done, w.wall_ms()}));
+    w.state.put(records::outcome_key("j-1"), records::outcome_json({model::FinalStatus::done, w.wall_ms()}));
     w.lead();
     w.meet("m-1");
     w.decide("m-1");
@@ -81,7 +81,7 @@
     w.worker("m-90");
     w.meet("m-90");
     auto first = array_job("j-1", 1);
-    first.types = std::vector<std::string>{"g2"};  // there is none
+    first.allowed_machine_types = std::vector<std::string>{"g2"};  // there is none
     w.submit(first);
     auto second = after("j-2", {"j-1"}, 6);
     second.estimate_s = 10;
@@ -93,29 +93,29 @@
     w.pass(600);
     for (const auto& [id, worker] : w.workers) w.meet(id);
     w.decide();
-    const auto machine = w.book().jobs().at("j-1").slots.at(0).machine;
-    w.checkin(machine);
+    const auto machine = w.cluster_state().jobs().at("j-1").placements.at(0).machine;
+    w.handle_heartbeat(machine);
     w.set("j-1/0", TaskState::exited, ExitCause::done);
-    w.checkin(machine);
+    w.handle_heartbeat(machine);
     w.commit();
     w.lead();
     for (const auto& [id, worker] : w.workers) w.meet(id);
     w.decide();
-    EXPECT_EQ(w.book().jobs().at("j-2").slots.size(), 6U);
-    EXPECT_LT(w.book().jobs().at("j-2").xfactor_at_start, 1.5);
+    EXPECT_EQ(w.cluster_state().jobs().at("j-2").placements.size(), 6U);
+    EXPECT_LT(w.cluster_state().jobs().at("j-2").xfactor_at_start, 1.5);
 }
 
 // Jobs after a cancelled one get their final records in batches that keep to the limits, across a takeover.
 TEST(Dependencies, WithdrawnRecordsAcrossATakeover) {
     World w("dependency_fan_withdrawn");
-    w.config.txn_ops = 4;
+    w.config.max_transaction_changes = 4;
     w.config.value_kb = 2;
     w.lead();
     w.submit(array_job("j-0", 1));
     for (int i = 1; i <= 8; ++i) w.submit(after("j-" + std::to_string(i), {"j-0"}));
     w.cancel("j-0");
     for (int i = 0; i < 2; ++i) {
-        const auto batch = w.take_batch();
+        const auto batch = w.take_write_batch();
         ASSERT_TRUE(batch);
         w.apply(*batch);
     }
@@ -155,7 +155,7 @@
     const double with = rounds();
     // 20 rounds over 4,000 jobs; a picture of each would take many times as long, sanitizers or not.
     EXPECT_LT(with, without + 1.0);
-    EXPECT_LE(w.book().jobs().at("j-first").slots.size(), 1U);
+    EXPECT_LE(w.cluster_state().jobs().at("j-first").placements.size(), 1U);
 }
 
 // --- whole nodes -------------------------------------------------------------------------------------------
@@ -351,7 +351,7 @@
     for (int n = 0; n < 3; ++n) c.end(n);
     c.state.put_job(after("j-2", {"j-1"}), c.now());
     c.state.put_job(after("j-3", {"j-2"}), c.now());
-    c.state.put(records::final_key("j-1"), records::final_json({model::Final::cancelled, 1}));
+    c.state.put(records::outcome_key("j-1"), records::outcome_json({model::FinalStatus::cancelled, 1}));
     c.run(1);
     c.restart(1);
     std::string first;
@@ -372,9 +372,9 @@
 // told, and the job is not known.
 TEST(Pipelines, LongListsAreAcceptedWholeOrNotAtAll) {
     ClusterOptions small;
-    small.adjust = [](config::Settings& s) { s.value_kb = 2, s.txn_ops = 4; };
+    small.adjust = [](config::Settings& s) { s.value_kb = 2, s.max_transaction_changes = 4; };
     Pipelines c("pipeline_long_lists", small);
-    c.state.value_bytes = 2048, c.state.txn_ops = 4;
+    c.state.value_bytes = 2048, c.state.max_transaction_changes = 4;
     c.fleet.capacity = 0;
     std::vector<std::string> names;
     for (int i = 0; i < 500; ++i) names.push_back("j-" + std::to_string(100000 + i));
--- a/tests/fleet.cpp
+++ b/tests/fleet.cpp
@@ -25,7 +25,7 @@
     return id.job + "/" + std::to_string(id.index);
 }
 bool on_machine(const Fleet::Task& t) {
-    return t.state == TaskState::running || t.state == TaskState::saving;
+    return t.state == TaskState::running || t.state == TaskState::checkpointing;
 }
 }  // namespace
 
@@ -33,7 +33,7 @@
     auto& m = machines[id];
     m.id = id, m.zone = zone, m.type = type, m.spot = spot;
     m.node = static_cast<int>(machines.size()) % cluster_.nodes();
-    m.lease_from = m.rented_at = cluster_.now();
+    m.lease_from = m.provisioned_at = cluster_.now();
     m.next_report = cluster_.now() + 0.1 * static_cast<double>(machines.size() % 10);
 }
 
@@ -73,7 +73,8 @@
 
 void Fleet::told(const std::string& job, const std::string& status) {
     const auto before = cancelled_before(job);
-    EXPECT_FALSE((status == "queued" || status == "running") && before && cluster_.now() > *before + cancel_s)
+    EXPECT_FALSE((status == "queued" || status == "running") && before &&
+                 cluster_.now() > *before + cancellation_timeout_s)
         << "orphaned: " << job << " " << status;
     if (status == "withdrawn") cancelled_told_.emplace(job, cluster_.now());
     EXPECT_FALSE(status != "withdrawn" && cancelled_told_.contains(job))
@@ -112,11 +113,11 @@
         if (!m.trouble.hung) {
             for (const auto& [from, body] : std::exchange(m.held_commands, {})) command(from, id, body);
             work(m, dt);
-            if (now - m.lease_from > lease_s) {
+            if (now - m.lease_from > worker_lease_s) {
                 killed_by_lease +=
                     static_cast<int>(std::count_if(m.tasks.begin(), m.tasks.end(), on_machine));
                 m.tasks.clear();
-                ++m.session;
+                ++m.agent_epoch;
                 m.lease_from = now;
                 m.answer.reset();
                 m.sent_at = -1;
@@ -138,7 +139,7 @@
     if (!on_machine(t)) return;
     const auto told = cancelled_told_.find(t.id.job);
     const auto name = name_of(t.id);
-    if (told != cancelled_told_.end() && cluster_.now() > told->second + cancel_s &&
+    if (told != cancelled_told_.end() && cluster_.now() > told->second + cancellation_timeout_s &&
         !std::exchange(complained_[name], true))
         ADD_FAILURE() << "ran_cancelled: " << name << " on " << m.id << " " << cluster_.now() - told->second
                       << " s after its user was told";
@@ -152,13 +153,13 @@
             m.changed = true;
             judge_start(m, t);
         } else if (t.state == TaskState::running) {
-            t.ran_s += dt;
+            t.checkpointed_run_s += dt;
             const auto own = run_s.find(name_of(t.id));
-            if (t.ran_s < (own == run_s.end() ? default_run_s : own->second)) continue;
+            if (t.checkpointed_run_s < (own == run_s.end() ? default_run_s : own->second)) continue;
             t.state = TaskState::exited, t.cause = ExitCause::done;
             jobs_[t.id.job].done.insert(t.id.index);
             m.changed = true;
-        } else if (t.state == TaskState::saving && now >= t.saves_until) {
+        } else if (t.state == TaskState::checkpointing && now >= t.saves_until) {
             t.state = TaskState::exited, t.cause = ExitCause::stopped, t.saved = true;
             m.changed = true;
         }
@@ -198,20 +199,21 @@
                                         {"Breed", m.type},
                                         {"Yard", m.zone},
                                         {"Loaners", m.spot},
-                                        {"Stint", m.session},
-                                        {"Tick", m.tick},
-                                        {"Baton", m.token},
+                                        {"Stint", m.agent_epoch},
+                                        {"Tick", m.sequence},
+                                        {"Baton", m.fencing_token},
                                         {"Pieces", tasks}});
 }
 
 void Fleet::report(Machine& m) {
     const double now = cluster_.now();
     if (m.sent_at >= 0) return;
-    if (now < m.next_report && !(m.changed && now >= m.next_report - report_s + least_gap_s)) return;
+    if (now < m.next_report && !(m.changed && now >= m.next_report - heartbeat_period_s + least_gap_s))
+        return;
     m.changed = false;
-    ++m.tick;
+    ++m.sequence;
     m.sent_at = now;
-    m.next_report = now + report_s;
+    m.next_report = now + heartbeat_period_s;
     m.answer.reset();
     if (m.trouble.mute || !reaches(m, m.node)) return;
     const auto body = body_of(m);
@@ -235,9 +237,10 @@
         next((m.node + 1) % cluster_.nodes());
     } else if (const auto& r = **m.answer; r.status == 200) {
         const auto doc = json::parse(r.body);
-        if (const auto token = doc.at("Baton").to_number<std::uint64_t>(); token >= m.token) {
-            m.changed |= token > m.token;
-            m.token = token;
+        if (const auto fencing_token = doc.at("Baton").to_number<std::uint64_t>();
+            fencing_token >= m.fencing_token) {
+            m.changed |= fencing_token > m.fencing_token;
+            m.fencing_token = fencing_token;
             m.lease_from = std::max(m.lease_from, m.sent_at);
             execute(m, doc);
         }
@@ -279,8 +282,8 @@
             ++stops;
             const double grace = o.as_object().contains("LeewayS") ? o.at("LeewayS").to_number<double>() : 0;
             if (at->state == TaskState::running && grace > 0)
-                at->state = TaskState::saving, at->saves_until = now + 2;
-            else if (at->state != TaskState::saving || grace <= 0)
+                at->state = TaskState::checkpointing, at->saves_until = now + 2;
+            else if (at->state != TaskState::checkpointing || grace <= 0)
                 at->state = TaskState::exited, at->cause = ExitCause::stopped;
         }
         m.changed = true;
@@ -296,11 +299,11 @@
         return std::nullopt;
     }
     const auto doc = json::parse(body);
-    const auto token = doc.at("Baton").to_number<std::uint64_t>();
-    ++m.tick;
-    if (token < m.token || doc.at("Stint").to_number<std::uint64_t>() != m.session)
+    const auto fencing_token = doc.at("Baton").to_number<std::uint64_t>();
+    ++m.sequence;
+    if (fencing_token < m.fencing_token || doc.at("Stint").to_number<std::uint64_t>() != m.agent_epoch)
         return net::Reply{409, body_of(m)};
-    m.token = token;
+    m.fencing_token = fencing_token;
     execute(m, doc);
     return net::Reply{200, body_of(m)};
 }
@@ -315,7 +318,7 @@
                                          {"Yard", m.zone},
                                          {"Loaners", m.spot},
                                          {"Status", "running"},
-                                         {"HeldS", cluster_.now() - m.rented_at}});
+                                         {"HeldS", cluster_.now() - m.provisioned_at}});
         return {200, json::serialize(json::object{{"Hosts", hosts}, {"Truncated", false}})};
     }
     if (target == wire::release_path) {
@@ -324,16 +327,16 @@
         return {200, "{}"};
     }
     const auto doc = json::parse(body);
-    auto& rented = rented_[std::string(doc.at("Hire").as_string())];
-    const bool again = !rented.empty();  // the same request: the same answer
+    auto& machines_provisioned = provisioned_[std::string(doc.at("Hire").as_string())];
+    const bool again = !machines_provisioned.empty();  // the same request: the same answer
     for (auto n = doc.at("Count").to_number<int>(); !again && n > 0 && machines.size() < capacity; --n) {
         const auto id = "m-" + std::to_string(++last_machine_);
         add(id, std::string(doc.at("Yard").as_string()), std::string(doc.at("Breed").as_string()),
             doc.at("Loaners").as_bool());
-        rented.emplace_back(id);
+        machines_provisioned.emplace_back(id);
     }
-    if (rented.empty()) return {503, R"({"error":"no capacity"})"};
-    return {200, json::serialize(json::object{{"Hosts", rented}})};
+    if (machines_provisioned.empty()) return {503, R"({"error":"no capacity"})"};
+    return {200, json::serialize(json::object{{"Hosts", machines_provisioned}})};
 }
 
 }  // namespace pineroad::test
--- a/tests/fleet.hpp
+++ b/tests/fleet.hpp
@@ -36,14 +36,14 @@
         model::TaskState state = model::TaskState::fetching;
         model::ExitCause cause = model::ExitCause::none;
         bool saved = false;
-        double fetched_at = 0, ran_s = 0, saves_until = 0;
+        double fetched_at = 0, checkpointed_run_s = 0, saves_until = 0;
     };
     struct Machine {
         std::string id, zone, type;
         bool spot = false;
         Trouble trouble;
-        double rented_at = 0;
-        std::uint64_t session = 1, tick = 0, token = 0;
+        double provisioned_at = 0;
+        std::uint64_t agent_epoch = 1, sequence = 0, fencing_token = 0;
         std::vector<Task> tasks;
         int node = 0;  // that it reports to
         double lease_from = 0, next_report = 0, sent_at = -1;
@@ -70,7 +70,7 @@
     double default_run_s = 1000, fetch_s = 2;
     double team_gpus_max = 2;  // of the team "capped", as in settings()
     int killed_by_lease = 0, starts = 0, starts_after_told = 0, stops = 0;
-    double report_s = 3, lease_s = 36, cancel_s = 66;
+    double heartbeat_period_s = 3, worker_lease_s = 36, cancellation_timeout_s = 66;
     // Copies of reports that arrive later: of every report, so long after it.
     double copy_after_s = 0;
     // Reports are held back on the way to the controllers and arrive when this is reset.
@@ -93,7 +93,7 @@
         std::string body;
     };
     std::deque<Late> late_;
-    std::map<std::string, boost::json::array> rented_;
+    std::map<std::string, boost::json::array> provisioned_;
     int last_machine_ = 0;
     std::map<std::string, double> cancelled_told_;
     struct Job {
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -7,7 +7,7 @@
 
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
-#include "net/sockets.hpp"
+#include "net/socket_budget.hpp"
 
 namespace pineroad::test {
 namespace {
@@ -53,8 +53,8 @@
 net::HttpServer::Limits few() {
     net::HttpServer::Limits l;
     l.connections = 5, l.ordinary = 2;
-    l.first_request_s = l.favoured_idle_s = l.ordinary_idle_s = 60;
-    l.favoured = [](const std::string& target) { return target == "/checkin"; };
+    l.first_request_s = l.prioritized_idle_s = l.ordinary_idle_s = 60;
+    l.prioritized = [](const std::string& target) { return target == "/checkin"; };
     return l;
 }
 
@@ -100,7 +100,7 @@
             config::Settings s;
             s.max_sockets = all;
             s.peers.resize(peers);
-            const auto shares = net::share_sockets(s);
+            const auto shares = net::allocate_sockets(s);
             EXPECT_GE(shares.workers(), 2U);
             EXPECT_GE(shares.users, 2U);
             EXPECT_GE(shares.mesh, 1U);
@@ -110,7 +110,7 @@
     config::Settings s;
     s.max_sockets = 3362;
     s.peers.resize(2);
-    EXPECT_GT(net::share_sockets(s).workers(), 2090U);  // every machine of a fleet half as large again
+    EXPECT_GT(net::allocate_sockets(s).workers(), 2090U);  // every machine of a fleet half as large again
 }
 
 }  // namespace
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -6,14 +6,14 @@
 
 namespace records = wire::records;
 
-model::Report idle_report(std::uint64_t tick, std::uint64_t token = 0) {
-    model::Report r;
-    r.machine = "m-1", r.session = 1, r.tick = tick, r.token = token;
+model::Heartbeat idle_report(std::uint64_t sequence, std::uint64_t fencing_token = 0) {
+    model::Heartbeat r;
+    r.machine = "m-1", r.agent_epoch = 1, r.sequence = sequence, r.fencing_token = fencing_token;
     return r;
 }
 
 // One leader; any node takes a job, and any other knows it at once.
-TEST(Node, OneLeaderAndEveryNodeKnowsTheJob) {
+TEST(Controller, OneLeaderAndEveryNodeKnowsTheJob) {
     Cluster c("nodes_quiet", 3);
     c.run(5);
     EXPECT_FALSE(c.state.leader().empty());
@@ -33,13 +33,13 @@
 
 // A leader that loses the state service and its peers, but not its workers: it starts nothing, lets go of
 // them soon after its lease, and takes nothing back when it returns.
-TEST(Node, LeaderCutOffAloneLetsItsWorkersGo) {
+TEST(Controller, LeaderCutOffAloneLetsItsWorkersGo) {
     Cluster c("leader_cut_off_alone", 3);
     c.run(5);
     const int old = c.leader();
-    const auto token = c.state.token();
-    std::uint64_t tick = 0;
-    EXPECT_EQ(c.report(old, idle_report(++tick))->status, 200);
+    const auto fencing_token = c.state.fencing_token();
+    std::uint64_t sequence = 0;
+    EXPECT_EQ(c.report(old, idle_report(++sequence))->status, 200);
     EXPECT_EQ(c.submit((old + 1) % 3, "j-1")->status, 201);
     c.note("cut     c-" + std::to_string(old) + " from the state service and its peers");
     c.cut_from_state = c.cut_from_peers = {old};
@@ -47,7 +47,7 @@
     const double cut_at = c.now();
     for (int i = 0; i < 30 && let_go < 0; ++i) {
         c.run(0.5);
-        const auto r = c.report(old, idle_report(++tick, token));
+        const auto r = c.report(old, idle_report(++sequence, fencing_token));
         ASSERT_TRUE(r);
         EXPECT_EQ(r->body.find("start"), std::string::npos);
         if (r->status == 421) let_go = c.now() - cut_at;
@@ -58,8 +58,8 @@
     c.run(5);
     const int fresh = c.leader();
     EXPECT_NE(fresh, old);
-    EXPECT_GT(c.state.token(), token);
-    const auto taken = c.report(fresh, idle_report(++tick, token));
+    EXPECT_GT(c.state.fencing_token(), fencing_token);
+    const auto taken = c.report(fresh, idle_report(++sequence, fencing_token));
     EXPECT_EQ(taken->status, 200);
     const auto refused = c.poll(old, "j-1");
     EXPECT_EQ(refused->status, 503);
@@ -69,21 +69,21 @@
     c.cut_from_state.clear(), c.cut_from_peers.clear();
     c.run(5);
     EXPECT_EQ(c.leader(), fresh);
-    EXPECT_EQ(c.report(old, idle_report(++tick, c.state.token()))->status, 421);
+    EXPECT_EQ(c.report(old, idle_report(++sequence, c.state.fencing_token()))->status, 421);
     EXPECT_EQ(c.poll(old, "j-1")->status, 200);
 }
 
 // In an outage of all, nobody else can lead: the leader goes on answering its workers.
-TEST(Node, OutageOfAllKeepsWorkers) {
+TEST(Controller, OutageOfAllKeepsWorkers) {
     Cluster c("outage_of_all", 3);
     c.run(5);
     const int leader = c.leader();
-    std::uint64_t tick = 0;
+    std::uint64_t sequence = 0;
     c.note("outage  of the state service");
     c.state_out = true;
     for (int i = 0; i < 20; ++i) {
         c.run(1);
-        EXPECT_EQ(c.report(leader, idle_report(++tick, 1))->status, 200) << i;
+        EXPECT_EQ(c.report(leader, idle_report(++sequence, 1))->status, 200) << i;
     }
     const auto refused = c.submit(1, "j-1");
     EXPECT_EQ(refused->status, 503);
@@ -99,15 +99,16 @@
 
 // A leader that stands still with a start decided, its commit and its answer on their way, while its clock
 // runs on: when it goes on, the commit comes late and is refused, and the answer carries no start.
-TEST(Node, FrozenLeaderStartsNothing) {
+TEST(Controller, FrozenLeaderStartsNothing) {
     Cluster c("frozen_leader", 3);
     c.run(5);
     const int old = c.leader(), other = (old + 1) % 3;
-    const auto token = c.state.token();
-    std::uint64_t tick = 0;
-    EXPECT_EQ(c.report(old, idle_report(++tick))->status, 200);
+    const auto fencing_token = c.state.fencing_token();
+    std::uint64_t sequence = 0;
+    EXPECT_EQ(c.report(old, idle_report(++sequence))->status, 200);
     c.run(1);
-    const auto held = c.send(old, "POST", "/checkin", Cluster::body_of(idle_report(++tick, token)));
+    const auto held =
+        c.send(old, "POST", "/checkin", Cluster::body_of(idle_report(++sequence, fencing_token)));
     c.run(0.1);
     c.holding = {old};
     EXPECT_EQ(c.submit(other, "j-1")->status, 201);
@@ -120,7 +121,7 @@
     EXPECT_NE(fresh, old);
     EXPECT_FALSE(*held);
     // The machine finds the new leader, which gives it the job.
-    const auto at_fresh = c.report(fresh, idle_report(++tick, token));
+    const auto at_fresh = c.report(fresh, idle_report(++sequence, fencing_token));
     EXPECT_EQ(at_fresh->status, 200);
     c.note("freeze  ends");
     const auto& late = c.held[old].front();
@@ -130,9 +131,9 @@
     ASSERT_TRUE(*held);
     EXPECT_EQ((*held)->body.find("start"), std::string::npos);
     c.note("late    answer of c-" + std::to_string(old) + " to m-1: " + std::to_string((*held)->status));
-    const auto first = c.report(fresh, idle_report(++tick, c.state.token()));
-    const auto second = c.report(fresh, idle_report(++tick, c.state.token()));
-    EXPECT_EQ(c.report(old, idle_report(tick, c.state.token()))->status, 421);
+    const auto first = c.report(fresh, idle_report(++sequence, c.state.fencing_token()));
+    const auto second = c.report(fresh, idle_report(++sequence, c.state.fencing_token()));
+    EXPECT_EQ(c.report(old, idle_report(sequence, c.state.fencing_token()))->status, 421);
     const bool started =
         first->body.find("start") != std::string::npos || second->body.find("start") != std::string::npos;
     EXPECT_TRUE(started);
@@ -141,7 +142,7 @@
 }
 
 // A candidate that stands still between its lease and its bid: the bid comes late, for a lease that is gone.
-TEST(Node, FrozenCandidateWinsNothing) {
+TEST(Controller, FrozenCandidateWinsNothing) {
     Cluster c("frozen_candidate", 3);
     c.run(5);
     const int first = c.leader();
@@ -158,22 +159,22 @@
     c.note("freeze  ends for c-" + std::to_string(one));
     c.run(6);
     EXPECT_EQ(c.leader(), one);
-    const auto token = c.state.token();
+    const auto fencing_token = c.state.fencing_token();
     c.frozen.clear();
     c.note("freeze  ends for c-" + std::to_string(two));
     c.run(6);
-    EXPECT_EQ(c.state.token(), token);
+    EXPECT_EQ(c.state.fencing_token(), fencing_token);
     EXPECT_EQ(c.report(one, idle_report(1))->status, 200);
     EXPECT_EQ(c.report(two, idle_report(1))->status, 421);
 }
 
 // Back within a moment, in the middle of an election: the earlier life's bid comes late and wins a term for a
 // process that is gone. Its new life knows better than to hold that lease for its own.
-TEST(Node, RestartInTheMiddleOfAnElection) {
+TEST(Controller, RestartInTheMiddleOfAnElection) {
     Cluster c("restart_in_election", 3);
     c.run(5);
     const int first = c.leader();
-    const auto token = c.state.token();
+    const auto fencing_token = c.state.fencing_token();
     const int one = (first + 1) % 3, two = (first + 2) % 3;
     c.note("hold    the commits of c-" + std::to_string(one) + " and c-" + std::to_string(two));
     c.holding = {one, two};
@@ -189,13 +190,13 @@
             c.note("late    bid of the earlier c-" + std::to_string(n) +
                    " arrives: " + std::to_string(status));
         }
-    const auto dead = c.state.token();
+    const auto dead = c.state.fencing_token();
     c.restart(one), c.restart(two);
-    EXPECT_EQ(dead, token + 1);
+    EXPECT_EQ(dead, fencing_token + 1);
     c.run(2);
     c.restart(first);
     c.run(8);
-    EXPECT_GT(c.state.token(), dead);  // its lease was ended, not used
+    EXPECT_GT(c.state.fencing_token(), dead);  // its lease was ended, not used
     int leaders = 0;
     for (int n = 0; n < 3; ++n) leaders += c.report(n, idle_report(1))->status == 200;
     EXPECT_EQ(leaders, 1);
@@ -203,7 +204,7 @@
 }
 
 // The state service serves all nodes together: what one reads for its users is paced by their number.
-TEST(Node, ReadsKeepToTheirShare) {
+TEST(Controller, ReadsKeepToTheirShare) {
     Cluster c("reads_paced", 5);
     c.run(5);
     EXPECT_EQ(c.submit(0, "j-1")->status, 201);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -4,7 +4,7 @@
 #include <fstream>
 
 #include "cluster.hpp"
-#include "wire/gossip.hpp"
+#include "wire/peer_protocol.hpp"
 
 namespace pineroad::test {
 namespace {
@@ -36,20 +36,22 @@
         for (const auto& row : kept.at("rows").as_array()) {
             const std::string key(row.at("key").as_string());
             state.rows[key] = {row.at("value"), row.at("stamp").to_number<std::uint64_t>()};
-            state.epoch = std::max(state.epoch, state.rows[key].stamp);
+            state.revision = std::max(state.revision, state.rows[key].mod_revision);
         }
         for (const auto* id : {"j-000001", "j-000002", "j-000003", "j-000004"})
             specs[id] = array_job(id, id == std::string("j-000001") ? 240 : 4);
-        config.value_kb = 2, config.present_value_kb = 16, config.txn_ops = 4;
+        config.value_kb = 2, config.current_value_kb = 16, config.max_transaction_changes = 4;
     }
     // What a leader would read now.
     std::map<std::uint32_t, std::string> read(const std::string& job) {
-        control::Mirror mirror;
-        for (const auto& [key, row] : state.rows) mirror.apply_row(key, row.value, row.stamp, now);
-        control::Book reader(config, tuning, 99, 1, now);
-        reader.load(mirror, now);
+        store::WatchCache watch_cache;
+        for (const auto& [key, row] : state.rows)
+            watch_cache.apply_row(key, row.value, row.mod_revision, now);
+        cluster::ClusterState reader(config, tuning, 99, 1, now);
+        reader.load(watch_cache, now);
         std::map<std::uint32_t, std::string> out;
-        for (const auto& [index, slot] : reader.jobs().at(job).slots) out[index] = slot.machine;
+        for (const auto& [index, placement] : reader.jobs().at(job).placements)
+            out[index] = placement.machine;
         return out;
     }
     void add_workers() {
@@ -60,46 +62,46 @@
 TEST(Upgrade, RecordsOfVersion04AreRead) {
     Earlier w("upgrade_records");
     w.lead();
-    const auto& wide = w.book().jobs().at("j-000001");
+    const auto& wide = w.cluster_state().jobs().at("j-000001");
     EXPECT_EQ(wide.record.done_count(), 20U);
-    EXPECT_EQ(wide.slots.size(), 197U);
-    EXPECT_FALSE(wide.split);
-    EXPECT_EQ(w.book().jobs().at("j-000002").slots.size(), 0U);  // found no room
-    const auto& withdrawn = w.book().jobs().at("j-000004");
-    EXPECT_TRUE(withdrawn.cancelled);
-    EXPECT_EQ(withdrawn.slots.size(), 3U);  // still there until proven off
-    EXPECT_FALSE(w.book().jobs().contains("j-000003"));
+    EXPECT_EQ(wide.placements.size(), 197U);
+    EXPECT_FALSE(wide.sharded);
+    EXPECT_EQ(w.cluster_state().jobs().at("j-000002").placements.size(), 0U);  // found no room
+    const auto& cancelled_by_dependency = w.cluster_state().jobs().at("j-000004");
+    EXPECT_TRUE(cancelled_by_dependency.cancelled);
+    EXPECT_EQ(cancelled_by_dependency.placements.size(), 3U);  // still there until proven off
+    EXPECT_FALSE(w.cluster_state().jobs().contains("j-000003"));
 }
 
 // The limit has fallen with large records in place. They are superseded in tasks that fit; whenever a new
 // leader comes, it reads every placement once.
 TEST(Upgrade, LargeRecordsAreSupersededInPieces) {
     Earlier w("upgrade_split");
-    w.parts_allowed = true;
+    w.sharding_allowed = true;
     w.lead();
     w.add_workers();
     const auto placed = w.read("j-000001");
     const std::string gone = placed.begin()->second;
     w.workers.erase(gone);
-    w.book().released({gone}, w.now);
+    w.cluster_state().machines_released({gone}, w.now);
     std::size_t batches = 0;
-    while (const auto batch = w.take_batch()) {
+    while (const auto batch = w.take_write_batch()) {
         ASSERT_TRUE(w.apply(*batch));  // judged against the limits by the stand-in
         ++batches;
-        for (const auto& [index, slot] : w.book().jobs().at("j-000001").slots)
-            EXPECT_EQ(w.read("j-000001").at(index), slot.machine);
+        for (const auto& [index, placement] : w.cluster_state().jobs().at("j-000001").placements)
+            EXPECT_EQ(w.read("j-000001").at(index), placement.machine);
         for (const auto& [index, machine] : w.read("j-000001")) EXPECT_EQ(placed.at(index), machine);
         if (batches != 1) continue;
         w.lead();  // in the middle of it; the new leader is told of the release again
-        w.book().released({gone}, w.now);
+        w.cluster_state().machines_released({gone}, w.now);
     }
     EXPECT_GE(batches, 3U);
     const auto after = w.read("j-000001");
     for (const auto& [index, machine] : after) EXPECT_NE(machine, gone);
     w.lead();
-    EXPECT_TRUE(w.book().jobs().at("j-000001").split);
-    EXPECT_EQ(w.book().jobs().at("j-000001").record.done_count(), 20U);
-    EXPECT_EQ(w.book().jobs().at("j-000001").slots.size(), after.size());
+    EXPECT_TRUE(w.cluster_state().jobs().at("j-000001").sharded);
+    EXPECT_EQ(w.cluster_state().jobs().at("j-000001").record.done_count(), 20U);
+    EXPECT_EQ(w.cluster_state().jobs().at("j-000001").placements.size(), after.size());
 }
 
 // While another controller may be of the earlier version nothing is split: a record that is too large for the
@@ -109,46 +111,46 @@
     w.lead();
     w.add_workers();
     const auto gone = w.read("j-000001").begin()->second;
-    w.book().released({gone}, w.now);
+    w.cluster_state().machines_released({gone}, w.now);
     bool whole = false;
-    const auto first = w.take_batch();
+    const auto first = w.take_write_batch();
     ASSERT_TRUE(first);
-    for (const auto& change : first->txn.apply) {
+    for (const auto& change : first->txn.changes) {
         if (!change.value || !records::under(change.key, records::segment_prefix)) continue;
         const auto segment = records::parse_segment(*change.value);
         for (const auto& [entry, progress] : segment->entries) {
-            EXPECT_EQ(entry.part, 0U);
+            EXPECT_EQ(entry.shard, 0U);
             EXPECT_TRUE(!progress || !progress->partial);
             whole |= entry.job == "j-000001";
         }
     }
     EXPECT_TRUE(whole);
-    EXPECT_TRUE(w.book().batch_refused());
-    while (const auto batch = w.take_batch()) ASSERT_TRUE(w.apply(*batch));
-    w.book().allow_parts();
-    w.book().released({w.read("j-000001").begin()->second}, w.now);
+    EXPECT_TRUE(w.cluster_state().reject_write_batch());
+    while (const auto batch = w.take_write_batch()) ASSERT_TRUE(w.apply(*batch));
+    w.cluster_state().allow_sharding();
+    w.cluster_state().machines_released({w.read("j-000001").begin()->second}, w.now);
     w.pass(2);
     w.plan();
-    while (const auto batch = w.take_batch()) ASSERT_TRUE(w.apply(*batch));
-    EXPECT_EQ(w.read("j-000001").size(), w.book().jobs().at("j-000001").slots.size());
+    while (const auto batch = w.take_write_batch()) ASSERT_TRUE(w.apply(*batch));
+    EXPECT_EQ(w.read("j-000001").size(), w.cluster_state().jobs().at("j-000001").placements.size());
 }
 
 // The earlier version needs its nine fields and skips others; ours are read, and tell of no format.
 TEST(Upgrade, MessagesOfVersion04AreRead) {
     const auto kept = fixture();
-    const auto earlier = wire::parse_gossip(from_hex(std::string(kept.at("gossip").as_string())));
+    const auto earlier = wire::parse_peer_message(from_hex(std::string(kept.at("gossip").as_string())));
     ASSERT_TRUE(earlier);
     EXPECT_EQ(earlier->node, "c-1");
     EXPECT_EQ(earlier->cancelled.size(), 2U);
     EXPECT_EQ(earlier->format, 1U);
-    EXPECT_FALSE(earlier->asked_to_depend);
+    EXPECT_FALSE(earlier->dependencies_requested);
     auto ours = *earlier;
     ours.format = records::format;
-    ours.asked_to_depend = true;
-    const auto back = wire::parse_gossip(wire::gossip_bytes(ours));
+    ours.dependencies_requested = true;
+    const auto back = wire::parse_peer_message(wire::encode_peer_message(ours));
     ASSERT_TRUE(back);
     EXPECT_EQ(back->format, records::format);
-    EXPECT_TRUE(back->asked_to_depend);
+    EXPECT_TRUE(back->dependencies_requested);
 }
 
 const json::object waits_on_first{{"WaitsOn", json::array{"j-1"}}};
@@ -156,8 +158,8 @@
 ClusterOptions earlier_version() {
     ClusterOptions options;
     options.record_format = 1;
-    options.adjust = [](config::Settings& s) { s.value_kb = s.present_value_kb = 16; };
-    options.on_upgrade = [](config::Settings& s) { s.value_kb = 2, s.txn_ops = 4; };
+    options.adjust = [](config::Settings& s) { s.value_kb = s.current_value_kb = 16; };
+    options.on_upgrade = [](config::Settings& s) { s.value_kb = 2, s.max_transaction_changes = 4; };
     return options;
 }
 
@@ -172,9 +174,9 @@
     c.run(6);
     c.upgrade(1);
     c.run(6);
-    const auto early = c.submit(0, "j-2", waits_on_first);
-    EXPECT_EQ(early->status, 503);
-    EXPECT_GT(early->retry_after_s, 0);
+    const auto tasks_under_older_token = c.submit(0, "j-2", waits_on_first);
+    EXPECT_EQ(tasks_under_older_token->status, 503);
+    EXPECT_GT(tasks_under_older_token->retry_after_s, 0);
     EXPECT_EQ(c.submit(1, "j-3")->status, 201);
     c.run(30);  // the one of the earlier version is not silent
     EXPECT_EQ(c.submit(0, "j-2", waits_on_first)->status, 503);
@@ -235,7 +237,7 @@
     }
     const int l = c.leader();
     c.note("limits  of the state service fall");
-    c.state.value_bytes = 2048, c.state.txn_ops = 4;
+    c.state.value_bytes = 2048, c.state.max_transaction_changes = 4;
     c.fleet.run_s["j-1/7"] = c.fleet.run_s["j-1/70"] = 1;  // something is to be written
     c.end(l);
     c.run(1);
