--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -10,8 +10,8 @@
 namespace pineroad::test {
 
 namespace records = wire::records;
+using model::Command;
 using model::ExitCause;
-using model::Order;
 using model::TaskState;
 
 config::Settings settings() {
@@ -19,8 +19,9 @@
     s.name = "c-0", s.zone = "a";
     s.zones = {"a", "b"};
     s.teams = {{"team", 0, 0, 0, 0}, {"owed", 64, 0, 8, 0}, {"capped", 0, 16, 0, 2}};
-    s.report_s = 3, s.lease_s = 36, s.gang_wait_s = 35, s.gang_peer_s = 4, s.cancel_s = 66;
-    s.value_kb = 8, s.txn_ops = 12, s.write_rps = 20;
+    s.heartbeat_period_s = 3, s.worker_lease_s = 36, s.gang_start_timeout_s = 35,
+    s.gang_failure_detection_s = 4, s.cancellation_timeout_s = 66;
+    s.value_kb = 8, s.max_transaction_changes = 12, s.store_writes_per_s = 20;
     return s;
 }
 
@@ -34,11 +35,11 @@
     s.id = id, s.job_class = "small", s.team = "team", s.image = "img-1";
     s.shape = model::Shape::array;
     s.priority = model::Priority::low;
-    s.tasks = tasks;
-    s.need = {8, 1, 32};
+    s.task_count = tasks;
+    s.task_resources = {8, 1, 32};
     s.image_gb = 5;
-    s.spot_ok = false;
-    s.estimate_s = 60, s.checkpoint_s = 10, s.save_s = 2;
+    s.allows_spot = false;
+    s.estimate_s = 60, s.checkpoint_interval_s = 10, s.checkpoint_save_s = 2;
     return s;
 }
 
@@ -47,34 +48,34 @@
     s.job_class = "wide";
     s.shape = model::Shape::gang;
     s.priority = model::Priority::normal;
-    s.need = {28, 4, 200};
+    s.task_resources = {28, 4, 200};
     return s;
 }
 
 std::optional<std::uint64_t> StateStandIn::commit(const wire::Transaction& txn) {
-    for (const auto& w : txn.when) {
+    for (const auto& w : txn.conditions) {
         const auto it = rows.find(w.key);
-        if ((it == rows.end() ? 0 : it->second.stamp) != w.stamp) return std::nullopt;
+        if ((it == rows.end() ? 0 : it->second.mod_revision) != w.mod_revision) return std::nullopt;
     }
-    ++epoch;
-    for (const auto& c : txn.apply) {
+    ++revision;
+    for (const auto& c : txn.changes) {
         if (c.value)
-            rows[c.key] = {*c.value, epoch};
+            rows[c.key] = {*c.value, revision};
         else
             rows.erase(c.key);
     }
-    return epoch;
+    return revision;
 }
 
 void StateStandIn::put(const std::string& key, wire::Json value) {
-    rows[key] = {std::move(value), ++epoch};
+    rows[key] = {std::move(value), ++revision};
 }
 
-std::string text(const Order& o) {
+std::string text(const Command& o) {
     const std::string task =
         o.task.job + "/" + std::to_string(o.task.index) + "#" + std::to_string(o.attempt);
-    if (o.op == Order::Op::start) return "start " + task;
-    if (o.op == Order::Op::forget) return "reap " + task;
+    if (o.kind == Command::Kind::start) return "start " + task;
+    if (o.kind == Command::Kind::forget) return "reap " + task;
     std::ostringstream out;
     out << "stop " << task << " grace " << o.grace_s;
     return out.str();
@@ -109,97 +110,100 @@
 void World::submit(model::JobSpec spec) {
     spec.accepted_ms = wall_ms();
     wire::Transaction txn;
-    txn.when = {{records::job_key(spec.id), 0}, {records::final_key(spec.id), 0}};
-    txn.apply = {{records::job_key(spec.id), records::job_json(spec), std::nullopt}};
-    const auto epoch = state.commit(txn);
-    note("user    submits " + spec.id + ": " + std::to_string(spec.tasks) + " tasks" +
-         (epoch ? "" : ", known already"));
+    txn.conditions = {{records::job_key(spec.id), 0}, {records::outcome_key(spec.id), 0}};
+    txn.changes = {{records::job_key(spec.id), records::job_json(spec), std::nullopt}};
+    const auto revision = state.commit(txn);
+    note("user    submits " + spec.id + ": " + std::to_string(spec.task_count) + " tasks" +
+         (revision ? "" : ", known already"));
     specs[spec.id] = spec;
-    if (!epoch || !book_) return;
+    if (!revision || !cluster_state_) return;
     add_silently(spec);
-    if (mirror_->dependencies().is_cancelled(spec.id)) book_->job_withdrawn(spec.id, now);
+    if (watch_cache_->dependencies().is_cancelled(spec.id))
+        cluster_state_->job_cancelled_by_dependency(spec.id, now);
 }
 
 void World::add_silently(const model::JobSpec& spec) {
-    mirror_->apply_row(records::job_key(spec.id), records::job_json(spec), state.epoch, now);
-    book_->job_added(spec, state.epoch, now);
+    watch_cache_->apply_row(records::job_key(spec.id), records::job_json(spec), state.revision, now);
+    cluster_state_->job_added(spec, state.revision, now);
 }
 
 // What the leader's node hears of a job's end.
-void World::ended(const std::string& id, const model::Ending& ending) {
-    mirror_->apply_drop(records::job_key(id));
-    mirror_->learn_final(id, ending, state.epoch);
+void World::ended(const std::string& id, const model::JobOutcome& ending) {
+    watch_cache_->apply_drop(records::job_key(id));
+    watch_cache_->record_outcome(id, ending, state.revision);
 }
 
 bool World::cancel(const std::string& id, bool leader_hears) {
     wire::Transaction txn;
     const auto row = state.rows.find(records::job_key(id));
     if (row == state.rows.end()) return false;
-    txn.when = {{records::job_key(id), row->second.stamp}, {records::final_key(id), 0}};
-    txn.apply = {
-        {records::job_key(id), std::nullopt, std::nullopt},
-        {records::final_key(id), records::final_json({model::Final::cancelled, wall_ms()}), std::nullopt}};
+    txn.conditions = {{records::job_key(id), row->second.mod_revision}, {records::outcome_key(id), 0}};
+    txn.changes = {{records::job_key(id), std::nullopt, std::nullopt},
+                   {records::outcome_key(id),
+                    records::outcome_json({model::FinalStatus::cancelled, wall_ms()}), std::nullopt}};
     const bool ok = state.commit(txn).has_value();
     note("user    cancels " + id + (ok ? ": withdrawn" : ": too late"));
     if (ok) cancelled_at[id] = now;
-    if (ok && leader_hears && book_) {
-        book_->job_cancelled(id, now);
-        ended(id, {model::Final::cancelled, wall_ms()});
+    if (ok && leader_hears && cluster_state_) {
+        cluster_state_->job_cancelled(id, now);
+        ended(id, {model::FinalStatus::cancelled, wall_ms()});
     }
     return ok;
 }
 
 std::string World::status(const std::string& id) const {
-    if (const auto f = state.rows.find(records::final_key(id)); f != state.rows.end())
-        return records::parse_final(f->second.value)->final == model::Final::done ? "done" : "withdrawn";
+    if (const auto f = state.rows.find(records::outcome_key(id)); f != state.rows.end())
+        return records::parse_outcome(f->second.value)->status == model::FinalStatus::done ? "done"
+                                                                                           : "withdrawn";
     return state.rows.contains(records::job_key(id)) ? "accepted" : "unknown";
 }
 
 void World::lead() {
-    ++token_;
-    state.put(std::string(records::leader_key), records::leader_json({"c-0", token_, token_, token_}));
-    book_ = std::make_unique<control::Book>(config, tuning, token_,
-                                            state.rows.at(std::string(records::leader_key)).stamp, now);
-    book_->set_types(machine_types());
-    mirror_ = std::make_unique<control::Mirror>();
-    for (const auto& [key, row] : state.rows) mirror_->apply_row(key, row.value, row.stamp, now);
-    mirror_->on_dependencies = [this](const model::DependencyGraph::Change& change) {
-        for (const auto& id : change.cancelled) book_->job_withdrawn(id, now);
+    ++fencing_token_;
+    state.put(std::string(records::leader_key),
+              records::leader_json({"c-0", fencing_token_, fencing_token_, fencing_token_}));
+    cluster_state_ = std::make_unique<cluster::ClusterState>(
+        config, tuning, fencing_token_, state.rows.at(std::string(records::leader_key)).mod_revision, now);
+    cluster_state_->set_machine_types(machine_types());
+    watch_cache_ = std::make_unique<store::WatchCache>();
+    for (const auto& [key, row] : state.rows) watch_cache_->apply_row(key, row.value, row.mod_revision, now);
+    watch_cache_->on_dependencies = [this](const model::DependencyGraph::Change& change) {
+        for (const auto& id : change.cancelled) cluster_state_->job_cancelled_by_dependency(id, now);
     };
-    book_->load(*mirror_, now, wall_ms());
-    if (parts_allowed) book_->allow_parts();
-    note("term    " + std::to_string(token_) + " begins");
+    cluster_state_->load(*watch_cache_, now, wall_ms());
+    if (sharding_allowed) cluster_state_->allow_sharding();
+    note("term    " + std::to_string(fencing_token_) + " begins");
 }
 
 void World::plan() {
-    book_->tick(now);
-    book_->plan(now, wall_ms(), {});
+    cluster_state_->detect_failures(now);
+    cluster_state_->plan(now, wall_ms(), {});
 }
 
-std::optional<control::Batch> World::take_batch(std::size_t ops) {
-    return book_->next_batch(ops);
+std::optional<cluster::WriteBatch> World::take_write_batch(std::size_t ops) {
+    return cluster_state_->next_write_batch(ops);
 }
 
-bool World::apply(const control::Batch& batch) {
+bool World::apply(const cluster::WriteBatch& batch) {
     std::string keys;
-    for (const auto& c : batch.txn.apply) keys += (c.value ? " +" : " -") + c.key.substr(3);
-    const auto epoch = state.commit(batch.txn);
-    note("commit " + keys + (epoch ? "" : ": refused"));
-    for (const auto& c : batch.txn.apply)
+    for (const auto& c : batch.txn.changes) keys += (c.value ? " +" : " -") + c.key.substr(3);
+    const auto revision = state.commit(batch.txn);
+    note("commit " + keys + (revision ? "" : ": refused"));
+    for (const auto& c : batch.txn.changes)
         if (c.value) {
             EXPECT_LE(boost::json::serialize(*c.value).size(), config.value_kb * 1024);
         }
-    EXPECT_LE(batch.txn.apply.size(), static_cast<std::size_t>(config.txn_ops));
-    EXPECT_LE(batch.txn.when.size(), 4 * static_cast<std::size_t>(config.txn_ops));
-    if (!epoch) return false;
-    book_->committed(batch, *epoch, now, wall_ms());
-    for (const auto& end : batch.finals) ended(end.job, end.ending);
+    EXPECT_LE(batch.txn.changes.size(), static_cast<std::size_t>(config.max_transaction_changes));
+    EXPECT_LE(batch.txn.conditions.size(), 4 * static_cast<std::size_t>(config.max_transaction_changes));
+    if (!revision) return false;
+    cluster_state_->apply_commit(batch, *revision, now, wall_ms());
+    for (const auto& end : batch.finished_jobs) ended(end.job, end.outcome);
     return true;
 }
 
 bool World::commit() {
     for (int i = 0; i < 50; ++i) {
-        const auto batch = take_batch();
+        const auto batch = take_write_batch();
         if (!batch) return true;
         if (!apply(*batch)) return false;
     }
@@ -209,7 +213,7 @@
 void World::decide(const std::string& machine) {
     plan();
     commit();
-    if (!machine.empty()) checkin(machine);
+    if (!machine.empty()) handle_heartbeat(machine);
 }
 
 World::Worker& World::worker(const std::string& id, const std::string& type, const std::string& zone,
@@ -219,52 +223,53 @@
     return w;
 }
 
-model::Report World::report(Worker& w) {
-    model::Report r;
+model::Heartbeat World::report(Worker& w) {
+    model::Heartbeat r;
     r.machine = w.id, r.address = "10.0.0.9:1", r.type = w.type, r.zone = w.zone, r.spot = w.spot;
-    r.session = w.session, r.tick = ++w.tick, r.token = w.token, r.notice_s = w.notice_s;
+    r.agent_epoch = w.agent_epoch, r.sequence = ++w.sequence, r.fencing_token = w.fencing_token,
+    r.interruption_notice_s = w.interruption_notice_s;
     r.tasks = w.tasks;
     return r;
 }
 
-std::vector<Order> World::checkin(const std::string& id, bool lost_answer) {
+std::vector<Command> World::handle_heartbeat(const std::string& id, bool lost_answer) {
     Worker& w = workers.at(id);
-    const bool fresh = book_->absorb(report(w), now);
-    const auto orders = fresh ? book_->orders_for(id, true, now) : std::vector<Order>{};
+    const bool fresh = cluster_state_->apply_heartbeat(report(w), now);
+    const auto commands = fresh ? cluster_state_->commands_for(id, true, now) : std::vector<Command>{};
     std::string line =
-        "report  " + id + " (" + std::to_string(w.session) + "," + std::to_string(w.tick) + ")";
+        "report  " + id + " (" + std::to_string(w.agent_epoch) + "," + std::to_string(w.sequence) + ")";
     for (const auto& t : w.tasks) {
         static const char* names[] = {"fetching", "waiting", "running", "saving", "ended"};
         line += " " + t.task.job + "/" + std::to_string(t.task.index) + "#" + std::to_string(t.attempt) +
                 ":" + names[static_cast<int>(t.state)];
     }
     note(line + (fresh ? "" : " is stale"));
-    for (const auto& o : orders) note("answer  " + id + ": " + text(o) + (lost_answer ? " (lost)" : ""));
-    if (!lost_answer) execute(w, orders, book_->token());
-    return orders;
+    for (const auto& o : commands) note("answer  " + id + ": " + text(o) + (lost_answer ? " (lost)" : ""));
+    if (!lost_answer) execute(w, commands, cluster_state_->fencing_token());
+    return commands;
 }
 
-void World::execute(Worker& w, const std::vector<Order>& orders, std::uint64_t token) {
-    if (token < w.token) return;
-    w.token = token;
-    for (const auto& o : orders) {
+void World::execute(Worker& w, const std::vector<Command>& commands, std::uint64_t fencing_token) {
+    if (fencing_token < w.fencing_token) return;
+    w.fencing_token = fencing_token;
+    for (const auto& o : commands) {
         const auto at = std::find_if(w.tasks.begin(), w.tasks.end(), [&](const auto& t) {
             return t.task == o.task && t.attempt == o.attempt;
         });
-        if (o.op == Order::Op::start) {
+        if (o.kind == Command::Kind::start) {
             if (at != w.tasks.end()) continue;
             judge_start(w, o.task);
             w.tasks.push_back({o.task, o.attempt, TaskState::fetching, ExitCause::none, false});
         } else if (at == w.tasks.end()) {
             continue;
-        } else if (o.op == Order::Op::forget) {
+        } else if (o.kind == Command::Kind::forget) {
             if (at->state == TaskState::exited) w.tasks.erase(at);
         } else if (at->state != TaskState::exited) {
             const auto& spec = specs.at(o.task.job);
-            const bool saves =
-                at->state == TaskState::running && spec.checkpoint_s > 0 && o.grace_s >= spec.save_s;
+            const bool saves = at->state == TaskState::running && spec.checkpoint_interval_s > 0 &&
+                               o.grace_s >= spec.checkpoint_save_s;
             if (saves)
-                at->state = TaskState::saving;
+                at->state = TaskState::checkpointing;
             else
                 *at = {at->task, at->attempt, TaskState::exited, ExitCause::stopped, false};
         }
@@ -275,7 +280,7 @@
 void World::judge_start(const Worker& w, const model::TaskId& task) {
     ++starts;
     const auto& spec = specs.at(task.job);
-    double cpus = spec.need.cpus, gpus = spec.need.gpus;
+    double cpus = spec.task_resources.cpus, gpus = spec.task_resources.gpus;
     std::map<std::string, std::uint32_t> zones{{w.zone, 1}};
     for (const auto& [id, other] : workers)
         for (const auto& t : other.tasks) {
@@ -283,7 +288,7 @@
             EXPECT_FALSE(t.task == task && id != w.id)
                 << "ran_twice: " << task.job << "/" << task.index << " on " << id << " and " << w.id;
             const auto& s = specs.at(t.task.job);
-            if (s.team == spec.team) cpus += s.need.cpus, gpus += s.need.gpus;
+            if (s.team == spec.team) cpus += s.task_resources.cpus, gpus += s.task_resources.gpus;
             if (t.task.job == task.job) ++zones[other.zone];
         }
     for (const auto& team : config.teams)
@@ -291,22 +296,23 @@
             EXPECT_TRUE(team.cpus_max <= 0 || cpus <= team.cpus_max) << "quota: " << spec.team;
             EXPECT_TRUE(team.gpus_max <= 0 || gpus <= team.gpus_max) << "quota: " << spec.team;
         }
-    EXPECT_TRUE(sched::allowed_on(spec, w.type, w.zone, w.spot))
+    EXPECT_TRUE(scheduling::allowed_on(spec, w.type, w.zone, w.spot))
         << "wrong_place: " << task.job << " on " << w.id;
-    EXPECT_TRUE(!spec.one_zone || zones.size() == 1) << "wrong_place: " << task.job << " in two zones";
+    EXPECT_TRUE(!spec.same_zone || zones.size() == 1) << "wrong_place: " << task.job << " in two zones";
     for (const auto& [zone, n] : zones)
-        EXPECT_TRUE(!spec.spread || n <= (spec.tasks + 1) / 2)
+        EXPECT_TRUE(!spec.spread || n <= (spec.task_count + 1) / 2)
             << "wrong_place: too many of " << task.job << " in " << zone;
     const auto c = cancelled_at.find(task.job);
-    EXPECT_TRUE(c == cancelled_at.end() || now <= c->second + config.cancel_s)
+    EXPECT_TRUE(c == cancelled_at.end() || now <= c->second + config.cancellation_timeout_s)
         << "ran_cancelled: " << task.job;
 }
 
 void World::direct() {
-    for (const auto& d : book_->direct_orders()) {
+    for (const auto& d : cluster_state_->take_direct_commands()) {
         auto& w = workers.at(d.machine);
-        for (const auto& o : d.orders) note("/do     " + d.machine + ": " + text(o));
-        if (!w.hung && d.session == w.session) execute(w, d.orders, book_->token());
+        for (const auto& o : d.commands) note("/do     " + d.machine + ": " + text(o));
+        if (!w.hung && d.agent_epoch == w.agent_epoch)
+            execute(w, d.commands, cluster_state_->fencing_token());
     }
 }
 
@@ -320,20 +326,20 @@
 void World::lose_session(const std::string& id) {
     auto& w = workers.at(id);
     w.tasks.clear();
-    ++w.session;
-    note("worker  " + id + ": its lease ran out, session " + std::to_string(w.session));
+    ++w.agent_epoch;
+    note("worker  " + id + ": its lease ran out, session " + std::to_string(w.agent_epoch));
 }
 
 void World::meet(const std::string& id) {
-    checkin(id);
+    handle_heartbeat(id);
     pass(0.5);
-    checkin(id);
+    handle_heartbeat(id);
 }
 
-std::vector<model::Rental> World::rent() {
-    std::vector<model::Rental> out;
-    while (const auto r = book_->next_rental()) {
-        auto& names = rented_[r->name];
+std::vector<model::ProvisioningRequest> World::rent() {
+    std::vector<model::ProvisioningRequest> out;
+    while (const auto r = cluster_state_->next_provisioning_request()) {
+        auto& names = provisioned_[r->name];
         const bool again = !names.empty();
         while (names.size() < r->count) names.push_back("m-" + std::to_string(++machines_));
         std::string line = "cloud   " + r->name + ": " + std::to_string(r->count) + " " + r->type + " in " +
@@ -343,14 +349,14 @@
             if (!workers.contains(n)) worker(n, r->type, r->zone, r->spot);
         }
         note(line);
-        book_->rented(r->name, names, now);
+        cluster_state_->machines_provisioned(r->name, names, now);
         out.push_back(*r);
     }
     return out;
 }
 
 void World::release() {
-    const auto ids = book_->next_releases(now);
+    const auto ids = cluster_state_->machines_to_release(now);
     if (ids.empty()) return;
     std::string line = "cloud   released";
     for (const auto& id : ids) {
@@ -358,7 +364,7 @@
         workers.erase(id);
     }
     note(line);
-    book_->released(ids, now);
+    cluster_state_->machines_released(ids, now);
 }
 
 }  // namespace pineroad::test
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
-#include "control/book.hpp"
-#include "control/mirror.hpp"
+#include "cluster/cluster_state.hpp"
+#include "store/watch_cache.hpp"
 
 namespace pineroad::test {
 
@@ -26,10 +26,10 @@
    public:
     struct Row {
         wire::Json value;
-        std::uint64_t stamp = 0;
+        std::uint64_t mod_revision = 0;
     };
     std::map<std::string, Row> rows;
-    std::uint64_t epoch = 0;
+    std::uint64_t revision = 0;
     // The new revision, or nothing: a condition failed.
     std::optional<std::uint64_t> commit(const wire::Transaction& txn);
     void put(const std::string& key, wire::Json value);
@@ -43,8 +43,8 @@
     struct Worker {
         std::string id, type = "g4", zone = "a";
         bool spot = false, hung = false;
-        std::uint64_t session = 1, tick = 0, token = 0;
-        std::optional<double> notice_s;
+        std::uint64_t agent_epoch = 1, sequence = 0, fencing_token = 0;
+        std::optional<double> interruption_notice_s;
         std::vector<model::ReportedTask> tasks;
     };
 
@@ -66,17 +66,17 @@
     bool commit();  // everything dirty, through the state service
     // A plan and its commits; then, if one is named, a machine's report that takes the orders.
     void decide(const std::string& machine = {});
-    std::optional<control::Batch> take_batch(std::size_t ops = SIZE_MAX);
-    bool apply(const control::Batch& batch);  // by the state service, then told to the book
-    control::Book& book() { return *book_; }
+    std::optional<cluster::WriteBatch> take_write_batch(std::size_t ops = SIZE_MAX);
+    bool apply(const cluster::WriteBatch& batch);  // by the state service, then told to the book
+    cluster::ClusterState& cluster_state() { return *cluster_state_; }
 
     // --- workers ---
     Worker& worker(const std::string& id, const std::string& type = "g4", const std::string& zone = "a",
                    bool spot = false);
-    model::Report report(Worker& w);
+    model::Heartbeat report(Worker& w);
     // One report, its answer executed. With lost_answer the worker drops the answer.
-    std::vector<model::Order> checkin(const std::string& id, bool lost_answer = false);
-    void execute(Worker& w, const std::vector<model::Order>& orders, std::uint64_t token);
+    std::vector<model::Command> handle_heartbeat(const std::string& id, bool lost_answer = false);
+    void execute(Worker& w, const std::vector<model::Command>& commands, std::uint64_t fencing_token);
     void direct();  // stops by /do
     void set(const std::string& task, model::TaskState state, model::ExitCause cause = model::ExitCause::none,
              bool saved = false);
@@ -85,7 +85,7 @@
     void meet(const std::string& id);
 
     // --- cloud ---
-    std::vector<model::Rental> rent();  // open rentals are answered in full
+    std::vector<model::ProvisioningRequest> rent();  // open rentals are answered in full
     void release();
 
     std::map<std::string, Worker> workers;
@@ -93,7 +93,7 @@
     config::Settings config = settings();
     config::Tuning tuning;
     int starts = 0;
-    bool parts_allowed = false;  // every controller reads the present record format
+    bool sharding_allowed = false;  // every controller reads the present record format
     std::map<std::string, model::JobSpec> specs;
     std::map<std::string, double> cancelled_at;
 
@@ -101,15 +101,15 @@
     void judge_start(const Worker& w, const model::TaskId& task);
     std::string name_;
     std::ostringstream trace_;
-    void ended(const std::string& id, const model::Ending& ending);
-    std::unique_ptr<control::Mirror> mirror_;
-    std::unique_ptr<control::Book> book_;
-    std::uint64_t token_ = 0;
+    void ended(const std::string& id, const model::JobOutcome& ending);
+    std::unique_ptr<store::WatchCache> watch_cache_;
+    std::unique_ptr<cluster::ClusterState> cluster_state_;
+    std::uint64_t fencing_token_ = 0;
     int machines_ = 0;
-    std::map<std::string, std::vector<std::string>> rented_;
+    std::map<std::string, std::vector<std::string>> provisioned_;
 };
 
-std::string text(const model::Order& o);
+std::string text(const model::Command& o);
 // The trace kept under the name is compared with this one, or written anew with PINEROAD_KEEP_TRACES.
 void keep_trace(const std::string& name, const std::string& trace);
 
