--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -330,6 +330,36 @@
     checkin(id);
 }
 
+void World::add_ready_workers(const std::vector<std::string>& ids) {
+    for (const auto& id : ids) {
+        worker(id);
+        meet(id);
+    }
+}
+
+void World::checkin_all(const std::vector<std::string>& ids) {
+    for (const auto& id : ids) checkin(id);
+}
+
+void World::run_placed_tasks(const std::string& machine) {
+    decide(machine);
+    for (auto& task : workers.at(machine).tasks)
+        if (task.state == TaskState::fetching) task.state = TaskState::running;
+    pass(0.5);
+    checkin(machine);
+}
+
+void World::run_job(const model::JobSpec& spec, const std::string& machine) {
+    submit(spec);
+    run_placed_tasks(machine);
+}
+
+StartedLeader::StartedLeader(const std::string& trace, const std::vector<std::string>& ready_workers)
+    : World(trace) {
+    lead();
+    add_ready_workers(ready_workers);
+}
+
 std::vector<model::Rental> World::rent() {
     std::vector<model::Rental> out;
     while (const auto r = book_->next_rental()) {
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -83,6 +83,13 @@
     void lose_session(const std::string& id);
     // Two reports: the first shows the worker the token, the second proves what it runs.
     void meet(const std::string& id);
+    // Workers of the default type in zone a that have proven to run nothing.
+    void add_ready_workers(const std::vector<std::string>& ids);
+    void checkin_all(const std::vector<std::string>& ids);
+    // Placements are written, and a machine's report takes its starts; its tasks run and are reported so.
+    void run_placed_tasks(const std::string& machine);
+    // The same for a job that is submitted now.
+    void run_job(const model::JobSpec& spec, const std::string& machine);
 
     // --- cloud ---
     std::vector<model::Rental> rent();  // open rentals are answered in full
@@ -109,6 +116,12 @@
     std::map<std::string, std::vector<std::string>> rented_;
 };
 
+// A simulator in its first term, with workers that are ready for placements: what most tests begin with.
+class StartedLeader : public World {
+   public:
+    explicit StartedLeader(const std::string& trace, const std::vector<std::string>& ready_workers = {});
+};
+
 std::string text(const model::Order& o);
 // The trace kept under the name is compared with this one, or written anew with PINEROAD_KEEP_TRACES.
 void keep_trace(const std::string& name, const std::string& trace);
