--- /dev/null
+++ b/tests/combined_faults_test.cpp
@@ -0,0 +1,567 @@
+// Meetings of two troubles, brought about with whole nodes, a state service and workers in simulated time.
+// The fleet's referee judges ran_twice, ran_cancelled and went_back at every step; what stands here is the
+// rest. docs/safety.md has a table of these by the operators' list.
+#include <gtest/gtest.h>
+
+#include "cluster_simulator.hpp"
+
+namespace pineroad::test {
+namespace {
+
+// Three controllers, machines that they provision, and jobs of one task that run for long.
+class CombinedFaultsCluster : public ClusterSimulator {
+   public:
+    explicit CombinedFaultsCluster(const std::string& trace, int controllers = 3)
+        : ClusterSimulator(trace, controllers) {
+        workers.cloud_capacity = 6;
+        run(5);
+    }
+    // Jobs that are submitted, and running.
+    void start_jobs(const std::vector<std::string>& jobs) {
+        for (const auto& id : jobs) EXPECT_EQ(submit(0, id)->status, 201);
+        for (int i = 0; i < 60 && workers.running_tasks() < jobs.size(); ++i) run(1);
+        EXPECT_EQ(workers.running_tasks(), jobs.size());
+        old_leader = leader();
+        follower = (old_leader + 1) % 3;
+        other_follower = (old_leader + 2) % 3;
+    }
+    void begin_store_outage() {
+        note("outage  of the state service");
+        store_outage = true;
+    }
+    void end_store_outage() {
+        note("outage  ends");
+        store_outage = false;
+        rejected_by_store.clear();
+        store.extend_leases(now());
+    }
+    // How long until nothing of the job is on a machine; the test fails after at_most seconds.
+    double seconds_until_stopped(const std::string& job, double at_most) {
+        const double from = now();
+        while (workers.runs(job) && now() < from + at_most) run(0.5);
+        EXPECT_FALSE(workers.runs(job)) << job;
+        note("gone    " + job);
+        return now() - from;
+    }
+    // Every controller answers about the job within 75 s of the end of all troubles.
+    void expect_status_everywhere(const std::string& job, const std::string& status) {
+        for (int n = 0; n < controllers(); ++n) {
+            const double from = now();
+            auto r = poll(n, job);
+            while ((!r || r->status != 200) && now() < from + 75) {
+                run(5);
+                r = poll(n, job);
+            }
+            ASSERT_TRUE(r);
+            EXPECT_NE(r->body.find(status), std::string::npos) << r->body;
+        }
+    }
+    int old_leader = -1;  // when the jobs ran
+    int follower = -1, other_follower = -1;
+};
+
+const std::pair<const char*, MachineFault> machine_faults[] = {
+    {"hung", {true, false, false}}, {"deaf", {false, true, false}}, {"mute", {false, false, true}}};
+
+// The meeting that broke most schedulers. The leader is refused alone and keeps its workers through the
+// outage that follows; what another controller confirmed meanwhile is gone all the same, and soon: its peers
+// vouch for all they told. Healthy work lives on.
+TEST(CombinedFaults, CancelledElsewhereThenAnOutageOfAll) {
+    CombinedFaultsCluster cluster("gap");
+    cluster.start_jobs({"j-1", "j-2", "j-3"});
+    cluster.note("refuse  c-" + std::to_string(cluster.old_leader));
+    cluster.rejected_by_store = {cluster.old_leader};
+    cluster.run(0.5);
+    // The leader has heard of it by the time its user is told: nothing starts after a confirmed cancellation.
+    const auto stopped = cluster.workers.stops;
+    EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
+    cluster.run(0.55);  // a plan; the next round of gossip is a second after the last
+    EXPECT_GT(cluster.workers.stops, stopped);
+    cluster.run(0.45);
+    EXPECT_EQ(cluster.cancel(cluster.other_follower, "j-2")->status, 200);
+    cluster.begin_store_outage();
+    EXPECT_LT(cluster.seconds_until_stopped("j-1", 10), 8);
+    EXPECT_LT(cluster.seconds_until_stopped("j-2", 10), 8);
+    cluster.run(78);
+    EXPECT_EQ(cluster.workers.killed_by_lease, 0);
+    EXPECT_TRUE(cluster.workers.runs("j-3"));
+    cluster.end_store_outage();
+    cluster.run(10);
+    EXPECT_TRUE(cluster.workers.runs("j-3"));
+    EXPECT_EQ(cluster.workers.starts, 3);
+    cluster.expect_status_everywhere("j-1", "withdrawn");
+    cluster.expect_status_everywhere("j-3", "running");
+}
+
+// Whoever tells of a cancellation vouches for it, whoever committed it and whatever the answer belongs to:
+// here the commit's own answer is lost, the outage begins, and another node tells it from memory.
+TEST(CombinedFaults, ToldFromMemoryInsideAnOutage) {
+    for (const bool by_submission : {false, true}) {
+        CombinedFaultsCluster cluster(by_submission ? "told_by_submission" : "told_by_poll");
+        cluster.start_jobs({"j-1", "j-2"});
+        cluster.rejected_by_store = {cluster.old_leader};
+        cluster.lost_commit_answers = {cluster.follower};
+        EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 503);  // applied, and nobody was told
+        cluster.begin_store_outage();
+        cluster.run(1);
+        const auto r = by_submission ? cluster.submit(cluster.other_follower, "j-1")
+                                     : cluster.poll(cluster.other_follower, "j-1");
+        EXPECT_NE(r->body.find("withdrawn"), std::string::npos);
+        EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 8);
+        cluster.run(70);
+        EXPECT_TRUE(cluster.workers.runs("j-2"));
+        EXPECT_EQ(cluster.workers.killed_by_lease, 0);
+        cluster.end_store_outage();
+        cluster.run(5);
+        cluster.expect_status_everywhere("j-1", "withdrawn");
+    }
+}
+
+// A controller that told a cancellation and ended at once vouches for nothing in its next life. The leader
+// can't prove that it knows all, so the workers' leases end in time. Back within a second or much later.
+TEST(CombinedFaults, TheOneThatToldEndsAtOnce) {
+    for (const double away : {0.2, 3.0, 100.0}) {
+        CombinedFaultsCluster cluster("teller_ends_" + std::to_string(static_cast<int>(away * 10)));
+        cluster.start_jobs({"j-1", "j-2"});
+        cluster.rejected_by_store = {cluster.old_leader};
+        cluster.run(0.95);
+        // No word to a peer between the answer and the end.
+        cluster.partitioned_from_peers = {cluster.follower};
+        EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
+        cluster.kill(cluster.follower);
+        cluster.note("end     of c-" + std::to_string(cluster.follower));
+        cluster.begin_store_outage();
+        cluster.partitioned_from_peers.clear();
+        cluster.run(away);
+        cluster.restart(cluster.follower);
+        EXPECT_LT(cluster.seconds_until_stopped("j-1", 80), 65);
+        cluster.run(20);
+        cluster.end_store_outage();
+        cluster.run(10);
+        cluster.expect_status_everywhere("j-1", "withdrawn");
+        cluster.run(60);
+        EXPECT_TRUE(cluster.workers.runs("j-2"));  // again, if it met its lease
+    }
+}
+
+// One that stands still between its commit and its answer tells when it goes on; by then it vouches for it.
+TEST(CombinedFaults, FrozenBetweenCommitAndAnswer) {
+    CombinedFaultsCluster cluster("frozen_teller");
+    cluster.start_jobs({"j-1", "j-2"});
+    cluster.rejected_by_store = {cluster.old_leader};
+    const auto answer = cluster.send_request(cluster.follower, "POST", "/submissions/j-1/cancel");
+    const auto commits = cluster.store_requests["commit"];
+    while (cluster.store_requests["commit"] == commits) cluster.run(0.005);
+    cluster.run(0.01);
+    cluster.note("freeze  of c-" + std::to_string(cluster.follower));
+    cluster.paused = {cluster.follower};
+    cluster.begin_store_outage();
+    cluster.run(10);
+    cluster.paused.clear();
+    cluster.note("freeze  ends");
+    cluster.run(0.1);
+    ASSERT_TRUE(*answer);
+    if ((*answer)->status == 200)
+        cluster.workers.invariants.job_status_confirmed("j-1", "withdrawn", cluster.now());
+    EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 66);
+    cluster.end_store_outage();
+    cluster.run(10);
+    cluster.expect_status_everywhere("j-1", "withdrawn");
+}
+
+// The leader loses the state service and the other controllers, not its workers and users. Cancellations go
+// through the new one; nothing starts twice, and the old one's workers find the new one in time.
+TEST(CombinedFaults, LeaderCutFromAllButItsWorkers) {
+    CombinedFaultsCluster cluster("cut_but_for_workers");
+    cluster.start_jobs({"j-1", "j-2"});
+    cluster.note("cut     c-" + std::to_string(cluster.old_leader) + " from the state service and its peers");
+    cluster.partitioned_from_store = cluster.partitioned_from_peers = {cluster.old_leader};
+    cluster.run(1);
+    EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
+    cluster.run(6);
+    EXPECT_EQ(cluster.submit(cluster.other_follower, "j-4")->status, 201);
+    EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 30);
+    EXPECT_NE(cluster.leader(), cluster.old_leader);
+    cluster.run(60);
+    EXPECT_TRUE(cluster.workers.runs("j-2"));
+    EXPECT_TRUE(cluster.workers.runs("j-4"));
+    EXPECT_EQ(cluster.workers.killed_by_lease, 0);
+    cluster.note("cut     ends");
+    cluster.partitioned_from_store.clear(), cluster.partitioned_from_peers.clear();
+    cluster.run(5);
+    cluster.expect_status_everywhere("j-1", "withdrawn");
+    cluster.expect_status_everywhere("j-2", "running");
+    EXPECT_EQ(cluster.workers.starts, 3);
+}
+
+// The stop meets a machine that hangs, is deaf or is mute, and goes on later: its lease ends it, or the next
+// answer. In an outage that began with the leader refused alone, too.
+TEST(CombinedFaults, StopMeetsAMachineInTrouble) {
+    for (const auto& [name, fault] : machine_faults)
+        for (const double lasts : {8.0, 50.0}) {
+            CombinedFaultsCluster cluster(std::string("stop_meets_") + name + (lasts > 10 ? "_long" : ""));
+            cluster.start_jobs({"j-1", "j-2"});
+            cluster.rejected_by_store = {cluster.old_leader};
+            const auto machine = cluster.workers.machine_with("j-1").id;
+            EXPECT_EQ(cluster.workers.machine_with("j-2").id, machine);
+            cluster.note(std::string(name) + "    " + machine);
+            cluster.workers.machines.at(machine).fault = fault;
+            EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
+            cluster.begin_store_outage();
+            cluster.run(lasts);
+            cluster.note("machine is well again");
+            if (cluster.workers.machines.contains(machine)) cluster.workers.machines.at(machine).fault = {};
+            EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 8);
+            cluster.run(20);
+            EXPECT_EQ(cluster.workers.runs("j-2"), lasts < 10);  // the long ones met their lease
+            cluster.end_store_outage();
+            cluster.run(5);
+            cluster.expect_status_everywhere("j-1", "withdrawn");
+            EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
+        }
+}
+
+// The leader hears of a cancellation when its lease is over, from a peer, inside an outage; the machine
+// reaches no controller. The stop goes there by a direct command all the same: it needs no lease.
+TEST(CombinedFaults, StopsNeedNoLease) {
+    CombinedFaultsCluster cluster("stops_need_no_lease");
+    cluster.start_jobs({"j-1", "j-2"});
+    cluster.rejected_by_store = {cluster.old_leader};
+    cluster.partitioned_from_peers = {cluster.old_leader};
+    EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
+    cluster.begin_store_outage();
+    cluster.run(6);
+    cluster.workers.machine_with("j-1").fault.outbound_partition = true;
+    EXPECT_TRUE(cluster.workers.runs("j-1"));
+    cluster.note("cut     from the peers ends");
+    cluster.partitioned_from_peers.clear();
+    EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 5);
+    EXPECT_TRUE(cluster.workers.runs("j-2"));
+    cluster.end_store_outage();
+}
+
+// The leader ends while a machine can't be reached or doesn't hear the new one's answer, and a job of it is
+// cancelled. What may still run there starts nowhere else, and what is over is gone in time.
+TEST(CombinedFaults, LeaderEndsWhileAMachineIsOutOfReach) {
+    for (const auto& [name, fault] : machine_faults)
+        for (const double lasts : {20.0, 45.0}) {
+            CombinedFaultsCluster cluster(std::string("leader_ends_") + name + (lasts > 30 ? "_long" : ""));
+            cluster.start_jobs({"j-1", "j-2", "j-3"});
+            const auto machine = cluster.workers.machine_with("j-1").id;
+            cluster.workers.machines.at(machine).fault = fault;
+            cluster.note(std::string(name) + "    " + machine);
+            cluster.run(1);
+            cluster.kill(cluster.old_leader);
+            cluster.note("end     of c-" + std::to_string(cluster.old_leader));
+            cluster.run(8);
+            EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
+            cluster.run(lasts - 8);
+            if (cluster.workers.machines.contains(machine)) cluster.workers.machines.at(machine).fault = {};
+            cluster.note("machine is well again");
+            cluster.restart(cluster.old_leader);
+            EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 45);
+            cluster.run(60);
+            EXPECT_TRUE(cluster.workers.runs("j-2"));
+            EXPECT_TRUE(cluster.workers.runs("j-3"));
+            cluster.expect_status_everywhere("j-1", "withdrawn");
+            EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
+        }
+}
+
+// A cancellation, a question and a repeated submission meet the end of a job's last task. Whichever is first
+// holds; the referee sees what goes back and what is told too early.
+TEST(CombinedFaults, UsersMeetTheEndOfTheLastTask) {
+    CombinedFaultsCluster cluster("meets_the_end");
+    std::vector<std::string> jobs;
+    for (int i = 1; i <= 6; ++i) {
+        jobs.push_back("j-" + std::to_string(i));
+        cluster.workers.task_run_s[jobs.back() + "/0"] = 20;
+        EXPECT_EQ(cluster.submit(0, jobs.back())->status, 201);
+    }
+    cluster.run_until_first_task_ends(jobs.size());
+    for (int n = 0;
+         const auto& id : jobs) {  // 0.05 s apart, around the reports and commits that tell of the end
+        const auto r = cluster.cancel(n % 3, id);
+        EXPECT_EQ(r->status, 200);
+        EXPECT_EQ(cluster.submit((n + 1) % 3, id)->status, 200);
+        EXPECT_EQ(cluster.poll((n + 2) % 3, id)->status, 200);
+        cluster.run(0.05 * ++n);
+    }
+    cluster.run(10);
+    for (const auto& id : jobs)
+        for (int n = 0; n < 3; ++n) EXPECT_EQ(cluster.cancel(n, id)->status, 200);
+}
+
+// Leaders change ten times in two minutes; the ended ones are back within a moment, some inside an outage.
+TEST(CombinedFaults, TenLeadersInTwoMinutes) {
+    for (const bool outages : {false, true}) {
+        CombinedFaultsCluster cluster(outages ? "ten_leaders_outages" : "ten_leaders");
+        cluster.start_jobs({"j-1", "j-2", "j-3"});
+        for (int i = 0; i < 10; ++i) {
+            const int l = cluster.leader();
+            if (outages && i % 3 == 1) {
+                cluster.begin_store_outage();
+                cluster.run(2);
+            }
+            if (l >= 0) cluster.kill(l);
+            cluster.run(i % 2 == 0 ? 0.3 : 3);
+            if (l >= 0) cluster.restart(l);
+            if (i == 4) cluster.cancel((l + 1) % 3, "j-1");
+            cluster.run(5);
+            if (cluster.store_outage) cluster.end_store_outage();
+            cluster.run(3);
+        }
+        EXPECT_EQ(cluster.cancel(0, "j-1")->status, 200);
+        EXPECT_LT(cluster.seconds_until_stopped("j-1", 60), 30);
+        cluster.run(60);
+        EXPECT_TRUE(cluster.workers.runs("j-2"));
+        EXPECT_TRUE(cluster.workers.runs("j-3"));
+        cluster.expect_status_everywhere("j-1", "withdrawn");
+        EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
+    }
+}
+
+// A team is at its limit when the leader changes, a machine of it can't be asked, and a cancellation falls
+// into that spell: what the machine may still run counts until it is proven off.
+TEST(CombinedFaults, TeamAtItsLimitAcrossATakeover) {
+    CombinedFaultsCluster cluster("limit_across_takeover");
+    const boost::json::object capped{{"Crew", "capped"}};
+    for (const auto* id : {"j-1", "j-2", "j-3", "j-4"}) EXPECT_EQ(cluster.submit(0, id, capped)->status, 201);
+    cluster.run(15);
+    EXPECT_EQ(cluster.workers.running_tasks(), 2U);
+    const std::string running = cluster.workers.runs("j-1") ? "j-1" : "j-2";
+    const auto machine = cluster.workers.machine_with(running).id;
+    cluster.workers.machines.at(machine).fault.hung = true;
+    cluster.kill(cluster.leader());
+    cluster.run(7);
+    EXPECT_EQ(cluster.cancel(cluster.leader(), running)->status, 200);
+    cluster.run(25);
+    if (cluster.workers.machines.contains(machine)) cluster.workers.machines.at(machine).fault.hung = false;
+    cluster.run(60);
+    EXPECT_EQ(cluster.workers.running_tasks(), 2U);
+    EXPECT_FALSE(cluster.workers.runs(running));
+}
+
+// Copies of reports come later, from seconds to well over a lease, also those of an earlier term, session or
+// attempt; and reports held back until a new leader has acted arrive there.
+TEST(CombinedFaults, LateReportsMeetANewLeader) {
+    for (const double after : {4.0, 20.0, 60.0}) {
+        CombinedFaultsCluster cluster("late_reports_" + std::to_string(static_cast<int>(after)));
+        cluster.workers.duplicate_heartbeats_after_s = after;
+        cluster.start_jobs({"j-1", "j-2"});
+        const auto machine = cluster.workers.machine_with("j-1").id;
+        cluster.workers.machines.at(machine).fault.hung = true;
+        cluster.run(2);
+        cluster.kill(cluster.old_leader);
+        cluster.run(40);  // a session is lost
+        if (cluster.workers.machines.contains(machine))
+            cluster.workers.machines.at(machine).fault.hung = false;
+        cluster.restart(cluster.old_leader);
+        cluster.run(20);
+        EXPECT_EQ(cluster.cancel(0, "j-1")->status, 200);
+        cluster.run(after + 20);
+        EXPECT_FALSE(cluster.workers.runs("j-1"));
+        EXPECT_TRUE(cluster.workers.runs("j-2"));
+    }
+    CombinedFaultsCluster cluster("held_reports");
+    cluster.start_jobs({"j-1", "j-2"});
+    cluster.workers.hold_heartbeats = true;
+    cluster.run(3);
+    cluster.kill(cluster.old_leader);
+    cluster.run(8);
+    EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
+    cluster.run(45);
+    cluster.note("reports arrive");
+    cluster.workers.hold_heartbeats = false;
+    cluster.run(60);
+    EXPECT_FALSE(cluster.workers.runs("j-1"));
+    EXPECT_TRUE(cluster.workers.runs("j-2"));
+    EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
+}
+
+// Transactions get no answer and are carried out late, after newer ones of the same controller.
+TEST(CombinedFaults, TransactionsAreCarriedOutLate) {
+    for (const double late : {2.5, 8.0}) {
+        CombinedFaultsCluster cluster("late_writes_" + std::to_string(static_cast<int>(late)));
+        cluster.start_jobs({"j-1", "j-2"});
+        cluster.delayed_writes_s = late;
+        cluster.note("writes  are late");
+        cluster.submit(0, "j-3");
+        cluster.cancel(1, "j-1");
+        cluster.submit(2, "j-3");
+        cluster.cancel(2, "j-1");
+        cluster.run(3);
+        cluster.delayed_writes_s = 0;
+        cluster.note("writes  are answered");
+        EXPECT_TRUE(cluster.submit(0, "j-3")->status / 100 == 2);
+        EXPECT_EQ(cluster.cancel(0, "j-1")->status, 200);
+        cluster.run(40);
+        cluster.expect_status_everywhere("j-1", "withdrawn");
+        EXPECT_TRUE(cluster.workers.runs("j-2"));
+        EXPECT_TRUE(cluster.workers.runs("j-3"));
+        EXPECT_FALSE(cluster.workers.runs("j-1"));
+        EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
+    }
+}
+
+// All controllers are away for longer than a lease, just after a cancellation; one returns before the others.
+TEST(CombinedFaults, AllControllersAwayForLongerThanALease) {
+    for (const double away : {0.5, 50.0}) {
+        CombinedFaultsCluster cluster(away < 1 ? "all_away_a_moment" : "all_away");
+        cluster.start_jobs({"j-1", "j-2"});
+        EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
+        for (int n = 0; n < 3; ++n) cluster.kill(n);
+        cluster.run(away);
+        cluster.restart(cluster.other_follower);
+        cluster.run(10);
+        cluster.restart(cluster.old_leader), cluster.restart(cluster.follower);
+        EXPECT_LT(cluster.seconds_until_stopped("j-1", 60), 30);
+        cluster.run(60);
+        EXPECT_TRUE(cluster.workers.runs("j-2"));
+        cluster.expect_status_everywhere("j-1", "withdrawn");
+        EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
+    }
+}
+
+// The tasks of a job end far apart, with a change of leader between the ends.
+TEST(CombinedFaults, EndsFarApartAcrossLeaders) {
+    CombinedFaultsCluster cluster("ends_far_apart");
+    cluster.workers.task_run_s = {{"j-1/0", 5}, {"j-1/1", 35}, {"j-1/2", 75}};
+    EXPECT_EQ(cluster.submit(0, "j-1", {{"Pieces", 3}})->status, 201);
+    for (int i = 0; i < 24; ++i) {
+        cluster.run(5);
+        if (i == 4 || i == 10) {
+            const int l = cluster.leader();
+            cluster.kill(l);
+            cluster.run(0.5);
+            cluster.restart(l);
+            cluster.run(3);
+        }
+        cluster.poll(i % 3, "j-1");
+    }
+    EXPECT_NE(cluster.poll(0, "j-1")->body.find("done"), std::string::npos);
+    EXPECT_EQ(cluster.workers.starts, 3);
+}
+
+// A zone with workers and the leader is cut off for longer than a lease, and a job there is cancelled. Tasks
+// of a job that is bound to the zone lose their machine meanwhile.
+TEST(CombinedFaults, ZoneCutOffWithTheLeader) {
+    CombinedFaultsCluster cluster("zone_cut");
+    cluster.workers.task_run_s = {{"j-3/0", 90}, {"j-3/1", 90}, {"j-3/2", 90}};
+    for (const auto* id : {"j-1", "j-2"}) EXPECT_EQ(cluster.submit(0, id, {{"Yard", "a"}})->status, 201);
+    EXPECT_EQ(cluster.submit(0, "j-3", {{"Yard", "b"}, {"Pieces", 3}})->status, 201);
+    cluster.run(20);
+    EXPECT_EQ(cluster.workers.running_tasks(), 5U);
+    const int l = cluster.leader();
+    cluster.partitioned_from_store = cluster.partitioned_from_peers = {l};
+    cluster.workers.partitioned_zone = "a", cluster.workers.partitioned_zone_controller = l;
+    cluster.note("cut     zone a with c-" + std::to_string(l));
+    cluster.run(2);
+    EXPECT_EQ(cluster.cancel((l + 1) % 3, "j-1")->status, 200);
+    cluster.workers.machines.erase(cluster.workers.machine_with("j-3").id);
+    cluster.run(60);
+    EXPECT_FALSE(cluster.workers.runs("j-1"));
+    cluster.partitioned_from_store.clear(), cluster.partitioned_from_peers.clear(),
+        cluster.workers.partitioned_zone.clear();
+    cluster.note("cut     ends");
+    cluster.run(60);
+    EXPECT_TRUE(cluster.workers.runs("j-2"));
+    cluster.run(60);
+    cluster.expect_status_everywhere("j-1", "withdrawn");
+    cluster.expect_status_everywhere("j-3", "done");
+}
+
+// The state service is slow, then refuses the leader alone, then everybody for longer than cancel_s, while
+// users cancel and ask.
+TEST(CombinedFaults, SlowThenRefusingThenOut) {
+    CombinedFaultsCluster cluster("slow_then_out");
+    cluster.start_jobs({"j-1", "j-2", "j-3"});
+    // Renewals are as patient as everything else: a slow service unseats no leader, and work goes on.
+    cluster.store_delay_s = 1.2;
+    cluster.run(20);
+    EXPECT_EQ(cluster.leader(), cluster.old_leader);
+    EXPECT_EQ(cluster.submit(cluster.follower, "j-4")->status, 201);
+    cluster.run(25);
+    EXPECT_TRUE(cluster.workers.runs("j-4"));
+    cluster.store_delay_s = 0.7;
+    cluster.cancel(cluster.old_leader, "j-1");
+    cluster.rejected_by_store = {cluster.old_leader};
+    cluster.run(1);
+    cluster.cancel(cluster.follower, "j-2");
+    cluster.poll(cluster.other_follower, "j-2");
+    cluster.store_delay_s = 0;
+    cluster.begin_store_outage();
+    for (int i = 0; i < 14; ++i) {
+        cluster.run(5);
+        const auto r = cluster.poll(i % 3, i % 2 == 0 ? "j-1" : "j-2");
+        EXPECT_TRUE(r->status == 200 || (r->status == 503 && r->retry_after_s > 0)) << r->status;
+    }
+    cluster.end_store_outage();
+    cluster.run(5);
+    EXPECT_EQ(cluster.cancel(0, "j-1")->status, 200);
+    EXPECT_EQ(cluster.cancel(0, "j-2")->status, 200);
+    EXPECT_LT(cluster.seconds_until_stopped("j-1", 20), 10);
+    EXPECT_LT(cluster.seconds_until_stopped("j-2", 20), 10);
+    cluster.run(40);
+    EXPECT_TRUE(cluster.workers.runs("j-3"));
+    EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
+}
+
+// More work than room, urgent and not, and half of the machines are lost with the leader: afterwards nothing
+// waits while a machine that fits has room.
+TEST(CombinedFaults, MoreWorkThanRoomAndALeaderLost) {
+    CombinedFaultsCluster cluster("more_than_room");
+    cluster.workers.cloud_capacity = 3;
+    cluster.workers.default_task_run_s = 15;
+    for (int i = 1; i <= 24; ++i)
+        EXPECT_EQ(
+            cluster
+                .submit(i % 3, "j-" + std::to_string(i), {{"Urgency", i % 4 == 0 ? "high" : "best_effort"}})
+                ->status,
+            201);
+    cluster.run(15);
+    cluster.workers.machines.erase(cluster.workers.machines.begin());
+    const int l = cluster.leader();
+    cluster.kill(l);
+    cluster.run(0.4);
+    cluster.restart(l);
+    cluster.run(200);
+    for (int i = 1; i <= 24; ++i)
+        EXPECT_NE(cluster.poll(0, "j-" + std::to_string(i))->body.find("done"), std::string::npos) << i;
+}
+
+// What can't be taken is told so at once, whatever the state service does; what can't be decided is 503; and
+// repeats are answered by the present state.
+TEST(CombinedFaults, OddRequestsMeetAStateServiceInTrouble) {
+    CombinedFaultsCluster cluster("odd_requests");
+    cluster.workers.task_run_s["j-1/0"] = 5;
+    cluster.start_jobs({"j-1", "j-2"});
+    cluster.run(15);
+    for (const bool out : {false, true}) {
+        if (out) cluster.begin_store_outage();
+        cluster.run(5);
+        const double from = cluster.now();
+        EXPECT_EQ(cluster.request(0, "POST", "/submissions", R"({"NameId":"j-9"})")->status, 400);
+        EXPECT_EQ(cluster.submit(0, "j-9", {{"Pieces", 0}})->status, 400);
+        EXPECT_EQ(cluster.submit(0, "j-9", {{"Spread", nullptr}})->status, 400);
+        EXPECT_LT(cluster.now(), from + 0.1);
+        EXPECT_EQ(cluster.submit(0, "j-9", {{"Vcpus", 500}})->status, out ? 503 : 422);
+        EXPECT_EQ(cluster.submit(0, "j-9", {{"Crew", "nobody"}})->status, out ? 503 : 422);
+        EXPECT_EQ(cluster.submit(1, "j-9", {{"Crew", "capped"}, {"Accelerators", 3}})->status,
+                  out ? 503 : 422);
+        EXPECT_LT(cluster.now(), from + 5);
+        // Known from before the outage on every node.
+        for (int n = 0; n < 3; ++n) {
+            EXPECT_NE(cluster.cancel(n, "j-1")->body.find("done"), std::string::npos);
+            EXPECT_NE(cluster.submit(n, "j-1")->body.find("done"), std::string::npos);
+            EXPECT_EQ(cluster.submit(n, "j-2")->status, out ? 503 : 200);
+        }
+    }
+    cluster.end_store_outage();
+    cluster.run(3);
+    EXPECT_EQ(cluster.poll(0, "j-9")->status, 404);
+    cluster.expect_status_everywhere("j-2", "running");
+}
+
+}  // namespace
+}  // namespace pineroad::test
--- /dev/null
+++ b/tests/controller_test.cpp
@@ -0,0 +1,227 @@
+// The loops of whole controllers, in simulated time: elections, outages, partitions, and what users are
+// answered meanwhile.
+#include <gtest/gtest.h>
+
+#include "cluster_simulator.hpp"
+
+namespace pineroad::test {
+namespace {
+
+namespace records = wire::records;
+
+model::Report idle_report(std::uint64_t tick, std::uint64_t token = 0) {
+    model::Report r;
+    r.machine = "m-1", r.session = 1, r.tick = tick, r.token = token;
+    return r;
+}
+
+// One leader; any controller accepts a job, and any other knows it at once.
+TEST(Controller, OneLeaderAndEveryControllerKnowsTheJob) {
+    ClusterSimulator cluster("nodes_quiet", 3);
+    cluster.run(5);
+    EXPECT_FALSE(cluster.store.leader().empty());
+    EXPECT_EQ(cluster.submit(0, "j-1")->status, 201);
+    EXPECT_EQ(cluster.submit(1, "j-1")->status, 200);
+    for (int n = 0; n < 3; ++n) EXPECT_EQ(cluster.poll(n, "j-1")->status, 200);
+    EXPECT_EQ(cluster.poll(2, "j-404")->status, 404);
+    EXPECT_EQ(cluster.cancel(2, "j-1")->status, 200);
+    for (int n = 0; n < 3; ++n) {
+        EXPECT_NE(cluster.poll(n, "j-1")->body.find("withdrawn"), std::string::npos);
+        EXPECT_NE(cluster.submit(n, "j-1")->body.find("withdrawn"), std::string::npos);
+    }
+    int answers = 0;
+    for (int n = 0; n < 3; ++n) answers += cluster.send_heartbeat(n, idle_report(1))->status == 200;
+    EXPECT_EQ(answers, 1);  // the leader; the others name it
+}
+
+// A leader that loses the store and its peers, but not its workers: it starts nothing, steps down
+// soon after its lease, and takes nothing back when it returns.
+TEST(Controller, LeaderPartitionedAloneStepsDown) {
+    ClusterSimulator cluster("leader_cut_off_alone", 3);
+    cluster.run(5);
+    const int old = cluster.leader();
+    const auto token = cluster.store.token();
+    std::uint64_t tick = 0;
+    EXPECT_EQ(cluster.send_heartbeat(old, idle_report(++tick))->status, 200);
+    EXPECT_EQ(cluster.submit((old + 1) % 3, "j-1")->status, 201);
+    cluster.note("cut     c-" + std::to_string(old) + " from the state service and its peers");
+    cluster.partitioned_from_store = cluster.partitioned_from_peers = {old};
+    double stepped_down_after = -1;
+    const double partitioned_at = cluster.now();
+    for (int i = 0; i < 30 && stepped_down_after < 0; ++i) {
+        cluster.run(0.5);
+        const auto r = cluster.send_heartbeat(old, idle_report(++tick, token));
+        ASSERT_TRUE(r);
+        EXPECT_EQ(r->body.find("start"), std::string::npos);
+        if (r->status == 421) stepped_down_after = cluster.now() - partitioned_at;
+    }
+    cluster.note("report  m-1 at c-" + std::to_string(old) + ": 421");
+    EXPECT_GT(stepped_down_after, 4.0);  // the others may be without the store just as well
+    EXPECT_LT(stepped_down_after,
+              12.0);  // ... but before a cancellation confirmed elsewhere is in danger (66 - 36 - 4 s)
+    cluster.run(5);
+    const int fresh = cluster.leader();
+    EXPECT_NE(fresh, old);
+    EXPECT_GT(cluster.store.token(), token);
+    const auto taken = cluster.send_heartbeat(fresh, idle_report(++tick, token));
+    EXPECT_EQ(taken->status, 200);
+    const auto refused = cluster.poll(old, "j-1");
+    EXPECT_EQ(refused->status, 503);
+    EXPECT_TRUE(refused->close);  // the user's next try reaches another controller
+    EXPECT_GT(refused->retry_after_s, 0);
+    cluster.note("cut     ends");
+    cluster.partitioned_from_store.clear(), cluster.partitioned_from_peers.clear();
+    cluster.run(5);
+    EXPECT_EQ(cluster.leader(), fresh);
+    EXPECT_EQ(cluster.send_heartbeat(old, idle_report(++tick, cluster.store.token()))->status, 421);
+    EXPECT_EQ(cluster.poll(old, "j-1")->status, 200);
+}
+
+// In an outage of the store, nobody else can lead: the leader goes on answering its workers.
+TEST(Controller, StoreOutageKeepsWorkers) {
+    ClusterSimulator cluster("outage_of_all", 3);
+    cluster.run(5);
+    const int leader = cluster.leader();
+    std::uint64_t tick = 0;
+    cluster.note("outage  of the state service");
+    cluster.store_outage = true;
+    for (int i = 0; i < 20; ++i) {
+        cluster.run(1);
+        EXPECT_EQ(cluster.send_heartbeat(leader, idle_report(++tick, 1))->status, 200) << i;
+    }
+    const auto refused = cluster.submit(1, "j-1");
+    EXPECT_EQ(refused->status, 503);
+    EXPECT_GT(refused->retry_after_s, 0);
+    EXPECT_EQ(cluster.request(1, "GET", "/up")->status, 200);  // nobody would be better
+    cluster.note("outage  ends");
+    cluster.store_outage = false;
+    cluster.store.extend_leases(cluster.now());
+    cluster.run(3);
+    EXPECT_EQ(cluster.leader(), leader);
+    EXPECT_EQ(cluster.submit(1, "j-1")->status, 201);
+}
+
+// A leader paused with a start decided, its commit and its answer on their way, while its clock
+// runs on: when it goes on, the commit comes late and is refused, and the answer carries no start.
+TEST(Controller, PausedLeaderStartsNothing) {
+    ClusterSimulator cluster("frozen_leader", 3);
+    cluster.run(5);
+    const int old = cluster.leader(), other = (old + 1) % 3;
+    const auto token = cluster.store.token();
+    std::uint64_t tick = 0;
+    EXPECT_EQ(cluster.send_heartbeat(old, idle_report(++tick))->status, 200);
+    cluster.run(1);
+    const auto held = cluster.send_request(old, "POST", "/checkin",
+                                           ClusterSimulator::heartbeat_body(idle_report(++tick, token)));
+    cluster.run(0.1);
+    cluster.holding_commits = {old};
+    EXPECT_EQ(cluster.submit(other, "j-1")->status, 201);
+    while (cluster.held_commits[old].empty()) cluster.run(0.01);  // the placement is on its way
+    cluster.holding_commits.clear();
+    cluster.note("freeze  of c-" + std::to_string(old));
+    cluster.paused = {old};
+    cluster.run(12);
+    const int fresh = cluster.leader();
+    EXPECT_NE(fresh, old);
+    EXPECT_FALSE(*held);
+    // The machine finds the new leader, which gives it the job.
+    const auto at_fresh = cluster.send_heartbeat(fresh, idle_report(++tick, token));
+    EXPECT_EQ(at_fresh->status, 200);
+    cluster.note("freeze  ends");
+    const auto& late = cluster.held_commits[old].front();
+    EXPECT_EQ(cluster.store.answer(late.method, late.target, late.body, cluster.now()).status, 409);
+    cluster.paused.clear();
+    cluster.run(0.2);
+    ASSERT_TRUE(*held);
+    EXPECT_EQ((*held)->body.find("start"), std::string::npos);
+    cluster.note("late    answer of c-" + std::to_string(old) +
+                 " to m-1: " + std::to_string((*held)->status));
+    const auto first = cluster.send_heartbeat(fresh, idle_report(++tick, cluster.store.token()));
+    const auto second = cluster.send_heartbeat(fresh, idle_report(++tick, cluster.store.token()));
+    EXPECT_EQ(cluster.send_heartbeat(old, idle_report(tick, cluster.store.token()))->status, 421);
+    const bool started =
+        first->body.find("start") != std::string::npos || second->body.find("start") != std::string::npos;
+    EXPECT_TRUE(started);
+    cluster.run(3);
+    EXPECT_EQ(cluster.poll(old, "j-1")->status, 200);
+}
+
+// A candidate paused between its lease and its bid: the bid comes late, for a lease that has expired.
+TEST(Controller, PausedCandidateWinsNothing) {
+    ClusterSimulator cluster("frozen_candidate", 3);
+    cluster.run(5);
+    const int first = cluster.leader();
+    const int one = (first + 1) % 3, two = (first + 2) % 3;
+    cluster.note("end     of c-" + std::to_string(first));
+    cluster.kill(first);
+    const auto leases = cluster.store_requests["leases"];
+    while (cluster.store_requests["leases"] == leases) cluster.run(0.01);  // one of them asks for a lease
+    cluster.note("freeze  of both others");
+    cluster.paused = {one, two};
+    cluster.run(20);
+    EXPECT_EQ(cluster.store.leader(), "");
+    cluster.paused = {two};
+    cluster.note("freeze  ends for c-" + std::to_string(one));
+    cluster.run(6);
+    EXPECT_EQ(cluster.leader(), one);
+    const auto token = cluster.store.token();
+    cluster.paused.clear();
+    cluster.note("freeze  ends for c-" + std::to_string(two));
+    cluster.run(6);
+    EXPECT_EQ(cluster.store.token(), token);
+    EXPECT_EQ(cluster.send_heartbeat(one, idle_report(1))->status, 200);
+    EXPECT_EQ(cluster.send_heartbeat(two, idle_report(1))->status, 421);
+}
+
+// Restarted within a moment, in the middle of an election: the earlier process's bid comes late and wins a
+// term for a process that is gone. The new process must not renew that lease as its own.
+TEST(Controller, RestartDuringAnElection) {
+    ClusterSimulator cluster("restart_in_election", 3);
+    cluster.run(5);
+    const int first = cluster.leader();
+    const auto token = cluster.store.token();
+    const int one = (first + 1) % 3, two = (first + 2) % 3;
+    cluster.note("hold    the commits of c-" + std::to_string(one) + " and c-" + std::to_string(two));
+    cluster.holding_commits = {one, two};
+    cluster.note("end     of c-" + std::to_string(first));
+    cluster.kill(first);
+    while (cluster.held_commits[one].empty() || cluster.held_commits[two].empty()) cluster.run(0.1);
+    cluster.note("end     of the other two, back at once");
+    cluster.holding_commits.clear();
+    cluster.kill(one), cluster.kill(two);
+    for (const int n : {one, two})
+        for (const auto& r : cluster.held_commits[n]) {
+            const int status = cluster.store.answer(r.method, r.target, r.body, cluster.now()).status;
+            cluster.note("late    bid of the earlier c-" + std::to_string(n) +
+                         " arrives: " + std::to_string(status));
+        }
+    const auto dead = cluster.store.token();
+    cluster.restart(one), cluster.restart(two);
+    EXPECT_EQ(dead, token + 1);
+    cluster.run(2);
+    cluster.restart(first);
+    cluster.run(8);
+    EXPECT_GT(cluster.store.token(), dead);  // its lease was ended, not used
+    int leaders = 0;
+    for (int n = 0; n < 3; ++n) leaders += cluster.send_heartbeat(n, idle_report(1))->status == 200;
+    EXPECT_EQ(leaders, 1);
+    EXPECT_EQ(cluster.submit(one, "j-1")->status, 201);
+}
+
+// The store serves all controllers together: what one reads for its users is paced by their number.
+TEST(Controller, ReadsKeepToTheirShare) {
+    ClusterSimulator cluster("reads_paced", 5);
+    cluster.run(5);
+    EXPECT_EQ(cluster.submit(0, "j-1")->status, 201);
+    cluster.store_requests.clear();
+    const double from = cluster.now();
+    for (int i = 0; i < 60; ++i)
+        for (int n = 0; n < 5; ++n) EXPECT_EQ(cluster.poll(n, "j-1")->status, 200);
+    int total = 0;
+    for (const auto& [kind, n] : cluster.store_requests) total += n;
+    EXPECT_LT(total / (cluster.now() - from), 70);  // of the 100 a second that the settings allow
+    EXPECT_GT(cluster.store_requests["leases"] / (cluster.now() - from), 0.5);  // renewals go on
+}
+
+}  // namespace
+}  // namespace pineroad::test
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "world.hpp"
+#include "sample_jobs.hpp"
 
 namespace pineroad::test {
 namespace {
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -1,9 +1,11 @@
-// Jobs that depend on others: what the leader starts and writes (World), and what whole nodes tell users
-// while troubles come (Cluster). The fleet's referee judges too_early and orphaned with the other rules.
+// Jobs that depend on others: what the leader starts and writes (LeaderSimulator), and what whole controllers
+// answer users during faults (ClusterSimulator). The invariant checker watches too_early and orphaned with
+// the other rules.
 #include <boost/json.hpp>
 #include <ctime>
 
-#include "cluster.hpp"
+#include "cluster_simulator.hpp"
+#include "leader_simulator.hpp"
 
 namespace pineroad::test {
 namespace {
@@ -19,146 +21,148 @@
     return spec;
 }
 
-// Its first task is placed, started and running.
-void run_task(World& w, const std::string& task, const std::string& machine) {
-    w.decide(machine);
-    w.set(task, TaskState::running);
-    w.checkin(machine);
+// The task is placed, started and running.
+void run_task(LeaderSimulator& simulator, const std::string& task, const std::string& machine) {
+    simulator.plan_and_commit(machine);
+    simulator.set_task_state(task, TaskState::running);
+    simulator.send_heartbeat(machine);
 }
 
 // --- the leader --------------------------------------------------------------------------------------------
 
-// The last task of a dependency has ended and its leader knows; a takeover comes before the record. The new
-// leader knows of the end by a report alone, and starts what waits only after its own commit.
+// The last task of a dependency has ended and its leader knows; a failover comes before the record. The new
+// leader knows of the end by a heartbeat alone, and starts what waits only after its own commit.
 TEST(Dependencies, NoStartBetweenAnEndAndItsRecord) {
-    World w("dependency_end_in_takeover");
-    w.lead();
-    w.worker("m-1");
-    w.meet("m-1");
-    w.submit(array_job("j-1", 1));
-    w.submit(after("j-2", {"j-1"}));
-    run_task(w, "j-1/0", "m-1");
-    w.set("j-1/0", TaskState::exited, ExitCause::done);
-    w.checkin("m-1");
-    w.plan();
-    EXPECT_EQ(w.book().jobs().at("j-2").slots.size(), 0U);
-    w.lead();
-    w.meet("m-1");
-    w.plan();
-    EXPECT_TRUE(w.book().jobs().at("j-1").finished);
-    EXPECT_EQ(w.book().jobs().at("j-2").slots.size(), 0U);
-    w.commit();
-    w.decide("m-1");
-    EXPECT_EQ(w.book().jobs().at("j-2").slots.size(), 1U);
-    EXPECT_EQ(w.starts, 2);
+    LeaderSimulator simulator("dependency_end_in_takeover");
+    simulator.begin_term();
+    simulator.add_worker("m-1");
+    simulator.synchronize_worker("m-1");
+    simulator.submit(array_job("j-1", 1));
+    simulator.submit(after("j-2", {"j-1"}));
+    run_task(simulator, "j-1/0", "m-1");
+    simulator.set_task_state("j-1/0", TaskState::exited, ExitCause::done);
+    simulator.send_heartbeat("m-1");
+    simulator.plan();
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-2").slots.size(), 0U);
+    simulator.begin_term();
+    simulator.synchronize_worker("m-1");
+    simulator.plan();
+    EXPECT_TRUE(simulator.leader_state().jobs().at("j-1").finished);
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-2").slots.size(), 0U);
+    simulator.commit_all();
+    simulator.plan_and_commit("m-1");
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-2").slots.size(), 1U);
+    EXPECT_EQ(simulator.starts, 2);
 }
 
 // A leader that took over after the dependency had ended reads that from its final record, not from its
 // absence among the live ones; until it has, nothing starts.
 TEST(Dependencies, AbsenceIsNoEnd) {
-    World w("dependency_not_read");
-    w.lead();
-    w.worker("m-1");
-    w.submit(array_job("j-1", 1));
-    w.submit(after("j-2", {"j-1"}));
-    w.state.rows.erase(records::job_key("j-1"));
-    w.lead();
-    w.meet("m-1");
-    w.decide("m-1");
-    EXPECT_EQ(w.starts, 0);
-    w.state.put(records::final_key("j-1"), records::final_json({model::Final::done, w.wall_ms()}));
-    w.lead();
-    w.meet("m-1");
-    w.decide("m-1");
-    EXPECT_EQ(w.starts, 1);
+    LeaderSimulator simulator("dependency_not_read");
+    simulator.begin_term();
+    simulator.add_worker("m-1");
+    simulator.submit(array_job("j-1", 1));
+    simulator.submit(after("j-2", {"j-1"}));
+    simulator.store.rows.erase(records::job_key("j-1"));
+    simulator.begin_term();
+    simulator.synchronize_worker("m-1");
+    simulator.plan_and_commit("m-1");
+    EXPECT_EQ(simulator.starts, 0);
+    simulator.store.put(records::final_key("j-1"),
+                        records::final_json({model::Final::done, simulator.wall_ms()}));
+    simulator.begin_term();
+    simulator.synchronize_worker("m-1");
+    simulator.plan_and_commit("m-1");
+    EXPECT_EQ(simulator.starts, 1);
 }
 
-// A job that waits for others asks for nothing: no room, no rental, no place in the line. Its wait counts
+// A job that waits for others needs nothing: no room, no provisioning, no place in the queue. Its wait counts
 // from when it is ready, also under a later leader; its deadline from its submission.
 TEST(Dependencies, WaitingCountsFromWhenItIsReady) {
-    World w("dependency_wait_counts");
-    w.lead();
-    w.worker("m-90");
-    w.meet("m-90");
+    LeaderSimulator simulator("dependency_wait_counts");
+    simulator.begin_term();
+    simulator.add_worker("m-90");
+    simulator.synchronize_worker("m-90");
     auto first = array_job("j-1", 1);
     first.types = std::vector<std::string>{"g2"};  // there is none
-    w.submit(first);
+    simulator.submit(first);
     auto second = after("j-2", {"j-1"}, 6);
     second.estimate_s = 10;
-    w.submit(second);
-    w.decide("m-90");
-    const auto wanted = w.rent();
+    simulator.submit(second);
+    simulator.plan_and_commit("m-90");
+    const auto wanted = simulator.provision_machines();
     ASSERT_EQ(wanted.size(), 1U);
     EXPECT_EQ(wanted[0].type, "g2");
-    w.pass(600);
-    for (const auto& [id, worker] : w.workers) w.meet(id);
-    w.decide();
-    const auto machine = w.book().jobs().at("j-1").slots.at(0).machine;
-    w.checkin(machine);
-    w.set("j-1/0", TaskState::exited, ExitCause::done);
-    w.checkin(machine);
-    w.commit();
-    w.lead();
-    for (const auto& [id, worker] : w.workers) w.meet(id);
-    w.decide();
-    EXPECT_EQ(w.book().jobs().at("j-2").slots.size(), 6U);
-    EXPECT_LT(w.book().jobs().at("j-2").xfactor_at_start, 1.5);
+    simulator.advance(600);
+    for (const auto& [id, worker] : simulator.workers) simulator.synchronize_worker(id);
+    simulator.plan_and_commit();
+    const auto machine = simulator.leader_state().jobs().at("j-1").slots.at(0).machine;
+    simulator.send_heartbeat(machine);
+    simulator.set_task_state("j-1/0", TaskState::exited, ExitCause::done);
+    simulator.send_heartbeat(machine);
+    simulator.commit_all();
+    simulator.begin_term();
+    for (const auto& [id, worker] : simulator.workers) simulator.synchronize_worker(id);
+    simulator.plan_and_commit();
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-2").slots.size(), 6U);
+    EXPECT_LT(simulator.leader_state().jobs().at("j-2").xfactor_at_start, 1.5);
 }
 
-// Jobs after a cancelled one get their final records in batches that keep to the limits, across a takeover.
+// Jobs after a cancelled one get their final records in batches that keep to the limits, across a failover.
 TEST(Dependencies, WithdrawnRecordsAcrossATakeover) {
-    World w("dependency_fan_withdrawn");
-    w.config.txn_ops = 4;
-    w.config.value_kb = 2;
-    w.lead();
-    w.submit(array_job("j-0", 1));
-    for (int i = 1; i <= 8; ++i) w.submit(after("j-" + std::to_string(i), {"j-0"}));
-    w.cancel("j-0");
+    LeaderSimulator simulator("dependency_fan_withdrawn");
+    simulator.config.txn_ops = 4;
+    simulator.config.value_kb = 2;
+    simulator.begin_term();
+    simulator.submit(array_job("j-0", 1));
+    for (int i = 1; i <= 8; ++i) simulator.submit(after("j-" + std::to_string(i), {"j-0"}));
+    simulator.cancel("j-0");
     for (int i = 0; i < 2; ++i) {
-        const auto batch = w.take_batch();
+        const auto batch = simulator.next_batch();
         ASSERT_TRUE(batch);
-        w.apply(*batch);
+        simulator.apply_batch(*batch);
     }
-    EXPECT_EQ(w.status("j-1"), "withdrawn");
-    EXPECT_EQ(w.status("j-8"), "accepted");
-    w.lead();
-    w.commit();
-    for (int i = 1; i <= 8; ++i) EXPECT_EQ(w.status("j-" + std::to_string(i)), "withdrawn");
+    EXPECT_EQ(simulator.job_status("j-1"), "withdrawn");
+    EXPECT_EQ(simulator.job_status("j-8"), "accepted");
+    simulator.begin_term();
+    simulator.commit_all();
+    for (int i = 1; i <= 8; ++i) EXPECT_EQ(simulator.job_status("j-" + std::to_string(i)), "withdrawn");
 }
 
-// Some thousand waiting jobs cost a round next to nothing.
+// Some thousand waiting jobs cost a planning round next to nothing.
 TEST(Dependencies, WaitingJobsCostNoRoundItsTime) {
-    World w("dependency_many_waiting");
-    w.lead();
+    LeaderSimulator simulator("dependency_many_waiting");
+    simulator.begin_term();
     for (int i = 0; i < 50; ++i) {
-        w.worker("m-" + std::to_string(100 + i));
-        w.meet("m-" + std::to_string(100 + i));
+        simulator.add_worker("m-" + std::to_string(100 + i));
+        simulator.synchronize_worker("m-" + std::to_string(100 + i));
     }
     // Processor time: what else the machine does must not decide.
     const auto rounds = [&] {
         const auto from = std::clock();
         for (int i = 0; i < 20; ++i) {
-            w.pass(1);
-            w.plan();
+            simulator.advance(1);
+            simulator.plan();
         }
         return static_cast<double>(std::clock() - from) / CLOCKS_PER_SEC;
     };
     const double without = rounds();
-    w.submit(array_job("j-first", 1));
+    simulator.submit(array_job("j-first", 1));
     std::string last = "j-first";
     for (int i = 0; i < 4000; ++i) {
         auto spec = after("j-" + std::to_string(i), {last});
         if (i % 100 != 0) last = spec.id;
-        spec.accepted_ms = w.wall_ms();
-        w.add_silently(spec);
+        spec.accepted_ms = simulator.wall_ms();
+        simulator.add_accepted_job(spec);
     }
     const double with = rounds();
-    // 20 rounds over 4,000 jobs; a picture of each would take many times as long, sanitizers or not.
+    // 20 rounds over 4,000 jobs; a snapshot of each would take many times as long, sanitizers or not.
     EXPECT_LT(with, without + 1.0);
-    EXPECT_LE(w.book().jobs().at("j-first").slots.size(), 1U);
+    EXPECT_LE(simulator.leader_state().jobs().at("j-first").slots.size(), 1U);
 }
 
-// --- whole nodes -------------------------------------------------------------------------------------------
+// --- whole controllers
+// -------------------------------------------------------------------------------------------
 
 json::object waits_on(const std::vector<std::string>& ids) {
     json::array list;
@@ -166,26 +170,26 @@
     return {{"WaitsOn", list}};
 }
 
-class Pipelines : public Cluster {
+class PipelineCluster : public ClusterSimulator {
    public:
-    explicit Pipelines(const std::string& name, const ClusterOptions& options = {})
-        : Cluster(name, 3, options) {
-        fleet.capacity = 6;
+    explicit PipelineCluster(const std::string& trace, const ClusterOptions& options = {})
+        : ClusterSimulator(trace, 3, options) {
+        workers.cloud_capacity = 6;
         run(5);  // a leader, and the controllers have seen each other
     }
-    int accept(int node, const std::string& id, const std::vector<std::string>& before = {}) {
-        const auto r = submit(node, id, before.empty() ? json::object{} : waits_on(before));
+    int accept(int controller, const std::string& id, const std::vector<std::string>& before = {}) {
+        const auto r = submit(controller, id, before.empty() ? json::object{} : waits_on(before));
         return r ? r->status : 0;
     }
-    std::string status(int node, const std::string& id) {
-        const auto r = poll(node, id);
+    std::string status(int controller, const std::string& id) {
+        const auto r = poll(controller, id);
         if (!r || r->status != 200) return r ? std::to_string(r->status) : "no answer";
         return std::string(json::parse(r->body).at("Status").as_string());
     }
-    void everywhere(const std::string& id, const std::string& expected) {
-        for (int n = 0; n < nodes(); ++n) EXPECT_EQ(status(n, id), expected) << id << " at c-" << n;
+    void expect_status_everywhere(const std::string& id, const std::string& expected) {
+        for (int n = 0; n < controllers(); ++n) EXPECT_EQ(status(n, id), expected) << id << " at c-" << n;
     }
-    void until_done(const std::string& id, double at_most) {
+    void run_until_done(const std::string& id, double at_most) {
         for (const double until = now() + at_most; now() < until && status(0, id) != "done";) run(1);
         EXPECT_EQ(status(0, id), "done");
     }
@@ -193,171 +197,173 @@
 
 // Four stages, a diamond among them, through to the end; the last is submitted when the others are over.
 TEST(Pipelines, RunInOrder) {
-    Pipelines c("pipeline_in_order");
-    c.fleet.default_run_s = 5;
-    EXPECT_EQ(c.accept(0, "j-1"), 201);
-    EXPECT_EQ(c.accept(1, "j-2", {"j-1"}), 201);  // accepted a millisecond ago by another node
-    EXPECT_EQ(c.accept(2, "j-3", {"j-1", "j-1"}), 201);
-    EXPECT_EQ(c.accept(0, "j-4", {"j-2", "j-3"}), 201);
-    EXPECT_EQ(c.status(1, "j-4"), "queued");
-    c.until_done("j-4", 60);
-    EXPECT_EQ(c.accept(1, "j-5", {"j-4", "j-1"}), 201);
-    c.until_done("j-5", 30);
-    EXPECT_EQ(c.fleet.starts, 5);
+    PipelineCluster cluster("pipeline_in_order");
+    cluster.workers.default_task_run_s = 5;
+    EXPECT_EQ(cluster.accept(0, "j-1"), 201);
+    EXPECT_EQ(cluster.accept(1, "j-2", {"j-1"}), 201);  // accepted a millisecond ago by another controller
+    EXPECT_EQ(cluster.accept(2, "j-3", {"j-1", "j-1"}), 201);
+    EXPECT_EQ(cluster.accept(0, "j-4", {"j-2", "j-3"}), 201);
+    EXPECT_EQ(cluster.status(1, "j-4"), "queued");
+    cluster.run_until_done("j-4", 60);
+    EXPECT_EQ(cluster.accept(1, "j-5", {"j-4", "j-1"}), 201);
+    cluster.run_until_done("j-5", 30);
+    EXPECT_EQ(cluster.workers.starts, 5);
 }
 
-// What is wrong with a list is said at once, and a job that is known gets its state whatever the list says.
+// What is wrong with a list is answered at once, and a job that is known gets its status whatever the list
+// says.
 TEST(Pipelines, BadListsAreRefusedWithAReason) {
-    Pipelines c("pipeline_bad_lists");
-    EXPECT_EQ(c.accept(0, "j-1"), 201);
+    PipelineCluster cluster("pipeline_bad_lists");
+    EXPECT_EQ(cluster.accept(0, "j-1"), 201);
     for (const auto& bad :
          {json::value("j-1"), json::value(7), json::value(json::object{}), json::value(json::array{1}),
           json::value(json::array{"x-1"}), json::value(json::array{nullptr})}) {
-        const auto r = c.submit(1, "j-2", {{"WaitsOn", bad}});
+        const auto r = cluster.submit(1, "j-2", {{"WaitsOn", bad}});
         EXPECT_EQ(r->status, 400);
         EXPECT_NE(r->body.find("WaitsOn"), std::string::npos);
     }
-    const auto unknown = c.submit(1, "j-2", waits_on({"j-1", "j-404"}));
+    const auto unknown = cluster.submit(1, "j-2", waits_on({"j-1", "j-404"}));
     EXPECT_EQ(unknown->status, 422);
     EXPECT_NE(unknown->body.find("j-404"), std::string::npos);
-    const auto itself = c.submit(1, "j-2", waits_on({"j-2"}));
+    const auto itself = cluster.submit(1, "j-2", waits_on({"j-2"}));
     EXPECT_EQ(itself->status, 422);
     EXPECT_NE(itself->body.find("j-2"), std::string::npos);
-    EXPECT_EQ(c.submit(0, "j-3", {{"Shape", "standing"}})->status, 201);
-    const auto service = c.submit(1, "j-2", waits_on({"j-3"}));
+    EXPECT_EQ(cluster.submit(0, "j-3", {{"Shape", "standing"}})->status, 201);
+    const auto service = cluster.submit(1, "j-2", waits_on({"j-3"}));
     EXPECT_EQ(service->status, 422);
     EXPECT_NE(service->body.find("j-3"), std::string::npos);
-    EXPECT_EQ(c.submit(1, "j-2", {{"WaitsOn", nullptr}})->status, 201);
-    EXPECT_EQ(c.submit(2, "j-4", {{"WaitsOn", json::array{}}})->status, 201);
-    EXPECT_EQ(c.submit(2, "j-2", waits_on({"j-404"}))->status, 200);
-    // Without the state service nobody can tell that a job was never accepted.
-    c.refused = {1};
-    const auto undecidable = c.submit(1, "j-5", waits_on({"j-404"}));
+    EXPECT_EQ(cluster.submit(1, "j-2", {{"WaitsOn", nullptr}})->status, 201);
+    EXPECT_EQ(cluster.submit(2, "j-4", {{"WaitsOn", json::array{}}})->status, 201);
+    EXPECT_EQ(cluster.submit(2, "j-2", waits_on({"j-404"}))->status, 200);
+    // Without the store no controller can tell that a job was never accepted.
+    cluster.rejected_by_store = {1};
+    const auto undecidable = cluster.submit(1, "j-5", waits_on({"j-404"}));
     EXPECT_EQ(undecidable->status, 503);
     EXPECT_GT(undecidable->retry_after_s, 0);
 }
 
-// Right after a cancellation every node says the same of all that comes after, also in an outage, from
-// memory.
+// Right after a cancellation every controller answers the same about all dependent jobs, also from memory
+// alone.
 TEST(Pipelines, CancelledWithWhatTheyDependOn) {
-    Pipelines c("pipeline_cancelled");
-    EXPECT_EQ(c.accept(0, "j-1"), 201);
+    PipelineCluster cluster("pipeline_cancelled");
+    EXPECT_EQ(cluster.accept(0, "j-1"), 201);
     std::string last = "j-1";
     for (int i = 1; i <= 50; ++i) {
         const auto id = "j-c" + std::to_string(i);
-        EXPECT_EQ(c.accept(i % 3, id, {last}), 201);
+        EXPECT_EQ(cluster.accept(i % 3, id, {last}), 201);
         last = id;
     }
-    EXPECT_EQ(c.accept(0, "j-2", {"j-1"}), 201);
-    EXPECT_EQ(c.accept(1, "j-3", {"j-1", "j-2"}), 201);
-    c.run(15);
-    EXPECT_EQ(c.cancel(1, "j-1")->status, 200);
-    for (const auto* id : {"j-c1", "j-c50", "j-2", "j-3"}) c.everywhere(id, "withdrawn");
-    EXPECT_EQ(c.accept(2, "j-4", {"j-c50"}), 201);
-    EXPECT_EQ(c.status(0, "j-4"), "withdrawn");
-    EXPECT_EQ(json::parse(c.cancel(0, "j-c7")->body).at("Status"), "withdrawn");
-    c.run(60);
-    c.everywhere("j-c25", "withdrawn");
-    EXPECT_EQ(c.fleet.starts, 1);
+    EXPECT_EQ(cluster.accept(0, "j-2", {"j-1"}), 201);
+    EXPECT_EQ(cluster.accept(1, "j-3", {"j-1", "j-2"}), 201);
+    cluster.run(15);
+    EXPECT_EQ(cluster.cancel(1, "j-1")->status, 200);
+    for (const auto* id : {"j-c1", "j-c50", "j-2", "j-3"}) cluster.expect_status_everywhere(id, "withdrawn");
+    EXPECT_EQ(cluster.accept(2, "j-4", {"j-c50"}), 201);
+    EXPECT_EQ(cluster.status(0, "j-4"), "withdrawn");
+    EXPECT_EQ(json::parse(cluster.cancel(0, "j-c7")->body).at("Status"), "withdrawn");
+    cluster.run(60);
+    cluster.expect_status_everywhere("j-c25", "withdrawn");
+    EXPECT_EQ(cluster.workers.starts, 1);
 }
 
-// Cancelled as an outage of all begins, and told: a peer that was told vouches for what it heard, and all
-// that comes after stays withdrawn across the outage, a takeover and a new life of every process.
+// Cancelled and confirmed as an outage of the store begins: a peer that was informed confirms it too, and all
+// dependent jobs stay withdrawn across the outage, a failover and a restart of every process.
 TEST(Pipelines, FanCancelledInAnOutageAndAcrossATakeover) {
-    Pipelines c("pipeline_fan_in_outage");
-    EXPECT_EQ(c.accept(0, "j-1"), 201);
-    for (int i = 0; i < 500; ++i) c.state.put_job(after("j-f" + std::to_string(i), {"j-1"}), c.now());
-    c.run(2);
-    EXPECT_EQ(c.status(2, "j-f499"), "queued");
-    const int old = c.leader(), teller = (old + 1) % 3;
-    EXPECT_EQ(c.cancel(teller, "j-1")->status, 200);
-    c.note("outage  of the state service");
-    c.state_out = true;
-    c.run(3);
-    EXPECT_EQ(c.status(teller, "j-f0"), "withdrawn");
-    EXPECT_EQ(c.status(old, "j-f499"), "withdrawn");
-    c.end(old);
-    c.run(10);
-    c.note("outage  ends");
-    c.state_out = false;
-    c.state.extend_leases(c.now());
-    c.restart(old);
-    c.run(12);
-    c.everywhere("j-f250", "withdrawn");
-    for (int n = 0; n < 3; ++n) c.restart(n);  // no process remembers anything
-    c.run(8);
-    c.everywhere("j-f499", "withdrawn");
-    c.run(90);
-    EXPECT_EQ(c.state.live_jobs(), 0U);
-    EXPECT_EQ(c.fleet.starts_after_told, 0);
+    PipelineCluster cluster("pipeline_fan_in_outage");
+    EXPECT_EQ(cluster.accept(0, "j-1"), 201);
+    for (int i = 0; i < 500; ++i)
+        cluster.store.put_job(after("j-f" + std::to_string(i), {"j-1"}), cluster.now());
+    cluster.run(2);
+    EXPECT_EQ(cluster.status(2, "j-f499"), "queued");
+    const int old = cluster.leader(), confirming = (old + 1) % 3;
+    EXPECT_EQ(cluster.cancel(confirming, "j-1")->status, 200);
+    cluster.note("outage  of the state service");
+    cluster.store_outage = true;
+    cluster.run(3);
+    EXPECT_EQ(cluster.status(confirming, "j-f0"), "withdrawn");
+    EXPECT_EQ(cluster.status(old, "j-f499"), "withdrawn");
+    cluster.kill(old);
+    cluster.run(10);
+    cluster.note("outage  ends");
+    cluster.store_outage = false;
+    cluster.store.extend_leases(cluster.now());
+    cluster.restart(old);
+    cluster.run(12);
+    cluster.expect_status_everywhere("j-f250", "withdrawn");
+    for (int n = 0; n < 3; ++n) cluster.restart(n);  // no process has anything in memory
+    cluster.run(8);
+    cluster.expect_status_everywhere("j-f499", "withdrawn");
+    cluster.run(90);
+    EXPECT_EQ(cluster.store.live_jobs(), 0U);
+    EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
 
-// A cancellation meets the end of a dependency: whichever is first holds for all after it.
+// A cancellation meets the end of a dependency: whichever is first holds for all dependent jobs.
 TEST(Pipelines, CancelMeetsTheEndOfADependency) {
-    Pipelines c("pipeline_cancel_meets_end");
+    PipelineCluster cluster("pipeline_cancel_meets_end");
     std::vector<std::string> jobs;
     for (int i = 1; i <= 5; ++i) {
         jobs.push_back("j-" + std::to_string(i));
-        c.fleet.run_s[jobs.back() + "/0"] = 20;
-        EXPECT_EQ(c.accept(0, jobs.back()), 201);
-        EXPECT_EQ(c.accept(0, jobs.back() + "next", {jobs.back()}), 201);
+        cluster.workers.task_run_s[jobs.back() + "/0"] = 20;
+        EXPECT_EQ(cluster.accept(0, jobs.back()), 201);
+        EXPECT_EQ(cluster.accept(0, jobs.back() + "next", {jobs.back()}), 201);
     }
-    c.run_to_first_end(jobs.size());
-    c.fleet.default_run_s = 3;
+    cluster.run_until_first_task_ends(jobs.size());
+    cluster.workers.default_task_run_s = 3;
     for (int n = 0; const auto& id : jobs) {
-        const auto r = c.cancel(n % 3, id);
-        const auto told = std::string(json::parse(r->body).at("Status").as_string());
-        const auto next = c.status((n + 1) % 3, id + "next");
-        EXPECT_EQ(told == "withdrawn", next == "withdrawn") << id;
-        c.run(0.04 * ++n);
+        const auto r = cluster.cancel(n % 3, id);
+        const auto answered = std::string(json::parse(r->body).at("Status").as_string());
+        const auto next = cluster.status((n + 1) % 3, id + "next");
+        EXPECT_EQ(answered == "withdrawn", next == "withdrawn") << id;
+        cluster.run(0.04 * ++n);
     }
-    c.run(30);
+    cluster.run(30);
     for (const auto& id : jobs)
-        EXPECT_EQ(c.status(0, id) == "done", c.status(1, id + "next") == "done") << id;
+        EXPECT_EQ(cluster.status(0, id) == "done", cluster.status(1, id + "next") == "done") << id;
 }
 
-// Dependencies that ended long ago are in no memory: every process has begun anew since. A list may name one
+// Dependencies that ended long ago are in no memory: every process was restarted since. A list may name one
 // of another team, and a job may arrive while what it needs is being cancelled.
 TEST(Pipelines, DependenciesOverLongAgo) {
-    Pipelines c("pipeline_long_ago");
-    c.fleet.run_s["j-1/0"] = 2;
-    c.fleet.default_run_s = 40;
-    EXPECT_EQ(c.submit(0, "j-1", {{"Crew", "capped"}})->status, 201);
-    EXPECT_EQ(c.accept(0, "j-2"), 201);
-    EXPECT_EQ(c.cancel(1, "j-2")->status, 200);
-    EXPECT_EQ(c.accept(0, "j-3"), 201);
-    EXPECT_EQ(c.accept(0, "j-4", {"j-3", "j-1"}), 201);
-    c.until_done("j-1", 30);
-    for (int n = 0; n < 3; ++n) c.restart(n);
-    c.run(8);
-    EXPECT_EQ(c.accept(0, "j-5", {"j-1"}), 201);
-    EXPECT_EQ(c.accept(1, "j-6", {"j-2"}), 201);
-    EXPECT_EQ(c.status(2, "j-6"), "withdrawn");
-    EXPECT_EQ(c.accept(1, "j-6", {"j-2"}), 200);
-    EXPECT_EQ(c.accept(2, "j-7"), 201);
-    const auto cancelling = c.send(0, "POST", "/submissions/j-7/cancel");
-    EXPECT_EQ(c.accept(1, "j-8", {"j-7"}), 201);
-    c.run(1);
+    PipelineCluster cluster("pipeline_long_ago");
+    cluster.workers.task_run_s["j-1/0"] = 2;
+    cluster.workers.default_task_run_s = 40;
+    EXPECT_EQ(cluster.submit(0, "j-1", {{"Crew", "capped"}})->status, 201);
+    EXPECT_EQ(cluster.accept(0, "j-2"), 201);
+    EXPECT_EQ(cluster.cancel(1, "j-2")->status, 200);
+    EXPECT_EQ(cluster.accept(0, "j-3"), 201);
+    EXPECT_EQ(cluster.accept(0, "j-4", {"j-3", "j-1"}), 201);
+    cluster.run_until_done("j-1", 30);
+    for (int n = 0; n < 3; ++n) cluster.restart(n);
+    cluster.run(8);
+    EXPECT_EQ(cluster.accept(0, "j-5", {"j-1"}), 201);
+    EXPECT_EQ(cluster.accept(1, "j-6", {"j-2"}), 201);
+    EXPECT_EQ(cluster.status(2, "j-6"), "withdrawn");
+    EXPECT_EQ(cluster.accept(1, "j-6", {"j-2"}), 200);
+    EXPECT_EQ(cluster.accept(2, "j-7"), 201);
+    const auto cancelling = cluster.send_request(0, "POST", "/submissions/j-7/cancel");
+    EXPECT_EQ(cluster.accept(1, "j-8", {"j-7"}), 201);
+    cluster.run(1);
     ASSERT_TRUE(*cancelling);
-    c.everywhere("j-8", "withdrawn");
-    c.until_done("j-4", 120);  // its first dependency was over before the new leader's life
-    c.until_done("j-5", 60);
+    cluster.expect_status_everywhere("j-8", "withdrawn");
+    cluster.run_until_done("j-4", 120);  // its first dependency was over before the new leader began
+    cluster.run_until_done("j-5", 60);
 }
 
 // The first answer of a new process, a moment after it has read the live records: the end of the first job is
-// not among these, so that it has to be looked up before anybody is told.
+// not among these, so that it has to be looked up before any answer.
 TEST(Pipelines, FirstAnswerOfANewProcess) {
-    Pipelines c("pipeline_first_answer");
-    for (int n = 0; n < 3; ++n) c.end(n);
-    c.state.put_job(after("j-2", {"j-1"}), c.now());
-    c.state.put_job(after("j-3", {"j-2"}), c.now());
-    c.state.put(records::final_key("j-1"), records::final_json({model::Final::cancelled, 1}));
-    c.run(1);
-    c.restart(1);
+    PipelineCluster cluster("pipeline_first_answer");
+    for (int n = 0; n < 3; ++n) cluster.kill(n);
+    cluster.store.put_job(after("j-2", {"j-1"}), cluster.now());
+    cluster.store.put_job(after("j-3", {"j-2"}), cluster.now());
+    cluster.store.put(records::final_key("j-1"), records::final_json({model::Final::cancelled, 1}));
+    cluster.run(1);
+    cluster.restart(1);
     std::string first;
     for (int i = 0; i < 400 && first.size() != std::string("withdrawn").size(); ++i) {
-        const auto answer = c.send(1, "GET", "/submissions/j-3");
-        for (int wait = 0; wait < 400 && !*answer; ++wait) c.run(0.005);
+        const auto answer = cluster.send_request(1, "GET", "/submissions/j-3");
+        for (int wait = 0; wait < 400 && !*answer; ++wait) cluster.run(0.005);
         ASSERT_TRUE(*answer);
         if ((*answer)->status == 503) continue;
         ASSERT_EQ((*answer)->status, 200);
@@ -368,38 +374,38 @@
     EXPECT_EQ(first, "withdrawn");
 }
 
-// A few hundred names are accepted at the smallest limits, in one transaction; beyond the bound the user is
-// told, and the job is not known.
+// A few hundred names are accepted at the smallest limits, in one transaction; beyond the bound the user gets
+// an error, and the job is not known.
 TEST(Pipelines, LongListsAreAcceptedWholeOrNotAtAll) {
     ClusterOptions small;
     small.adjust = [](config::Settings& s) { s.value_kb = 2, s.txn_ops = 4; };
-    Pipelines c("pipeline_long_lists", small);
-    c.state.value_bytes = 2048, c.state.txn_ops = 4;
-    c.fleet.capacity = 0;
+    PipelineCluster cluster("pipeline_long_lists", small);
+    cluster.store.value_bytes = 2048, cluster.store.txn_ops = 4;
+    cluster.workers.cloud_capacity = 0;
     std::vector<std::string> names;
     for (int i = 0; i < 500; ++i) names.push_back("j-" + std::to_string(100000 + i));
-    for (const auto& id : names) c.state.put_job(after(id, {}), c.now());
-    c.run(1);
-    EXPECT_EQ(c.accept(0, "j-all", names), 201);
-    for (int n = 0; n < 3; ++n) EXPECT_EQ(c.accept(n, "j-all", names), 200);
-    c.everywhere("j-all", "queued");
-    c.restart((c.leader() + 1) % 3);
-    c.run(6);
-    EXPECT_EQ(c.cancel(0, names.back())->status, 200);
-    c.everywhere("j-all", "withdrawn");
-    c.run(30);
-    EXPECT_EQ(c.state.rows_under(records::dependencies_prefix), 0U);
+    for (const auto& id : names) cluster.store.put_job(after(id, {}), cluster.now());
+    cluster.run(1);
+    EXPECT_EQ(cluster.accept(0, "j-all", names), 201);
+    for (int n = 0; n < 3; ++n) EXPECT_EQ(cluster.accept(n, "j-all", names), 200);
+    cluster.expect_status_everywhere("j-all", "queued");
+    cluster.restart((cluster.leader() + 1) % 3);
+    cluster.run(6);
+    EXPECT_EQ(cluster.cancel(0, names.back())->status, 200);
+    cluster.expect_status_everywhere("j-all", "withdrawn");
+    cluster.run(30);
+    EXPECT_EQ(cluster.store.rows_under(records::dependencies_prefix), 0U);
     auto more = names;
     more.pop_back();
     more.insert(more.end(), {"j-100000", "j-1", "j-2"});
-    EXPECT_EQ(c.accept(0, "j-more", more), 400);
+    EXPECT_EQ(cluster.accept(0, "j-more", more), 400);
     std::vector<std::string> long_names;
     for (int i = 0; i < 300; ++i) long_names.push_back("j-" + std::string(32, 'x') + std::to_string(i));
-    for (const auto& id : long_names) c.state.put_job(after(id, {}), c.now());
-    c.run(1);
-    EXPECT_EQ(c.accept(0, "j-long", long_names), 400);
-    c.everywhere("j-long", "404");
-    EXPECT_EQ(c.state.refused_commits, 0);
+    for (const auto& id : long_names) cluster.store.put_job(after(id, {}), cluster.now());
+    cluster.run(1);
+    EXPECT_EQ(cluster.accept(0, "j-long", long_names), 400);
+    cluster.expect_status_everywhere("j-long", "404");
+    EXPECT_EQ(cluster.store.refused_commits, 0);
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/invariant_checker.cpp
@@ -0,0 +1,101 @@
+#include "invariant_checker.hpp"
+
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <boost/json.hpp>
+
+namespace pineroad::test {
+
+namespace json = boost::json;
+
+void InvariantChecker::job_submitted(const json::object& submission) {
+    Job job;
+    job.team = submission.at("Crew").as_string();
+    if (submission.contains("Yard") && submission.at("Yard").is_string())
+        job.zone = submission.at("Yard").as_string();
+    job.tasks = submission.at("Pieces").to_number<std::uint64_t>();
+    job.gpus = submission.at("Accelerators").to_number<double>();
+    if (const auto* list = submission.if_contains("WaitsOn"); list && list->is_array())
+        for (const auto& id : list->get_array())
+            if (id.is_string()) job.dependencies.emplace_back(id.get_string());
+    jobs_.emplace(submission.at("NameId").as_string(), job);
+}
+
+std::optional<double> InvariantChecker::dependency_cancelled_at(const std::string& job) const {
+    std::optional<double> earliest;
+    std::set<std::string> seen;
+    std::vector<std::string> pending{job};
+    while (!pending.empty()) {
+        const auto at = jobs_.find(pending.back());
+        pending.pop_back();
+        if (at == jobs_.end()) continue;
+        for (const auto& dependency : at->second.dependencies) {
+            if (!seen.insert(dependency).second) continue;
+            pending.push_back(dependency);
+            const auto confirmed = confirmed_cancellations_.find(dependency);
+            if (confirmed == confirmed_cancellations_.end()) continue;
+            earliest = std::min(earliest.value_or(confirmed->second), confirmed->second);
+        }
+    }
+    return earliest;
+}
+
+void InvariantChecker::job_status_confirmed(const std::string& id, const std::string& status, double now) {
+    const auto cancelled_at = dependency_cancelled_at(id);
+    const bool live = status == "queued" || status == "running";
+    EXPECT_FALSE(live && cancelled_at && now > *cancelled_at + cancel_s)
+        << "orphaned: " << id << " " << status;
+    if (status == "withdrawn") confirmed_cancellations_.emplace(id, now);
+    EXPECT_FALSE(status != "withdrawn" && cancellation_confirmed(id)) << "went_back: " << id << " " << status;
+    const auto at = jobs_.find(id);
+    if (at == jobs_.end()) return;
+    auto& job = at->second;
+    EXPECT_FALSE(status != "done" && job.completion_confirmed) << "went_back: " << id << " " << status;
+    EXPECT_TRUE(status != "done" || job.completed.size() == job.tasks) << "not_done: " << id;
+    job.completion_confirmed |= status == "done";
+}
+
+void InvariantChecker::task_completed(const model::TaskId& task) {
+    jobs_[task.job].completed.insert(task.index);
+}
+
+bool InvariantChecker::cancellation_confirmed(const std::string& job) const {
+    return confirmed_cancellations_.contains(job);
+}
+
+double InvariantChecker::gpus_of(const std::string& team) const {
+    double gpus = 0;
+    for (const auto& [id, machine] : machines_)
+        for (const auto& task : machine.tasks)
+            if (task.executes() && jobs_.at(task.id.job).team == team) gpus += jobs_.at(task.id.job).gpus;
+    return gpus;
+}
+
+void InvariantChecker::check_start(const SimulatedMachine& machine, const SimulatedTask& task) const {
+    const auto& job = jobs_.at(task.id.job);
+    for (const auto& dependency : job.dependencies)
+        EXPECT_EQ(jobs_.at(dependency).completed.size(), jobs_.at(dependency).tasks)
+            << "too_early: " << name_of(task.id) << " before " << dependency;
+    EXPECT_TRUE(job.zone.empty() || job.zone == machine.zone)
+        << "wrong_place: " << name_of(task.id) << " on " << machine.id;
+    for (const auto& [id, other] : machines_)
+        for (const auto& running : other.tasks) {
+            if (!running.executes()) continue;
+            EXPECT_FALSE(id != machine.id && running.id == task.id)
+                << "ran_twice: " << name_of(task.id) << " on " << id << " and " << machine.id;
+        }
+    EXPECT_TRUE(job.team != "capped" || gpus_of(job.team) <= team_gpus_max) << "quota: " << name_of(task.id);
+}
+
+void InvariantChecker::check_execution(const SimulatedMachine& machine, const SimulatedTask& task,
+                                       double now) {
+    if (!task.executes()) return;
+    const auto cancelled = confirmed_cancellations_.find(task.id.job);
+    if (cancelled == confirmed_cancellations_.end() || now <= cancelled->second + cancel_s) return;
+    if (!violating_tasks_.insert(name_of(task.id)).second) return;
+    ADD_FAILURE() << "ran_cancelled: " << name_of(task.id) << " on " << machine.id << " "
+                  << now - cancelled->second << " s after its cancellation was confirmed";
+}
+
+}  // namespace pineroad::test
--- /dev/null
+++ b/tests/invariant_checker.hpp
@@ -0,0 +1,57 @@
+/// The protocol's rules, checked at every step of a simulated cluster: from what machines really run and
+/// what users were really answered, which no controller can see at once. A violation fails the test with the
+/// rule's name (ran_twice, ran_cancelled, went_back, not_done, too_early, orphaned, quota, wrong_place).
+#pragma once
+
+#include <boost/json/object.hpp>
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "simulated_machine.hpp"
+
+namespace pineroad::test {
+
+class InvariantChecker {
+   public:
+    explicit InvariantChecker(const SimulatedMachines& machines) : machines_(machines) {}
+
+    /// A job in the form of a submission, before it is sent.
+    void job_submitted(const boost::json::object& submission);
+    /// A user got an answer that shows the job's status: what was confirmed may not be taken back.
+    void job_status_confirmed(const std::string& job, const std::string& status, double now);
+    void task_completed(const model::TaskId& task);
+    /// A task that has its image starts to execute.
+    void check_start(const SimulatedMachine& machine, const SimulatedTask& task) const;
+    /// A task may not execute longer than cancel_s after its cancellation was confirmed; once a task.
+    void check_execution(const SimulatedMachine& machine, const SimulatedTask& task, double now);
+
+    [[nodiscard]] bool cancellation_confirmed(const std::string& job) const;
+
+    double cancel_s = 66;      ///< from a confirmed cancellation until nothing of it executes
+    double team_gpus_max = 2;  ///< of the team "capped", as in settings()
+
+   private:
+    struct Job {
+        std::string team, zone;
+        std::uint64_t tasks = 1;
+        double gpus = 1;
+        std::vector<std::string> dependencies;
+        bool completion_confirmed = false;
+        std::set<std::uint32_t> completed;
+    };
+    /// The earliest confirmed cancellation of a job that this one depends on, through others too.
+    [[nodiscard]] std::optional<double> dependency_cancelled_at(const std::string& job) const;
+    /// Of the team's executing tasks.
+    [[nodiscard]] double gpus_of(const std::string& team) const;
+
+    const SimulatedMachines& machines_;
+    std::map<std::string, Job> jobs_;
+    std::map<std::string, double> confirmed_cancellations_;  // when
+    std::set<std::string> violating_tasks_;                  // that were reported
+};
+
+}  // namespace pineroad::test
--- /dev/null
+++ b/tests/leader_simulator.cpp
@@ -0,0 +1,393 @@
+#include "leader_simulator.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <boost/json/serialize.hpp>
+#include <sstream>
+#include <utility>
+
+namespace pineroad::test {
+
+namespace records = wire::records;
+using model::ExitCause;
+using model::Order;
+using model::TaskState;
+
+namespace {
+
+std::string describe(const Order& order) {
+    const std::string task =
+        order.task.job + "/" + std::to_string(order.task.index) + "#" + std::to_string(order.attempt);
+    if (order.op == Order::Op::start) return "start " + task;
+    if (order.op == Order::Op::forget) return "reap " + task;
+    std::ostringstream out;
+    out << "stop " << task << " grace " << order.grace_s;
+    return out.str();
+}
+
+std::string describe(const model::ReportedTask& task) {
+    static const char* const states[] = {"fetching", "waiting", "running", "saving", "ended"};
+    return task.task.job + "/" + std::to_string(task.task.index) + "#" + std::to_string(task.attempt) + ":" +
+           states[static_cast<int>(task.state)];
+}
+
+}  // namespace
+
+// --- the store ---------------------------------------------------------------------------------------------
+
+std::optional<std::uint64_t> SimulatedStore::commit(const wire::Transaction& transaction) {
+    for (const auto& condition : transaction.when) {
+        const auto row = rows.find(condition.key);
+        if ((row == rows.end() ? 0 : row->second.stamp) != condition.stamp) return std::nullopt;
+    }
+    ++epoch;
+    for (const auto& change : transaction.apply) {
+        if (change.value)
+            rows[change.key] = {*change.value, epoch};
+        else
+            rows.erase(change.key);
+    }
+    return epoch;
+}
+
+void SimulatedStore::put(const std::string& key, wire::Json value) {
+    rows[key] = {std::move(value), ++epoch};
+}
+
+// --- users -------------------------------------------------------------------------------------------------
+
+LeaderSimulator::LeaderSimulator(const std::string& trace) : trace_(trace) {
+    spdlog::set_level(spdlog::level::off);
+}
+
+void LeaderSimulator::submit(model::JobSpec spec) {
+    spec.accepted_ms = wall_ms();
+    wire::Transaction transaction;
+    transaction.when = {{records::job_key(spec.id), 0}, {records::final_key(spec.id), 0}};
+    transaction.apply = {{records::job_key(spec.id), records::job_json(spec), std::nullopt}};
+    const auto revision = store.commit(transaction);
+    note("user    submits " + spec.id + ": " + std::to_string(spec.tasks) + " tasks" +
+         (revision ? "" : ", known already"));
+    specs[spec.id] = spec;
+    if (!revision || !leader_state_) return;
+    add_accepted_job(spec);
+    if (watch_cache_->dependencies().is_cancelled(spec.id)) leader_state_->job_withdrawn(spec.id, now);
+}
+
+void LeaderSimulator::add_accepted_job(const model::JobSpec& spec) {
+    watch_cache_->apply_row(records::job_key(spec.id), records::job_json(spec), store.epoch, now);
+    leader_state_->job_added(spec, store.epoch, now);
+}
+
+// What the leader's process learns of a job's end.
+void LeaderSimulator::record_ending(const std::string& id, const model::Ending& ending) {
+    watch_cache_->apply_drop(records::job_key(id));
+    watch_cache_->learn_final(id, ending, store.epoch);
+}
+
+bool LeaderSimulator::cancel(const std::string& id, bool leader_learns) {
+    const auto row = store.rows.find(records::job_key(id));
+    if (row == store.rows.end()) return false;
+    const model::Ending ending{model::Final::cancelled, wall_ms()};
+    wire::Transaction transaction;
+    transaction.when = {{records::job_key(id), row->second.stamp}, {records::final_key(id), 0}};
+    transaction.apply = {{records::job_key(id), std::nullopt, std::nullopt},
+                         {records::final_key(id), records::final_json(ending), std::nullopt}};
+    const bool committed = store.commit(transaction).has_value();
+    note("user    cancels " + id + (committed ? ": withdrawn" : ": too late"));
+    if (committed) cancelled_at[id] = now;
+    if (committed && leader_learns && leader_state_) {
+        leader_state_->job_cancelled(id, now);
+        record_ending(id, ending);
+    }
+    return committed;
+}
+
+std::string LeaderSimulator::job_status(const std::string& id) const {
+    if (const auto row = store.rows.find(records::final_key(id)); row != store.rows.end())
+        return records::parse_final(row->second.value)->final == model::Final::done ? "done" : "withdrawn";
+    return store.rows.contains(records::job_key(id)) ? "accepted" : "unknown";
+}
+
+// --- the leader --------------------------------------------------------------------------------------------
+
+void LeaderSimulator::begin_term() {
+    const std::string leader_key(records::leader_key);
+    ++token_;
+    store.put(leader_key, records::leader_json({"c-0", token_, token_, token_}));
+    leader_state_ =
+        std::make_unique<control::Book>(config, tuning, token_, store.rows.at(leader_key).stamp, now);
+    leader_state_->set_types(machine_types());
+    watch_cache_ = std::make_unique<control::Mirror>();
+    for (const auto& [key, row] : store.rows) watch_cache_->apply_row(key, row.value, row.stamp, now);
+    watch_cache_->on_dependencies = [this](const model::DependencyGraph::Change& change) {
+        for (const auto& id : change.cancelled) leader_state_->job_withdrawn(id, now);
+    };
+    leader_state_->load(*watch_cache_, now, wall_ms());
+    if (record_parts_allowed) leader_state_->allow_parts();
+    note("term    " + std::to_string(token_) + " begins");
+}
+
+void LeaderSimulator::plan() {
+    leader_state_->tick(now);
+    leader_state_->plan(now, wall_ms(), {});
+}
+
+std::optional<control::Batch> LeaderSimulator::next_batch(std::size_t operations) {
+    return leader_state_->next_batch(operations);
+}
+
+bool LeaderSimulator::apply_batch(const control::Batch& batch) {
+    std::string keys;
+    for (const auto& change : batch.txn.apply) keys += (change.value ? " +" : " -") + change.key.substr(3);
+    const auto revision = store.commit(batch.txn);
+    note("commit " + keys + (revision ? "" : ": refused"));
+    for (const auto& change : batch.txn.apply)
+        if (change.value) {
+            EXPECT_LE(boost::json::serialize(*change.value).size(), config.value_kb * 1024);
+        }
+    EXPECT_LE(batch.txn.apply.size(), static_cast<std::size_t>(config.txn_ops));
+    EXPECT_LE(batch.txn.when.size(), 4 * static_cast<std::size_t>(config.txn_ops));
+    if (!revision) return false;
+    leader_state_->committed(batch, *revision, now, wall_ms());
+    for (const auto& end : batch.finals) record_ending(end.job, end.ending);
+    return true;
+}
+
+bool LeaderSimulator::commit_all() {
+    constexpr int most_batches = 50;
+    for (int i = 0; i < most_batches; ++i) {
+        const auto batch = next_batch();
+        if (!batch) return true;
+        if (!apply_batch(*batch)) return false;
+    }
+    return true;
+}
+
+void LeaderSimulator::plan_and_commit(const std::string& machine) {
+    plan();
+    commit_all();
+    if (!machine.empty()) send_heartbeat(machine);
+}
+
+// --- workers -----------------------------------------------------------------------------------------------
+
+LeaderSimulator::Worker& LeaderSimulator::add_worker(const std::string& id, const std::string& type,
+                                                     const std::string& zone, bool spot) {
+    auto& worker = workers[id];
+    worker.id = id;
+    worker.type = type;
+    worker.zone = zone;
+    worker.spot = spot;
+    return worker;
+}
+
+void LeaderSimulator::add_ready_workers(const std::vector<std::string>& ids) {
+    for (const auto& id : ids) {
+        add_worker(id);
+        synchronize_worker(id);
+    }
+}
+
+model::Report LeaderSimulator::next_heartbeat(Worker& worker) {
+    model::Report r;
+    r.machine = worker.id;
+    r.address = "10.0.0.9:1";
+    r.type = worker.type;
+    r.zone = worker.zone;
+    r.spot = worker.spot;
+    r.session = worker.session;
+    r.tick = ++worker.tick;
+    r.token = worker.token;
+    r.notice_s = worker.notice_s;
+    r.tasks = worker.tasks;
+    return r;
+}
+
+std::vector<Order> LeaderSimulator::send_heartbeat(const std::string& id, bool lost_answer) {
+    Worker& worker = workers.at(id);
+    const bool fresh = leader_state_->absorb(next_heartbeat(worker), now);
+    const auto orders = fresh ? leader_state_->orders_for(id, true, now) : std::vector<Order>{};
+    std::string line =
+        "report  " + id + " (" + std::to_string(worker.session) + "," + std::to_string(worker.tick) + ")";
+    for (const auto& task : worker.tasks) line += " " + describe(task);
+    note(line + (fresh ? "" : " is stale"));
+    for (const auto& order : orders)
+        note("answer  " + id + ": " + describe(order) + (lost_answer ? " (lost)" : ""));
+    if (!lost_answer) execute(worker, orders, leader_state_->token());
+    return orders;
+}
+
+void LeaderSimulator::send_heartbeats(const std::vector<std::string>& ids) {
+    for (const auto& id : ids) send_heartbeat(id);
+}
+
+void LeaderSimulator::execute(Worker& worker, const std::vector<Order>& orders, std::uint64_t token) {
+    if (token < worker.token) return;
+    worker.token = token;
+    for (const auto& order : orders) {
+        const auto task = std::find_if(worker.tasks.begin(), worker.tasks.end(), [&](const auto& t) {
+            return t.task == order.task && t.attempt == order.attempt;
+        });
+        const bool known = task != worker.tasks.end();
+        if (order.op == Order::Op::start) {
+            if (!known) execute_start(worker, order);
+        } else if (known && order.op == Order::Op::forget) {
+            if (task->state == TaskState::exited) worker.tasks.erase(task);
+        } else if (known && task->state != TaskState::exited) {
+            execute_stop(*task, order);
+        }
+    }
+}
+
+void LeaderSimulator::execute_start(Worker& worker, const Order& order) {
+    ++starts;
+    check_start(worker, order.task);
+    worker.tasks.push_back({order.task, order.attempt, TaskState::fetching, ExitCause::none, false});
+}
+
+void LeaderSimulator::execute_stop(model::ReportedTask& task, const Order& order) const {
+    const auto& spec = specs.at(order.task.job);
+    if (task.state == TaskState::running && spec.checkpoint_s > 0 && order.grace_s >= spec.save_s)
+        task.state = TaskState::saving;
+    else
+        task = {task.task, task.attempt, TaskState::exited, ExitCause::stopped, false};
+}
+
+void LeaderSimulator::deliver_direct_commands() {
+    for (const auto& direct : leader_state_->direct_orders()) {
+        auto& worker = workers.at(direct.machine);
+        for (const auto& order : direct.orders) note("/do     " + direct.machine + ": " + describe(order));
+        if (!worker.hung && direct.session == worker.session)
+            execute(worker, direct.orders, leader_state_->token());
+    }
+}
+
+void LeaderSimulator::set_task_state(const std::string& name, TaskState state, ExitCause cause, bool saved) {
+    for (auto& [id, worker] : workers)
+        for (auto& task : worker.tasks) {
+            if (task.task.job + "/" + std::to_string(task.task.index) != name) continue;
+            if (task.state == TaskState::exited) continue;
+            task.state = state;
+            task.cause = cause;
+            task.saved = saved;
+        }
+}
+
+void LeaderSimulator::expire_worker_lease(const std::string& id) {
+    auto& worker = workers.at(id);
+    worker.tasks.clear();
+    ++worker.session;
+    note("worker  " + id + ": its lease ran out, session " + std::to_string(worker.session));
+}
+
+void LeaderSimulator::synchronize_worker(const std::string& id) {
+    send_heartbeat(id);
+    advance(0.5);
+    send_heartbeat(id);
+}
+
+void LeaderSimulator::run_placed_tasks(const std::string& machine) {
+    plan_and_commit(machine);
+    for (auto& task : workers.at(machine).tasks)
+        if (task.state == TaskState::fetching) task.state = TaskState::running;
+    advance(0.5);
+    send_heartbeat(machine);
+}
+
+void LeaderSimulator::run_job(const model::JobSpec& spec, const std::string& machine) {
+    submit(spec);
+    run_placed_tasks(machine);
+}
+
+// --- invariants of every start -----------------------------------------------------------------------------
+// By what all simulated workers hold, which no leader can see at once.
+
+void LeaderSimulator::check_start(const Worker& worker, const model::TaskId& task) const {
+    for (const auto& [id, other] : workers)
+        for (const auto& t : other.tasks) {
+            if (t.state == TaskState::exited) continue;
+            EXPECT_FALSE(t.task == task && id != worker.id)
+                << "ran_twice: " << task.job << "/" << task.index << " on " << id << " and " << worker.id;
+        }
+    const auto& spec = specs.at(task.job);
+    check_quota(spec);
+    check_place(worker, spec);
+    const auto cancelled = cancelled_at.find(task.job);
+    EXPECT_TRUE(cancelled == cancelled_at.end() || now <= cancelled->second + config.cancel_s)
+        << "ran_cancelled: " << task.job;
+}
+
+void LeaderSimulator::check_quota(const model::JobSpec& spec) const {
+    double cpus = spec.need.cpus;
+    double gpus = spec.need.gpus;
+    for (const auto& [id, worker] : workers)
+        for (const auto& task : worker.tasks) {
+            const auto& other = specs.at(task.task.job);
+            if (task.state == TaskState::exited || other.team != spec.team) continue;
+            cpus += other.need.cpus;
+            gpus += other.need.gpus;
+        }
+    for (const auto& team : config.teams) {
+        if (team.name != spec.team) continue;
+        EXPECT_TRUE(team.cpus_max <= 0 || cpus <= team.cpus_max) << "quota: " << spec.team;
+        EXPECT_TRUE(team.gpus_max <= 0 || gpus <= team.gpus_max) << "quota: " << spec.team;
+    }
+}
+
+void LeaderSimulator::check_place(const Worker& worker, const model::JobSpec& spec) const {
+    std::map<std::string, std::uint32_t> tasks_by_zone{{worker.zone, 1}};
+    for (const auto& [id, other] : workers)
+        for (const auto& task : other.tasks)
+            if (task.state != TaskState::exited && task.task.job == spec.id) ++tasks_by_zone[other.zone];
+    EXPECT_TRUE(sched::allowed_on(spec, worker.type, worker.zone, worker.spot))
+        << "wrong_place: " << spec.id << " on " << worker.id;
+    EXPECT_TRUE(!spec.one_zone || tasks_by_zone.size() == 1) << "wrong_place: " << spec.id << " in two zones";
+    for (const auto& [zone, tasks] : tasks_by_zone)
+        EXPECT_TRUE(!spec.spread || tasks <= (spec.tasks + 1) / 2)
+            << "wrong_place: too many of " << spec.id << " in " << zone;
+}
+
+// --- cloud -------------------------------------------------------------------------------------------------
+
+std::vector<model::Rental> LeaderSimulator::provision_machines() {
+    std::vector<model::Rental> out;
+    while (const auto request = leader_state_->next_rental()) {
+        auto& machines = provisioned_[request->name];
+        const bool again = !machines.empty();
+        while (machines.size() < request->count)
+            machines.push_back("m-" + std::to_string(++provisioned_count_));
+        std::string line = "cloud   " + request->name + ": " + std::to_string(request->count) + " " +
+                           request->type + " in " + request->zone + (request->spot ? ", spot" : "") +
+                           (again ? ", as before:" : ":");
+        for (const auto& id : machines) {
+            line += " " + id;
+            if (!workers.contains(id)) add_worker(id, request->type, request->zone, request->spot);
+        }
+        note(line);
+        leader_state_->rented(request->name, machines, now);
+        out.push_back(*request);
+    }
+    return out;
+}
+
+void LeaderSimulator::release_machines() {
+    const auto ids = leader_state_->next_releases(now);
+    if (ids.empty()) return;
+    std::string line = "cloud   released";
+    for (const auto& id : ids) {
+        line += " " + id;
+        workers.erase(id);
+    }
+    note(line);
+    leader_state_->released(ids, now);
+}
+
+StartedLeader::StartedLeader(const std::string& trace, const std::vector<std::string>& ready_workers)
+    : LeaderSimulator(trace) {
+    begin_term();
+    add_ready_workers(ready_workers);
+}
+
+}  // namespace pineroad::test
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -110,7 +110,7 @@
     config::Settings s;
     s.max_sockets = 3362;
     s.peers.resize(2);
-    EXPECT_GT(net::share_sockets(s).workers(), 2090U);  // every machine of a fleet half as large again
+    EXPECT_GT(net::share_sockets(s).workers(), 2090U);  // every machine of a deployment half as large again
 }
 
 }  // namespace
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -1,56 +1,56 @@
 // Quotas, one zone, spread: constraints that count what may still run unseen.
-#include "world.hpp"
+#include "leader_simulator.hpp"
 
 namespace pineroad::test {
 namespace {
 
 // The quota counts what may still run on machines without a heartbeat in this term.
 TEST(PlacementConstraints, QuotaCountsUnknownTasks) {
-    StartedLeader w("team_limit", {"m-1"});
-    w.worker("m-2");
+    StartedLeader simulator("team_limit", {"m-1"});
+    simulator.add_worker("m-2");
     auto job = array_job("j-1", 3);
     job.team = "capped";  // 2 GPUs
-    w.run_job(job, "m-1");
-    EXPECT_EQ(w.starts, 2);
-    w.lead();
-    w.meet("m-2");
-    w.decide("m-2");
-    EXPECT_EQ(w.starts, 2);
+    simulator.run_job(job, "m-1");
+    EXPECT_EQ(simulator.starts, 2);
+    simulator.begin_term();
+    simulator.synchronize_worker("m-2");
+    simulator.plan_and_commit("m-2");
+    EXPECT_EQ(simulator.starts, 2);
 }
 
 // One zone counts tasks on machines without a heartbeat too: until such a machine's zone is known, no
 // zone is allowed.
 TEST(PlacementConstraints, OneZoneCountsUnknownTasks) {
-    StartedLeader w("together");
-    w.worker("m-1", "g4", "a");
-    w.worker("m-2", "g4", "b");
-    w.meet("m-1");
+    StartedLeader simulator("together");
+    simulator.add_worker("m-1", "g4", "a");
+    simulator.add_worker("m-2", "g4", "b");
+    simulator.synchronize_worker("m-1");
     auto job = array_job("j-1", 5);
     job.one_zone = true;
-    w.run_job(job, "m-1");
-    EXPECT_EQ(w.starts, 4);
-    w.meet("m-2");
-    w.decide("m-2");
-    EXPECT_EQ(w.starts, 4);
-    w.lead();
-    w.meet("m-2");
-    w.decide("m-2");
-    EXPECT_EQ(w.starts, 4);
+    simulator.run_job(job, "m-1");
+    EXPECT_EQ(simulator.starts, 4);
+    simulator.synchronize_worker("m-2");
+    simulator.plan_and_commit("m-2");
+    EXPECT_EQ(simulator.starts, 4);
+    simulator.begin_term();
+    simulator.synchronize_worker("m-2");
+    simulator.plan_and_commit("m-2");
+    EXPECT_EQ(simulator.starts, 4);
 }
 
 // Of a spread job at most half, rounded up, is placed in one zone.
 TEST(PlacementConstraints, SpreadPlacesAtMostHalfInOneZone) {
-    StartedLeader w("spread");
-    w.worker("m-1", "g4", "a");
-    w.meet("m-1");
+    StartedLeader simulator("spread");
+    simulator.add_worker("m-1", "g4", "a");
+    simulator.synchronize_worker("m-1");
     auto job = array_job("j-1", 3);
     job.spread = true;
-    w.run_job(job, "m-1");
-    EXPECT_EQ(w.starts, 2);
-    w.worker("m-2", "g4", "b");
-    w.meet("m-2");
-    w.run_placed_tasks("m-2");
-    EXPECT_EQ(w.starts, 3);
+    simulator.run_job(job, "m-1");
+    EXPECT_EQ(simulator.starts, 2);
+    simulator.add_worker("m-2", "g4", "b");
+    simulator.synchronize_worker("m-2");
+    simulator.run_placed_tasks("m-2");
+    EXPECT_EQ(simulator.starts, 3);
 }
 
 }  // namespace
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,54 +1,54 @@
 // The leader's state at the size of the largest deployment.
-#include "world.hpp"
+#include "leader_simulator.hpp"
 
 namespace pineroad::test {
 namespace {
 
 // What a quarter of a minute costs in commits and changes, and that every job is placed.
 TEST(Scale, TwoThousandMachines) {
-    World w("at_size");
-    w.config.report_s = 8;
-    w.lead();
+    LeaderSimulator simulator("at_size");
+    simulator.config.report_s = 8;
+    simulator.begin_term();
     const int machines = 2300, jobs = 300;
     for (int i = 0; i < machines; ++i) {
         const auto id = "m-" + std::to_string(10000 + i);
-        auto& m = w.worker(id);
-        w.book().absorb(w.report(m), w.now);
-        m.token = w.book().token();
-        w.book().absorb(w.report(m), w.now);
+        auto& m = simulator.add_worker(id);
+        simulator.leader_state().absorb(simulator.next_heartbeat(m), simulator.now);
+        m.token = simulator.leader_state().token();
+        simulator.leader_state().absorb(simulator.next_heartbeat(m), simulator.now);
     }
     for (int i = 0; i < jobs; ++i) {
         auto job = i % 3 ? array_job("j-" + std::to_string(1000 + i), 15)
                          : gang_job("j-" + std::to_string(1000 + i), 1U << (i / 3 % 5));
-        w.specs[job.id] = job;
-        job.accepted_ms = w.wall_ms();
-        w.book().job_added(job, 1, w.now);
+        simulator.specs[job.id] = job;
+        job.accepted_ms = simulator.wall_ms();
+        simulator.leader_state().job_added(job, 1, simulator.now);
     }
     std::size_t commits = 0, changes = 0;
     for (int round = 0; round < 40; ++round) {
-        w.plan();
-        while (const auto batch = w.take_batch()) {
-            ASSERT_LE(batch->txn.apply.size(), static_cast<std::size_t>(w.config.txn_ops));
+        simulator.plan();
+        while (const auto batch = simulator.next_batch()) {
+            ASSERT_LE(batch->txn.apply.size(), static_cast<std::size_t>(simulator.config.txn_ops));
             ++commits, changes += batch->txn.apply.size();
-            const auto epoch = w.state.commit(batch->txn);
-            if (!epoch) break;  // the finals: this world's jobs were never accepted through it
-            w.book().committed(*batch, *epoch, w.now, w.wall_ms());
+            const auto epoch = simulator.store.commit(batch->txn);
+            if (!epoch) break;  // the finals: this simulator's jobs were never accepted through it
+            simulator.leader_state().committed(*batch, *epoch, simulator.now, simulator.wall_ms());
         }
-        w.pass(0.4);
+        simulator.advance(0.4);
     }
     std::size_t placed = 0, whole = 0;
-    for (const auto& [id, job] : w.book().jobs()) {
+    for (const auto& [id, job] : simulator.leader_state().jobs()) {
         placed += job.slots.size();
         whole += job.slots.size() == job.spec->tasks;
     }
-    w.note(std::to_string(jobs) + " jobs, " + std::to_string(machines) + " machines: " +
-           std::to_string(placed) + " tasks placed, " + std::to_string(whole) + " jobs whole");
-    w.note(std::to_string(commits) + " commits, " + std::to_string(changes) + " changes");
+    simulator.note(std::to_string(jobs) + " jobs, " + std::to_string(machines) + " machines: " +
+                   std::to_string(placed) + " tasks placed, " + std::to_string(whole) + " jobs whole");
+    simulator.note(std::to_string(commits) + " commits, " + std::to_string(changes) + " changes");
     EXPECT_EQ(whole, static_cast<std::size_t>(jobs));
     EXPECT_LT(changes, 60U);  // one record a job took 300
     // Every machine's tasks are found without a walk over the jobs: the index agrees with the slots.
     std::size_t indexed = 0;
-    for (const auto& [id, m] : w.book().machines()) indexed += m.tasks.size();
+    for (const auto& [id, m] : simulator.leader_state().machines()) indexed += m.tasks.size();
     EXPECT_EQ(indexed, placed);
 }
 
--- a/tests/sched_test.cpp
+++ b/tests/sched_test.cpp
@@ -1,7 +1,7 @@
 // The pure scheduler: ordering, placement, suspension, capacity.
 #include <gtest/gtest.h>
 
-#include "world.hpp"
+#include "leader_simulator.hpp"
 
 namespace pineroad::test {
 namespace {
--- /dev/null
+++ b/tests/simulated_machine.cpp
@@ -0,0 +1,26 @@
+#include "simulated_machine.hpp"
+
+#include <algorithm>
+
+namespace pineroad::test {
+
+bool SimulatedMachine::has_task_of(const std::string& job) const {
+    return std::any_of(tasks.begin(), tasks.end(),
+                       [&](const SimulatedTask& task) { return task.id.job == job; });
+}
+
+std::size_t SimulatedMachine::executing_tasks() const {
+    return static_cast<std::size_t>(
+        std::count_if(tasks.begin(), tasks.end(), [](const SimulatedTask& task) { return task.executes(); }));
+}
+
+const char* name_of(model::TaskState state) {
+    static const char* const names[] = {"fetching", "waiting", "running", "saving", "ended"};
+    return names[static_cast<int>(state)];
+}
+
+std::string name_of(const model::TaskId& id) {
+    return id.job + "/" + std::to_string(id.index);
+}
+
+}  // namespace pineroad::test
--- /dev/null
+++ b/tests/simulated_machine.hpp
@@ -0,0 +1,62 @@
+/// A machine of a simulated cluster: its worker, the tasks on it, and what may be wrong with it.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "model/model.hpp"
+#include "net/http.hpp"
+
+namespace pineroad::test {
+
+struct MachineFault {
+    bool hung = false;                ///< executes nothing, and may go on at any moment
+    bool inbound_partition = false;   ///< heartbeats arrive; answers and direct commands are lost
+    bool outbound_partition = false;  ///< reaches no controller, while direct commands reach it
+};
+
+struct SimulatedTask {
+    model::TaskId id;
+    std::uint64_t attempt = 0;
+    model::TaskState state = model::TaskState::fetching;
+    model::ExitCause cause = model::ExitCause::none;
+    bool saved = false;
+    double fetched_at = 0, ran_s = 0, saves_until = 0;
+
+    /// It occupies its machine's resources: it has its image and has not ended.
+    [[nodiscard]] bool executes() const {
+        return state == model::TaskState::running || state == model::TaskState::saving;
+    }
+};
+
+struct SimulatedMachine {
+    std::string id, zone, type;
+    bool spot = false;
+    MachineFault fault;
+    double provisioned_at = 0;
+    std::uint64_t session = 1, tick = 0, token = 0;
+    std::vector<SimulatedTask> tasks;
+    int controller = 0;  ///< that its heartbeats go to
+    double lease_from = 0, next_heartbeat = 0;
+    double sent_at = -1;   ///< of the heartbeat that waits for its answer; negative: none does
+    bool changed = false;  ///< since the last heartbeat
+    std::shared_ptr<std::optional<net::Reply>> answer;
+    std::vector<std::pair<int, std::string>> held_commands;  ///< direct ones, while it hangs
+
+    [[nodiscard]] bool has_task_of(const std::string& job) const;
+    [[nodiscard]] std::size_t executing_tasks() const;
+};
+
+using SimulatedMachines = std::map<std::string, SimulatedMachine>;
+
+/// "fetching", "waiting", "running", "saving" or "ended", as the protocol writes it.
+const char* name_of(model::TaskState state);
+/// JOB/INDEX
+std::string name_of(const model::TaskId& id);
+
+}  // namespace pineroad::test
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -3,7 +3,8 @@
 #include <boost/json.hpp>
 #include <fstream>
 
-#include "cluster.hpp"
+#include "cluster_simulator.hpp"
+#include "leader_simulator.hpp"
 #include "wire/gossip.hpp"
 
 namespace pineroad::test {
@@ -27,25 +28,25 @@
     return out;
 }
 
-// A state service as version 0.4 left it: a job of 240 tasks in one entry of 4 KB, a gang, and progress of a
+// A store as version 0.4 left it: a job of 240 tasks in one entry of 4 KB, a gang, and progress of a
 // job that its user has withdrawn.
-class Earlier : public World {
+class StoreOfVersion04 : public LeaderSimulator {
    public:
-    explicit Earlier(const std::string& name) : World(name) {
+    explicit StoreOfVersion04(const std::string& trace) : LeaderSimulator(trace) {
         const auto kept = fixture();
         for (const auto& row : kept.at("rows").as_array()) {
             const std::string key(row.at("key").as_string());
-            state.rows[key] = {row.at("value"), row.at("stamp").to_number<std::uint64_t>()};
-            state.epoch = std::max(state.epoch, state.rows[key].stamp);
+            store.rows[key] = {row.at("value"), row.at("stamp").to_number<std::uint64_t>()};
+            store.epoch = std::max(store.epoch, store.rows[key].stamp);
         }
         for (const auto* id : {"j-000001", "j-000002", "j-000003", "j-000004"})
             specs[id] = array_job(id, id == std::string("j-000001") ? 240 : 4);
         config.value_kb = 2, config.present_value_kb = 16, config.txn_ops = 4;
     }
-    // What a leader would read now.
-    std::map<std::uint32_t, std::string> read(const std::string& job) {
+    // What a leader would read now: the machine of each task.
+    std::map<std::uint32_t, std::string> placements_read(const std::string& job) {
         control::Mirror mirror;
-        for (const auto& [key, row] : state.rows) mirror.apply_row(key, row.value, row.stamp, now);
+        for (const auto& [key, row] : store.rows) mirror.apply_row(key, row.value, row.stamp, now);
         control::Book reader(config, tuning, 99, 1, now);
         reader.load(mirror, now);
         std::map<std::uint32_t, std::string> out;
@@ -53,65 +54,66 @@
         return out;
     }
     void add_workers() {
-        for (int i = 0; i < 50; ++i) worker("m-" + std::to_string(100000 + i));
+        for (int i = 0; i < 50; ++i) add_worker("m-" + std::to_string(100000 + i));
     }
 };
 
 TEST(Upgrade, RecordsOfVersion04AreRead) {
-    Earlier w("upgrade_records");
-    w.lead();
-    const auto& wide = w.book().jobs().at("j-000001");
+    StoreOfVersion04 simulator("upgrade_records");
+    simulator.begin_term();
+    const auto& wide = simulator.leader_state().jobs().at("j-000001");
     EXPECT_EQ(wide.record.done_count(), 20U);
     EXPECT_EQ(wide.slots.size(), 197U);
     EXPECT_FALSE(wide.split);
-    EXPECT_EQ(w.book().jobs().at("j-000002").slots.size(), 0U);  // found no room
-    const auto& withdrawn = w.book().jobs().at("j-000004");
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-000002").slots.size(), 0U);  // found no room
+    const auto& withdrawn = simulator.leader_state().jobs().at("j-000004");
     EXPECT_TRUE(withdrawn.cancelled);
     EXPECT_EQ(withdrawn.slots.size(), 3U);  // still there until proven off
-    EXPECT_FALSE(w.book().jobs().contains("j-000003"));
+    EXPECT_FALSE(simulator.leader_state().jobs().contains("j-000003"));
 }
 
 // The limit has fallen with large records in place. They are superseded in tasks that fit; whenever a new
 // leader comes, it reads every placement once.
 TEST(Upgrade, LargeRecordsAreSupersededInPieces) {
-    Earlier w("upgrade_split");
-    w.parts_allowed = true;
-    w.lead();
-    w.add_workers();
-    const auto placed = w.read("j-000001");
+    StoreOfVersion04 simulator("upgrade_split");
+    simulator.record_parts_allowed = true;
+    simulator.begin_term();
+    simulator.add_workers();
+    const auto placed = simulator.placements_read("j-000001");
     const std::string gone = placed.begin()->second;
-    w.workers.erase(gone);
-    w.book().released({gone}, w.now);
+    simulator.workers.erase(gone);
+    simulator.leader_state().released({gone}, simulator.now);
     std::size_t batches = 0;
-    while (const auto batch = w.take_batch()) {
-        ASSERT_TRUE(w.apply(*batch));  // judged against the limits by the stand-in
+    while (const auto batch = simulator.next_batch()) {
+        ASSERT_TRUE(simulator.apply_batch(*batch));  // checked against the limits by the simulator
         ++batches;
-        for (const auto& [index, slot] : w.book().jobs().at("j-000001").slots)
-            EXPECT_EQ(w.read("j-000001").at(index), slot.machine);
-        for (const auto& [index, machine] : w.read("j-000001")) EXPECT_EQ(placed.at(index), machine);
+        for (const auto& [index, slot] : simulator.leader_state().jobs().at("j-000001").slots)
+            EXPECT_EQ(simulator.placements_read("j-000001").at(index), slot.machine);
+        for (const auto& [index, machine] : simulator.placements_read("j-000001"))
+            EXPECT_EQ(placed.at(index), machine);
         if (batches != 1) continue;
-        w.lead();  // in the middle of it; the new leader is told of the release again
-        w.book().released({gone}, w.now);
+        simulator.begin_term();  // in the middle of it; the new leader learns of the release again
+        simulator.leader_state().released({gone}, simulator.now);
     }
     EXPECT_GE(batches, 3U);
-    const auto after = w.read("j-000001");
+    const auto after = simulator.placements_read("j-000001");
     for (const auto& [index, machine] : after) EXPECT_NE(machine, gone);
-    w.lead();
-    EXPECT_TRUE(w.book().jobs().at("j-000001").split);
-    EXPECT_EQ(w.book().jobs().at("j-000001").record.done_count(), 20U);
-    EXPECT_EQ(w.book().jobs().at("j-000001").slots.size(), after.size());
+    simulator.begin_term();
+    EXPECT_TRUE(simulator.leader_state().jobs().at("j-000001").split);
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-000001").record.done_count(), 20U);
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-000001").slots.size(), after.size());
 }
 
 // While another controller may be of the earlier version nothing is split: a record that is too large for the
 // limit to come is written under the one in force, and never again once that is refused.
 TEST(Upgrade, NothingIsSplitBeforeAllReadIt) {
-    Earlier w("upgrade_not_split");
-    w.lead();
-    w.add_workers();
-    const auto gone = w.read("j-000001").begin()->second;
-    w.book().released({gone}, w.now);
+    StoreOfVersion04 simulator("upgrade_not_split");
+    simulator.begin_term();
+    simulator.add_workers();
+    const auto gone = simulator.placements_read("j-000001").begin()->second;
+    simulator.leader_state().released({gone}, simulator.now);
     bool whole = false;
-    const auto first = w.take_batch();
+    const auto first = simulator.next_batch();
     ASSERT_TRUE(first);
     for (const auto& change : first->txn.apply) {
         if (!change.value || !records::under(change.key, records::segment_prefix)) continue;
@@ -123,17 +125,18 @@
         }
     }
     EXPECT_TRUE(whole);
-    EXPECT_TRUE(w.book().batch_refused());
-    while (const auto batch = w.take_batch()) ASSERT_TRUE(w.apply(*batch));
-    w.book().allow_parts();
-    w.book().released({w.read("j-000001").begin()->second}, w.now);
-    w.pass(2);
-    w.plan();
-    while (const auto batch = w.take_batch()) ASSERT_TRUE(w.apply(*batch));
-    EXPECT_EQ(w.read("j-000001").size(), w.book().jobs().at("j-000001").slots.size());
+    EXPECT_TRUE(simulator.leader_state().batch_refused());
+    while (const auto batch = simulator.next_batch()) ASSERT_TRUE(simulator.apply_batch(*batch));
+    simulator.leader_state().allow_parts();
+    simulator.leader_state().released({simulator.placements_read("j-000001").begin()->second}, simulator.now);
+    simulator.advance(2);
+    simulator.plan();
+    while (const auto batch = simulator.next_batch()) ASSERT_TRUE(simulator.apply_batch(*batch));
+    EXPECT_EQ(simulator.placements_read("j-000001").size(),
+              simulator.leader_state().jobs().at("j-000001").slots.size());
 }
 
-// The earlier version needs its nine fields and skips others; ours are read, and tell of no format.
+// The earlier version needs its nine fields and skips others; ours are read, and name no format.
 TEST(Upgrade, MessagesOfVersion04AreRead) {
     const auto kept = fixture();
     const auto earlier = wire::parse_gossip(from_hex(std::string(kept.at("gossip").as_string())));
@@ -164,93 +167,94 @@
 // A job with dependencies waits for the last controller of the earlier version, which would start it at once;
 // then it is accepted within seconds. Other jobs never wait.
 TEST(Upgrade, DependenciesWaitForTheLastController) {
-    Cluster c("upgrade_gate", 3, earlier_version());
-    c.fleet.capacity = 6;
-    c.run(5);
-    EXPECT_EQ(c.submit(0, "j-1")->status, 201);
-    c.upgrade(0);
-    c.run(6);
-    c.upgrade(1);
-    c.run(6);
-    const auto early = c.submit(0, "j-2", waits_on_first);
+    ClusterSimulator cluster("upgrade_gate", 3, earlier_version());
+    cluster.workers.cloud_capacity = 6;
+    cluster.run(5);
+    EXPECT_EQ(cluster.submit(0, "j-1")->status, 201);
+    cluster.upgrade(0);
+    cluster.run(6);
+    cluster.upgrade(1);
+    cluster.run(6);
+    const auto early = cluster.submit(0, "j-2", waits_on_first);
     EXPECT_EQ(early->status, 503);
     EXPECT_GT(early->retry_after_s, 0);
-    EXPECT_EQ(c.submit(1, "j-3")->status, 201);
-    c.run(30);  // the one of the earlier version is not silent
-    EXPECT_EQ(c.submit(0, "j-2", waits_on_first)->status, 503);
-    c.upgrade(2);
-    c.run(8);
-    EXPECT_EQ(c.submit(2, "j-2", waits_on_first)->status, 201);
+    EXPECT_EQ(cluster.submit(1, "j-3")->status, 201);
+    cluster.run(30);  // the one of the earlier version is not silent
+    EXPECT_EQ(cluster.submit(0, "j-2", waits_on_first)->status, 503);
+    cluster.upgrade(2);
+    cluster.run(8);
+    EXPECT_EQ(cluster.submit(2, "j-2", waits_on_first)->status, 201);
 }
 
 // A controller that is away when the others are replaced, and was never seen since, is waited for until a
 // user asks, and then for some seconds only.
 TEST(Upgrade, AControllerThatIsAwayDoesNotBlock) {
-    Cluster c("upgrade_away", 3, earlier_version());
-    c.fleet.capacity = 6;
-    c.run(5);
-    c.end(2);
-    c.note("end     of c-2");
-    for (const int n : {0, 1}) c.upgrade(n);
-    c.run(40);
-    EXPECT_EQ(c.submit(0, "j-1")->status, 201);
-    EXPECT_EQ(c.submit(0, "j-2", waits_on_first)->status, 503);
-    c.run(3);
-    EXPECT_EQ(c.submit(0, "j-2", waits_on_first)->status, 201);
-    c.upgrade(2);
-    c.run(6);
-    EXPECT_EQ(c.poll(2, "j-2")->status, 200);
+    ClusterSimulator cluster("upgrade_away", 3, earlier_version());
+    cluster.workers.cloud_capacity = 6;
+    cluster.run(5);
+    cluster.kill(2);
+    cluster.note("end     of c-2");
+    for (const int n : {0, 1}) cluster.upgrade(n);
+    cluster.run(40);
+    EXPECT_EQ(cluster.submit(0, "j-1")->status, 201);
+    EXPECT_EQ(cluster.submit(0, "j-2", waits_on_first)->status, 503);
+    cluster.run(3);
+    EXPECT_EQ(cluster.submit(0, "j-2", waits_on_first)->status, 201);
+    cluster.upgrade(2);
+    cluster.run(6);
+    EXPECT_EQ(cluster.poll(2, "j-2")->status, 200);
 }
 
-// Leaders of both versions in turn, with a wide job of which every task runs on; copies of reports come late,
-// a leader crashes, and the limits fall with large records in place and a takeover under way.
+// Leaders of both versions in turn, with a wide job of which every task runs on; copies of heartbeats come
+// late, a leader crashes, and the limits fall with large records in place and a failover under way.
 TEST(Upgrade, LeadersOfBothVersionsInTurn) {
-    Cluster c("upgrade_alternating", 3, earlier_version());
-    c.fleet.capacity = 8;
-    c.fleet.copy_after_s = 15;
-    c.run(5);
+    ClusterSimulator cluster("upgrade_alternating", 3, earlier_version());
+    cluster.workers.cloud_capacity = 8;
+    cluster.workers.duplicate_heartbeats_after_s = 15;
+    cluster.run(5);
     constexpr std::size_t tasks = 120;
     const json::object wide{{"Pieces", tasks}, {"Vcpus", 0.5}, {"Accelerators", 0}, {"MemGb", 0.5}};
-    EXPECT_EQ(c.submit(0, "j-1", wide)->status, 201);
-    for (int i = 0; i < 60 && c.fleet.running() < tasks; ++i) c.run(1);
-    EXPECT_EQ(c.fleet.running(), tasks);
+    EXPECT_EQ(cluster.submit(0, "j-1", wide)->status, 201);
+    for (int i = 0; i < 60 && cluster.workers.running_tasks() < tasks; ++i) cluster.run(1);
+    EXPECT_EQ(cluster.workers.running_tasks(), tasks);
     const auto replace_leader = [&](bool by_present_version) {
-        const int l = c.leader();
-        c.note("end     of c-" + std::to_string(l));
+        const int l = cluster.leader();
+        cluster.note("end     of c-" + std::to_string(l));
         if (by_present_version)
-            c.upgrade(l);
+            cluster.upgrade(l);
         else
-            c.end(l);
-        c.run(9);
-        if (!by_present_version) c.restart(l);  // as what it was
-        c.run(3);
+            cluster.kill(l);
+        cluster.run(9);
+        if (!by_present_version) cluster.restart(l);  // as what it was
+        cluster.run(3);
     };
     replace_leader(true);
     replace_leader(false);
     replace_leader(false);
-    EXPECT_EQ(c.fleet.running(), tasks);
+    EXPECT_EQ(cluster.workers.running_tasks(), tasks);
     for (int n = 0; n < 3; ++n) {
-        c.upgrade(n);
-        c.run(7);
+        cluster.upgrade(n);
+        cluster.run(7);
     }
-    const int l = c.leader();
-    c.note("limits  of the state service fall");
-    c.state.value_bytes = 2048, c.state.txn_ops = 4;
-    c.fleet.run_s["j-1/7"] = c.fleet.run_s["j-1/70"] = 1;  // something is to be written
-    c.end(l);
-    c.run(1);
-    c.restart(l);
-    c.run(20);
-    EXPECT_EQ(c.submit(1, "j-2", waits_on_first)->status, 201);
-    c.run(20);
-    EXPECT_EQ(c.fleet.running(), tasks - 2);
-    EXPECT_EQ(c.fleet.starts, static_cast<int>(tasks));
-    EXPECT_EQ(c.fleet.killed_by_lease, 0);
-    EXPECT_EQ(c.state.refused_commits, 0);
-    c.cancel(0, "j-1");
-    c.run(30);
-    EXPECT_EQ(c.fleet.running(), 0U);
-    const auto after = c.poll(2, "j-2");
+    const int l = cluster.leader();
+    cluster.note("limits  of the state service fall");
+    cluster.store.value_bytes = 2048, cluster.store.txn_ops = 4;
+    cluster.workers.task_run_s["j-1/7"] = cluster.workers.task_run_s["j-1/70"] =
+        1;  // something is to be written
+    cluster.kill(l);
+    cluster.run(1);
+    cluster.restart(l);
+    cluster.run(20);
+    EXPECT_EQ(cluster.submit(1, "j-2", waits_on_first)->status, 201);
+    cluster.run(20);
+    EXPECT_EQ(cluster.workers.running_tasks(), tasks - 2);
+    EXPECT_EQ(cluster.workers.starts, static_cast<int>(tasks));
+    EXPECT_EQ(cluster.workers.killed_by_lease, 0);
+    EXPECT_EQ(cluster.store.refused_commits, 0);
+    cluster.cancel(0, "j-1");
+    cluster.run(30);
+    EXPECT_EQ(cluster.workers.running_tasks(), 0U);
+    const auto after = cluster.poll(2, "j-2");
     EXPECT_NE(after->body.find("withdrawn"), std::string::npos);
 }
 
--- a/tests/watch_cache_test.cpp
+++ b/tests/watch_cache_test.cpp
@@ -1,6 +1,6 @@
 // The watch cache of the store (control::Mirror) and its log of cancellations.
 #include "control/mirror.hpp"
-#include "world.hpp"
+#include "leader_simulator.hpp"
 
 namespace pineroad::test {
 namespace {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,9 +1,12 @@
+// The forms on the wire and of stored records, both ways.
 #include <gtest/gtest.h>
 
 #include <boost/json.hpp>
 
+#include "sample_jobs.hpp"
 #include "wire/gossip.hpp"
-#include "world.hpp"
+#include "wire/protocol.hpp"
+#include "wire/records.hpp"
 
 namespace pineroad::test {
 namespace {
--- /dev/null
+++ b/tests/worker_simulator.hpp
@@ -0,0 +1,84 @@
+/// The machines of a simulated cluster, each with a worker that behaves as the protocol says: it sends
+/// heartbeats by itself, follows redirects, keeps its lease, fetches and runs tasks. The cloud that provides
+/// the machines is simulated here too.
+#pragma once
+
+#include <boost/json/array.hpp>
+#include <deque>
+#include <map>
+#include <optional>
+#include <string>
+
+#include "invariant_checker.hpp"
+#include "simulated_machine.hpp"
+#include "wire/protocol.hpp"
+
+namespace pineroad::test {
+
+class ClusterSimulator;
+
+class WorkerSimulator {
+   public:
+    explicit WorkerSimulator(ClusterSimulator& cluster) : cluster_(cluster) {}
+
+    void add_machine(const std::string& id, const std::string& zone, const std::string& type, bool spot);
+    /// What happens on all machines within so many seconds.
+    void step(double seconds);
+    /// A controller's direct command (/do); nothing from a machine that hangs or can't be reached.
+    std::optional<net::Reply> direct_command(int from, const std::string& machine, const std::string& body);
+    net::Reply answer_cloud_request(const std::string& method, const std::string& target,
+                                    const std::string& body);
+
+    /// Something of the job is on a machine and has not ended.
+    [[nodiscard]] bool runs(const std::string& job) const;
+    [[nodiscard]] std::size_t running_tasks() const;
+    /// One that has a task of the job, in whatever state; throws std::logic_error if there is none.
+    [[nodiscard]] SimulatedMachine& machine_with(const std::string& job);
+
+    SimulatedMachines machines;
+    InvariantChecker invariants{machines};
+    std::size_t cloud_capacity = 0;            ///< machines that the cloud has; they are up at once
+    std::map<std::string, double> task_run_s;  ///< by task (JOB/INDEX); otherwise default_task_run_s
+    double default_task_run_s = 1000, fetch_s = 2;
+    double report_s = 3, lease_s = 36;
+    int killed_by_lease = 0, starts = 0, stops = 0;
+    int starts_after_confirmed_cancellation = 0;
+    /// A copy of every heartbeat arrives so much later; 0: none.
+    double duplicate_heartbeats_after_s = 0;
+    /// Heartbeats are held back on the way to the controllers and arrive when this is reset.
+    bool hold_heartbeats = false;
+    /// Machines of this zone reach that controller only, and no others reach it.
+    std::string partitioned_zone;
+    int partitioned_zone_controller = -1;
+
+   private:
+    struct DelayedHeartbeat {
+        double at = 0;
+        int controller = 0;
+        std::string body;
+    };
+    void step_machine(SimulatedMachine& machine, double seconds);
+    void run_tasks(SimulatedMachine& machine, double seconds);
+    void expire_lease(SimulatedMachine& machine);
+    void deliver_delayed_heartbeats();
+    void send_heartbeat(SimulatedMachine& machine);
+    void receive_answer(SimulatedMachine& machine);
+    void accept_answer(SimulatedMachine& machine, const wire::Json& answer);
+    void follow_redirect(SimulatedMachine& machine, const net::Reply& reply) const;
+    void execute(SimulatedMachine& machine, const wire::Json& answer);
+    void execute_start(SimulatedMachine& machine, const model::TaskId& id, std::uint64_t attempt);
+    void execute_stop(SimulatedTask& task, double grace_s);
+    [[nodiscard]] double run_time_of(const model::TaskId& task) const;
+    [[nodiscard]] bool reaches(const SimulatedMachine& machine, int controller) const;
+    [[nodiscard]] static std::string heartbeat_body(const SimulatedMachine& machine);
+    [[nodiscard]] net::Reply list_machines() const;
+    net::Reply release(const wire::Json& request);
+    net::Reply provision(const wire::Json& request);
+
+    ClusterSimulator& cluster_;
+    std::deque<DelayedHeartbeat> delayed_heartbeats_;
+    std::map<std::string, boost::json::array> provisioned_;  // by the request's name
+    int last_machine_ = 0;
+};
+
+}  // namespace pineroad::test
