--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -1,9 +1,10 @@
-// Meetings of two troubles, brought about with whole nodes, a state service and workers in simulated time.
-// The fleet's referee judges ran_twice, ran_cancelled and went_back at every step; what stands here is the
-// rest. docs/safety.md has a table of these by the operators' list.
+// Two faults at once, with whole controllers, a store and workers in simulated time. The invariant checker
+// watches ran_twice, ran_cancelled and went_back at every step; what stands here is the rest. docs/safety.md
+// has a table of these by the operators' list.
 #include <gtest/gtest.h>
 
 #include "cluster_simulator.hpp"
+#include "named_case.hpp"
 
 namespace pineroad::test {
 namespace {
@@ -43,7 +44,7 @@
         note("gone    " + job);
         return now() - from;
     }
-    // Every controller answers about the job within 75 s of the end of all troubles.
+    // Every controller answers about the job within 75 s of the end of all faults.
     void expect_status_everywhere(const std::string& job, const std::string& status) {
         for (int n = 0; n < controllers(); ++n) {
             const double from = now();
@@ -60,19 +61,43 @@
     int follower = -1, other_follower = -1;
 };
 
-const std::pair<const char*, MachineFault> machine_faults[] = {
-    {"hung", {true, false, false}}, {"deaf", {false, true, false}}, {"mute", {false, false, true}}};
+// A fault of a machine, and how long it lasts.
+struct MachineFaultCase {
+    std::string name, trace_name, noted_fault;
+    MachineFault fault;
+    double lasts_s = 0;
+    friend std::ostream& operator<<(std::ostream& out, const MachineFaultCase& c) { return out << c.name; }
+};
+
+// Every fault of a machine, short and long.
+std::vector<MachineFaultCase> machine_faults(const std::string& trace, double short_s, double long_s) {
+    struct Fault {
+        std::string name, noted;
+        MachineFault fault;
+    };
+    const std::vector<Fault> faults{{"Hung", "hung", {true, false, false}},
+                                    {"InboundPartition", "deaf", {false, true, false}},
+                                    {"OutboundPartition", "mute", {false, false, true}}};
+    std::vector<MachineFaultCase> cases;
+    for (const auto& each : faults) {
+        const auto trace_name = trace + "_" + each.noted;
+        cases.push_back({each.name, trace_name, each.noted, each.fault, short_s});
+        cases.push_back({each.name + "Long", trace_name + "_long", each.noted, each.fault, long_s});
+    }
+    return cases;
+}
 
-// The meeting that broke most schedulers. The leader is refused alone and keeps its workers through the
-// outage that follows; what another controller confirmed meanwhile is gone all the same, and soon: its peers
-// vouch for all they told. Healthy work lives on.
-TEST(CombinedFaults, CancelledElsewhereThenAnOutageOfAll) {
+// The combination that broke most schedulers. The store rejects the leader alone, which keeps its workers
+// through the outage that follows; what another controller confirmed as cancelled meanwhile is stopped all
+// the same, and soon: the peers confirm everything they acknowledged. Healthy work runs on.
+TEST(CombinedFaults, CancelledElsewhereThenAStoreOutage) {
     CombinedFaultsCluster cluster("gap");
     cluster.start_jobs({"j-1", "j-2", "j-3"});
     cluster.note("refuse  c-" + std::to_string(cluster.old_leader));
     cluster.rejected_by_store = {cluster.old_leader};
     cluster.run(0.5);
-    // The leader has heard of it by the time its user is told: nothing starts after a confirmed cancellation.
+    // The leader has learned of it by the time it is confirmed: nothing starts after a confirmed
+    // cancellation.
     const auto stopped = cluster.workers.stops;
     EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
     cluster.run(0.55);  // a plan; the next round of gossip is a second after the last
@@ -93,59 +118,74 @@
     cluster.expect_status_everywhere("j-3", "running");
 }
 
-// Whoever tells of a cancellation vouches for it, whoever committed it and whatever the answer belongs to:
-// here the commit's own answer is lost, the outage begins, and another node tells it from memory.
-TEST(CombinedFaults, ToldFromMemoryInsideAnOutage) {
-    for (const bool by_submission : {false, true}) {
-        CombinedFaultsCluster cluster(by_submission ? "told_by_submission" : "told_by_poll");
-        cluster.start_jobs({"j-1", "j-2"});
-        cluster.rejected_by_store = {cluster.old_leader};
-        cluster.lost_commit_answers = {cluster.follower};
-        EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 503);  // applied, and nobody was told
-        cluster.begin_store_outage();
-        cluster.run(1);
-        const auto r = by_submission ? cluster.submit(cluster.other_follower, "j-1")
-                                     : cluster.poll(cluster.other_follower, "j-1");
-        EXPECT_NE(r->body.find("withdrawn"), std::string::npos);
-        EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 8);
-        cluster.run(70);
-        EXPECT_TRUE(cluster.workers.runs("j-2"));
-        EXPECT_EQ(cluster.workers.killed_by_lease, 0);
-        cluster.end_store_outage();
-        cluster.run(5);
-        cluster.expect_status_everywhere("j-1", "withdrawn");
-    }
+// Whichever controller confirms a cancellation keeps it known to its peers, whoever committed it and whatever
+// the request was: here the commit's own answer is lost, the outage begins, and another controller confirms
+// it from memory.
+class ConfirmedFromMemory : public ::testing::TestWithParam<NamedCase<bool>> {};
+
+TEST_P(ConfirmedFromMemory, InsideAnOutage) {
+    const bool by_submission = GetParam().value;
+    CombinedFaultsCluster cluster(by_submission ? "told_by_submission" : "told_by_poll");
+    cluster.start_jobs({"j-1", "j-2"});
+    cluster.rejected_by_store = {cluster.old_leader};
+    cluster.lost_commit_answers = {cluster.follower};
+    EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 503);  // applied, but not confirmed
+    cluster.begin_store_outage();
+    cluster.run(1);
+    const auto r = by_submission ? cluster.submit(cluster.other_follower, "j-1")
+                                 : cluster.poll(cluster.other_follower, "j-1");
+    EXPECT_NE(r->body.find("withdrawn"), std::string::npos);
+    EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 8);
+    cluster.run(70);
+    EXPECT_TRUE(cluster.workers.runs("j-2"));
+    EXPECT_EQ(cluster.workers.killed_by_lease, 0);
+    cluster.end_store_outage();
+    cluster.run(5);
+    cluster.expect_status_everywhere("j-1", "withdrawn");
 }
 
-// A controller that told a cancellation and ended at once vouches for nothing in its next life. The leader
-// can't prove that it knows all, so the workers' leases end in time. Back within a second or much later.
-TEST(CombinedFaults, TheOneThatToldEndsAtOnce) {
-    for (const double away : {0.2, 3.0, 100.0}) {
-        CombinedFaultsCluster cluster("teller_ends_" + std::to_string(static_cast<int>(away * 10)));
-        cluster.start_jobs({"j-1", "j-2"});
-        cluster.rejected_by_store = {cluster.old_leader};
-        cluster.run(0.95);
-        // No word to a peer between the answer and the end.
-        cluster.partitioned_from_peers = {cluster.follower};
-        EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
-        cluster.kill(cluster.follower);
-        cluster.note("end     of c-" + std::to_string(cluster.follower));
-        cluster.begin_store_outage();
-        cluster.partitioned_from_peers.clear();
-        cluster.run(away);
-        cluster.restart(cluster.follower);
-        EXPECT_LT(cluster.seconds_until_stopped("j-1", 80), 65);
-        cluster.run(20);
-        cluster.end_store_outage();
-        cluster.run(10);
-        cluster.expect_status_everywhere("j-1", "withdrawn");
-        cluster.run(60);
-        EXPECT_TRUE(cluster.workers.runs("j-2"));  // again, if it met its lease
-    }
+INSTANTIATE_TEST_SUITE_P(By, ConfirmedFromMemory,
+                         ::testing::Values(NamedCase<bool>{"Poll", false},
+                                           NamedCase<bool>{"Submission", true}),
+                         case_name<NamedCase<bool>>);
+
+// A controller that confirmed a cancellation and ended at once knows nothing of it after its restart. The
+// leader can't prove that it knows all, so the workers' leases end in time. Back within a second or much
+// later.
+class ConfirmingControllerEnds : public ::testing::TestWithParam<NamedCase<double>> {};
+
+TEST_P(ConfirmingControllerEnds, RightAfterItsAnswer) {
+    const double away = GetParam().value;
+    CombinedFaultsCluster cluster("teller_ends_" + std::to_string(static_cast<int>(away * 10)));
+    cluster.start_jobs({"j-1", "j-2"});
+    cluster.rejected_by_store = {cluster.old_leader};
+    cluster.run(0.95);
+    // No message to a peer between the answer and the end.
+    cluster.partitioned_from_peers = {cluster.follower};
+    EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
+    cluster.kill(cluster.follower);
+    cluster.note("end     of c-" + std::to_string(cluster.follower));
+    cluster.begin_store_outage();
+    cluster.partitioned_from_peers.clear();
+    cluster.run(away);
+    cluster.restart(cluster.follower);
+    EXPECT_LT(cluster.seconds_until_stopped("j-1", 80), 65);
+    cluster.run(20);
+    cluster.end_store_outage();
+    cluster.run(10);
+    cluster.expect_status_everywhere("j-1", "withdrawn");
+    cluster.run(60);
+    EXPECT_TRUE(cluster.workers.runs("j-2"));  // again, if its lease expired
 }
 
-// One that stands still between its commit and its answer tells when it goes on; by then it vouches for it.
-TEST(CombinedFaults, FrozenBetweenCommitAndAnswer) {
+INSTANTIATE_TEST_SUITE_P(Back, ConfirmingControllerEnds,
+                         ::testing::Values(NamedCase<double>{"AtOnce", 0.2},
+                                           NamedCase<double>{"SoonAfter", 3.0},
+                                           NamedCase<double>{"MuchLater", 100.0}),
+                         case_name<NamedCase<double>>);
+
+// A controller paused between its commit and its answer confirms when it goes on; its peers learn of it then.
+TEST(CombinedFaults, PausedBetweenCommitAndAnswer) {
     CombinedFaultsCluster cluster("frozen_teller");
     cluster.start_jobs({"j-1", "j-2"});
     cluster.rejected_by_store = {cluster.old_leader};
@@ -169,9 +209,9 @@
     cluster.expect_status_everywhere("j-1", "withdrawn");
 }
 
-// The leader loses the state service and the other controllers, not its workers and users. Cancellations go
+// The leader loses the store and the other controllers, not its workers and users. Cancellations go
 // through the new one; nothing starts twice, and the old one's workers find the new one in time.
-TEST(CombinedFaults, LeaderCutFromAllButItsWorkers) {
+TEST(CombinedFaults, LeaderPartitionedFromAllButItsWorkers) {
     CombinedFaultsCluster cluster("cut_but_for_workers");
     cluster.start_jobs({"j-1", "j-2"});
     cluster.note("cut     c-" + std::to_string(cluster.old_leader) + " from the state service and its peers");
@@ -194,34 +234,38 @@
     EXPECT_EQ(cluster.workers.starts, 3);
 }
 
-// The stop meets a machine that hangs, is deaf or is mute, and goes on later: its lease ends it, or the next
-// answer. In an outage that began with the leader refused alone, too.
-TEST(CombinedFaults, StopMeetsAMachineInTrouble) {
-    for (const auto& [name, fault] : machine_faults)
-        for (const double lasts : {8.0, 50.0}) {
-            CombinedFaultsCluster cluster(std::string("stop_meets_") + name + (lasts > 10 ? "_long" : ""));
-            cluster.start_jobs({"j-1", "j-2"});
-            cluster.rejected_by_store = {cluster.old_leader};
-            const auto machine = cluster.workers.machine_with("j-1").id;
-            EXPECT_EQ(cluster.workers.machine_with("j-2").id, machine);
-            cluster.note(std::string(name) + "    " + machine);
-            cluster.workers.machines.at(machine).fault = fault;
-            EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
-            cluster.begin_store_outage();
-            cluster.run(lasts);
-            cluster.note("machine is well again");
-            if (cluster.workers.machines.contains(machine)) cluster.workers.machines.at(machine).fault = {};
-            EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 8);
-            cluster.run(20);
-            EXPECT_EQ(cluster.workers.runs("j-2"), lasts < 10);  // the long ones met their lease
-            cluster.end_store_outage();
-            cluster.run(5);
-            cluster.expect_status_everywhere("j-1", "withdrawn");
-            EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
-        }
+// A stop for a machine that hangs or has a one-way partition, inbound or outbound, and recovers later: its
+// lease ends the task, or the next answer. In an outage that began with the leader refused alone, too.
+class StopOfAFaultyMachine : public ::testing::TestWithParam<MachineFaultCase> {};
+
+TEST_P(StopOfAFaultyMachine, IsCarriedOutInTime) {
+    const auto& [name, trace_name, noted_fault, fault, lasts] = GetParam();
+    CombinedFaultsCluster cluster(trace_name);
+    cluster.start_jobs({"j-1", "j-2"});
+    cluster.rejected_by_store = {cluster.old_leader};
+    const auto machine = cluster.workers.machine_with("j-1").id;
+    EXPECT_EQ(cluster.workers.machine_with("j-2").id, machine);
+    cluster.note(noted_fault + "    " + machine);
+    cluster.workers.machines.at(machine).fault = fault;
+    EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
+    cluster.begin_store_outage();
+    cluster.run(lasts);
+    cluster.note("machine is well again");
+    if (cluster.workers.machines.contains(machine)) cluster.workers.machines.at(machine).fault = {};
+    EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 8);
+    cluster.run(20);
+    EXPECT_EQ(cluster.workers.runs("j-2"), lasts < 10);  // in the long cases its lease expired
+    cluster.end_store_outage();
+    cluster.run(5);
+    cluster.expect_status_everywhere("j-1", "withdrawn");
+    EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
 
-// The leader hears of a cancellation when its lease is over, from a peer, inside an outage; the machine
+INSTANTIATE_TEST_SUITE_P(Fault, StopOfAFaultyMachine,
+                         ::testing::ValuesIn(machine_faults("stop_meets", 8, 50)),
+                         case_name<MachineFaultCase>);
+
+// The leader learns of a cancellation when its lease is over, from a peer, inside an outage; the machine
 // reaches no controller. The stop goes there by a direct command all the same: it needs no lease.
 TEST(CombinedFaults, StopsNeedNoLease) {
     CombinedFaultsCluster cluster("stops_need_no_lease");
@@ -240,37 +284,41 @@
     cluster.end_store_outage();
 }
 
-// The leader ends while a machine can't be reached or doesn't hear the new one's answer, and a job of it is
-// cancelled. What may still run there starts nowhere else, and what is over is gone in time.
-TEST(CombinedFaults, LeaderEndsWhileAMachineIsOutOfReach) {
-    for (const auto& [name, fault] : machine_faults)
-        for (const double lasts : {20.0, 45.0}) {
-            CombinedFaultsCluster cluster(std::string("leader_ends_") + name + (lasts > 30 ? "_long" : ""));
-            cluster.start_jobs({"j-1", "j-2", "j-3"});
-            const auto machine = cluster.workers.machine_with("j-1").id;
-            cluster.workers.machines.at(machine).fault = fault;
-            cluster.note(std::string(name) + "    " + machine);
-            cluster.run(1);
-            cluster.kill(cluster.old_leader);
-            cluster.note("end     of c-" + std::to_string(cluster.old_leader));
-            cluster.run(8);
-            EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
-            cluster.run(lasts - 8);
-            if (cluster.workers.machines.contains(machine)) cluster.workers.machines.at(machine).fault = {};
-            cluster.note("machine is well again");
-            cluster.restart(cluster.old_leader);
-            EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 45);
-            cluster.run(60);
-            EXPECT_TRUE(cluster.workers.runs("j-2"));
-            EXPECT_TRUE(cluster.workers.runs("j-3"));
-            cluster.expect_status_everywhere("j-1", "withdrawn");
-            EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
-        }
+// The leader ends while a machine can't be reached or doesn't get the new leader's answer, and a job on it is
+// cancelled. What may still run there starts nowhere else, and what is cancelled is stopped in time.
+class LeaderEndsWithAFaultyMachine : public ::testing::TestWithParam<MachineFaultCase> {};
+
+TEST_P(LeaderEndsWithAFaultyMachine, NothingRunsTwice) {
+    const auto& [name, trace_name, noted_fault, fault, lasts] = GetParam();
+    CombinedFaultsCluster cluster(trace_name);
+    cluster.start_jobs({"j-1", "j-2", "j-3"});
+    const auto machine = cluster.workers.machine_with("j-1").id;
+    cluster.workers.machines.at(machine).fault = fault;
+    cluster.note(noted_fault + "    " + machine);
+    cluster.run(1);
+    cluster.kill(cluster.old_leader);
+    cluster.note("end     of c-" + std::to_string(cluster.old_leader));
+    cluster.run(8);
+    EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
+    cluster.run(lasts - 8);
+    if (cluster.workers.machines.contains(machine)) cluster.workers.machines.at(machine).fault = {};
+    cluster.note("machine is well again");
+    cluster.restart(cluster.old_leader);
+    EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 45);
+    cluster.run(60);
+    EXPECT_TRUE(cluster.workers.runs("j-2"));
+    EXPECT_TRUE(cluster.workers.runs("j-3"));
+    cluster.expect_status_everywhere("j-1", "withdrawn");
+    EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
 
+INSTANTIATE_TEST_SUITE_P(Fault, LeaderEndsWithAFaultyMachine,
+                         ::testing::ValuesIn(machine_faults("leader_ends", 20, 45)),
+                         case_name<MachineFaultCase>);
+
 // A cancellation, a question and a repeated submission meet the end of a job's last task. Whichever is first
-// holds; the referee sees what goes back and what is told too early.
-TEST(CombinedFaults, UsersMeetTheEndOfTheLastTask) {
+// holds; the invariant checker sees what goes back and what is confirmed too early.
+TEST(CombinedFaults, RequestsAtTheEndOfTheLastTask) {
     CombinedFaultsCluster cluster("meets_the_end");
     std::vector<std::string> jobs;
     for (int i = 1; i <= 6; ++i) {
@@ -279,8 +327,8 @@
         EXPECT_EQ(cluster.submit(0, jobs.back())->status, 201);
     }
     cluster.run_until_first_task_ends(jobs.size());
-    for (int n = 0;
-         const auto& id : jobs) {  // 0.05 s apart, around the reports and commits that tell of the end
+    // 0.05 s apart, around the heartbeats and commits that show the end.
+    for (int n = 0; const auto& id : jobs) {
         const auto r = cluster.cancel(n % 3, id);
         EXPECT_EQ(r->status, 200);
         EXPECT_EQ(cluster.submit((n + 1) % 3, id)->status, 200);
@@ -292,38 +340,44 @@
         for (int n = 0; n < 3; ++n) EXPECT_EQ(cluster.cancel(n, id)->status, 200);
 }
 
-// Leaders change ten times in two minutes; the ended ones are back within a moment, some inside an outage.
-TEST(CombinedFaults, TenLeadersInTwoMinutes) {
-    for (const bool outages : {false, true}) {
-        CombinedFaultsCluster cluster(outages ? "ten_leaders_outages" : "ten_leaders");
-        cluster.start_jobs({"j-1", "j-2", "j-3"});
-        for (int i = 0; i < 10; ++i) {
-            const int l = cluster.leader();
-            if (outages && i % 3 == 1) {
-                cluster.begin_store_outage();
-                cluster.run(2);
-            }
-            if (l >= 0) cluster.kill(l);
-            cluster.run(i % 2 == 0 ? 0.3 : 3);
-            if (l >= 0) cluster.restart(l);
-            if (i == 4) cluster.cancel((l + 1) % 3, "j-1");
-            cluster.run(5);
-            if (cluster.store_outage) cluster.end_store_outage();
-            cluster.run(3);
+// The leader fails over ten times in two minutes; the ended ones are back within a moment, some in an outage.
+class TenLeaders : public ::testing::TestWithParam<NamedCase<bool>> {};
+
+TEST_P(TenLeaders, InTwoMinutes) {
+    const bool outages = GetParam().value;
+    CombinedFaultsCluster cluster(outages ? "ten_leaders_outages" : "ten_leaders");
+    cluster.start_jobs({"j-1", "j-2", "j-3"});
+    for (int i = 0; i < 10; ++i) {
+        const int l = cluster.leader();
+        if (outages && i % 3 == 1) {
+            cluster.begin_store_outage();
+            cluster.run(2);
         }
-        EXPECT_EQ(cluster.cancel(0, "j-1")->status, 200);
-        EXPECT_LT(cluster.seconds_until_stopped("j-1", 60), 30);
-        cluster.run(60);
-        EXPECT_TRUE(cluster.workers.runs("j-2"));
-        EXPECT_TRUE(cluster.workers.runs("j-3"));
-        cluster.expect_status_everywhere("j-1", "withdrawn");
-        EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
+        if (l >= 0) cluster.kill(l);
+        cluster.run(i % 2 == 0 ? 0.3 : 3);
+        if (l >= 0) cluster.restart(l);
+        if (i == 4) cluster.cancel((l + 1) % 3, "j-1");
+        cluster.run(5);
+        if (cluster.store_outage) cluster.end_store_outage();
+        cluster.run(3);
     }
+    EXPECT_EQ(cluster.cancel(0, "j-1")->status, 200);
+    EXPECT_LT(cluster.seconds_until_stopped("j-1", 60), 30);
+    cluster.run(60);
+    EXPECT_TRUE(cluster.workers.runs("j-2"));
+    EXPECT_TRUE(cluster.workers.runs("j-3"));
+    cluster.expect_status_everywhere("j-1", "withdrawn");
+    EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
 
-// A team is at its limit when the leader changes, a machine of it can't be asked, and a cancellation falls
-// into that spell: what the machine may still run counts until it is proven off.
-TEST(CombinedFaults, TeamAtItsLimitAcrossATakeover) {
+INSTANTIATE_TEST_SUITE_P(Store, TenLeaders,
+                         ::testing::Values(NamedCase<bool>{"Available", false},
+                                           NamedCase<bool>{"WithOutages", true}),
+                         case_name<NamedCase<bool>>);
+
+// A team is at its quota when the leader fails over, one of its machines can't be reached, and a cancellation
+// comes meanwhile: what the machine may still run counts until it is proven off.
+TEST(CombinedFaults, QuotaHoldsAcrossAFailover) {
     CombinedFaultsCluster cluster("limit_across_takeover");
     const boost::json::object capped{{"Crew", "capped"}};
     for (const auto* id : {"j-1", "j-2", "j-3", "j-4"}) EXPECT_EQ(cluster.submit(0, id, capped)->status, 201);
@@ -342,27 +396,37 @@
     EXPECT_FALSE(cluster.workers.runs(running));
 }
 
-// Copies of reports come later, from seconds to well over a lease, also those of an earlier term, session or
-// attempt; and reports held back until a new leader has acted arrive there.
-TEST(CombinedFaults, LateReportsMeetANewLeader) {
-    for (const double after : {4.0, 20.0, 60.0}) {
-        CombinedFaultsCluster cluster("late_reports_" + std::to_string(static_cast<int>(after)));
-        cluster.workers.duplicate_heartbeats_after_s = after;
-        cluster.start_jobs({"j-1", "j-2"});
-        const auto machine = cluster.workers.machine_with("j-1").id;
-        cluster.workers.machines.at(machine).fault.hung = true;
-        cluster.run(2);
-        cluster.kill(cluster.old_leader);
-        cluster.run(40);  // a session is lost
-        if (cluster.workers.machines.contains(machine))
-            cluster.workers.machines.at(machine).fault.hung = false;
-        cluster.restart(cluster.old_leader);
-        cluster.run(20);
-        EXPECT_EQ(cluster.cancel(0, "j-1")->status, 200);
-        cluster.run(after + 20);
-        EXPECT_FALSE(cluster.workers.runs("j-1"));
-        EXPECT_TRUE(cluster.workers.runs("j-2"));
-    }
+// Copies of heartbeats come later, from seconds to well over a lease, also those of an earlier term, agent
+// epoch or attempt.
+class DuplicatedHeartbeats : public ::testing::TestWithParam<NamedCase<double>> {};
+
+TEST_P(DuplicatedHeartbeats, ReachANewLeader) {
+    const double after = GetParam().value;
+    CombinedFaultsCluster cluster("late_reports_" + std::to_string(static_cast<int>(after)));
+    cluster.workers.duplicate_heartbeats_after_s = after;
+    cluster.start_jobs({"j-1", "j-2"});
+    const auto machine = cluster.workers.machine_with("j-1").id;
+    cluster.workers.machines.at(machine).fault.hung = true;
+    cluster.run(2);
+    cluster.kill(cluster.old_leader);
+    cluster.run(40);  // the agent epoch ends
+    if (cluster.workers.machines.contains(machine)) cluster.workers.machines.at(machine).fault.hung = false;
+    cluster.restart(cluster.old_leader);
+    cluster.run(20);
+    EXPECT_EQ(cluster.cancel(0, "j-1")->status, 200);
+    cluster.run(after + 20);
+    EXPECT_FALSE(cluster.workers.runs("j-1"));
+    EXPECT_TRUE(cluster.workers.runs("j-2"));
+}
+
+INSTANTIATE_TEST_SUITE_P(After, DuplicatedHeartbeats,
+                         ::testing::Values(NamedCase<double>{"Seconds", 4.0},
+                                           NamedCase<double>{"HalfALease", 20.0},
+                                           NamedCase<double>{"OverALease", 60.0}),
+                         case_name<NamedCase<double>>);
+
+// Heartbeats held back until a new leader has acted arrive there.
+TEST(CombinedFaults, HeldHeartbeatsReachANewLeader) {
     CombinedFaultsCluster cluster("held_reports");
     cluster.start_jobs({"j-1", "j-2"});
     cluster.workers.hold_heartbeats = true;
@@ -380,49 +444,62 @@
 }
 
 // Transactions get no answer and are carried out late, after newer ones of the same controller.
-TEST(CombinedFaults, TransactionsAreCarriedOutLate) {
-    for (const double late : {2.5, 8.0}) {
-        CombinedFaultsCluster cluster("late_writes_" + std::to_string(static_cast<int>(late)));
-        cluster.start_jobs({"j-1", "j-2"});
-        cluster.delayed_writes_s = late;
-        cluster.note("writes  are late");
-        cluster.submit(0, "j-3");
-        cluster.cancel(1, "j-1");
-        cluster.submit(2, "j-3");
-        cluster.cancel(2, "j-1");
-        cluster.run(3);
-        cluster.delayed_writes_s = 0;
-        cluster.note("writes  are answered");
-        EXPECT_TRUE(cluster.submit(0, "j-3")->status / 100 == 2);
-        EXPECT_EQ(cluster.cancel(0, "j-1")->status, 200);
-        cluster.run(40);
-        cluster.expect_status_everywhere("j-1", "withdrawn");
-        EXPECT_TRUE(cluster.workers.runs("j-2"));
-        EXPECT_TRUE(cluster.workers.runs("j-3"));
-        EXPECT_FALSE(cluster.workers.runs("j-1"));
-        EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
-    }
+class DelayedTransactions : public ::testing::TestWithParam<NamedCase<double>> {};
+
+TEST_P(DelayedTransactions, AreCarriedOutLate) {
+    const double late = GetParam().value;
+    CombinedFaultsCluster cluster("late_writes_" + std::to_string(static_cast<int>(late)));
+    cluster.start_jobs({"j-1", "j-2"});
+    cluster.delayed_writes_s = late;
+    cluster.note("writes  are late");
+    cluster.submit(0, "j-3");
+    cluster.cancel(1, "j-1");
+    cluster.submit(2, "j-3");
+    cluster.cancel(2, "j-1");
+    cluster.run(3);
+    cluster.delayed_writes_s = 0;
+    cluster.note("writes  are answered");
+    EXPECT_TRUE(cluster.submit(0, "j-3")->status / 100 == 2);
+    EXPECT_EQ(cluster.cancel(0, "j-1")->status, 200);
+    cluster.run(40);
+    cluster.expect_status_everywhere("j-1", "withdrawn");
+    EXPECT_TRUE(cluster.workers.runs("j-2"));
+    EXPECT_TRUE(cluster.workers.runs("j-3"));
+    EXPECT_FALSE(cluster.workers.runs("j-1"));
+    EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
 
-// All controllers are away for longer than a lease, just after a cancellation; one returns before the others.
-TEST(CombinedFaults, AllControllersAwayForLongerThanALease) {
-    for (const double away : {0.5, 50.0}) {
-        CombinedFaultsCluster cluster(away < 1 ? "all_away_a_moment" : "all_away");
-        cluster.start_jobs({"j-1", "j-2"});
-        EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
-        for (int n = 0; n < 3; ++n) cluster.kill(n);
-        cluster.run(away);
-        cluster.restart(cluster.other_follower);
-        cluster.run(10);
-        cluster.restart(cluster.old_leader), cluster.restart(cluster.follower);
-        EXPECT_LT(cluster.seconds_until_stopped("j-1", 60), 30);
-        cluster.run(60);
-        EXPECT_TRUE(cluster.workers.runs("j-2"));
-        cluster.expect_status_everywhere("j-1", "withdrawn");
-        EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
-    }
+INSTANTIATE_TEST_SUITE_P(By, DelayedTransactions,
+                         ::testing::Values(NamedCase<double>{"Seconds", 2.5},
+                                           NamedCase<double>{"ManySeconds", 8.0}),
+                         case_name<NamedCase<double>>);
+
+// All controllers are down, up to longer than a lease, just after a cancellation; one returns before the
+// others.
+class AllControllersDown : public ::testing::TestWithParam<NamedCase<double>> {};
+
+TEST_P(AllControllersDown, RightAfterACancellation) {
+    const double away = GetParam().value;
+    CombinedFaultsCluster cluster(away < 1 ? "all_away_a_moment" : "all_away");
+    cluster.start_jobs({"j-1", "j-2"});
+    EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
+    for (int n = 0; n < 3; ++n) cluster.kill(n);
+    cluster.run(away);
+    cluster.restart(cluster.other_follower);
+    cluster.run(10);
+    cluster.restart(cluster.old_leader), cluster.restart(cluster.follower);
+    EXPECT_LT(cluster.seconds_until_stopped("j-1", 60), 30);
+    cluster.run(60);
+    EXPECT_TRUE(cluster.workers.runs("j-2"));
+    cluster.expect_status_everywhere("j-1", "withdrawn");
+    EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
 
+INSTANTIATE_TEST_SUITE_P(For, AllControllersDown,
+                         ::testing::Values(NamedCase<double>{"AMoment", 0.5},
+                                           NamedCase<double>{"LongerThanALease", 50.0}),
+                         case_name<NamedCase<double>>);
+
 // The tasks of a job end far apart, with a change of leader between the ends.
 TEST(CombinedFaults, EndsFarApartAcrossLeaders) {
     CombinedFaultsCluster cluster("ends_far_apart");
@@ -443,9 +520,9 @@
     EXPECT_EQ(cluster.workers.starts, 3);
 }
 
-// A zone with workers and the leader is cut off for longer than a lease, and a job there is cancelled. Tasks
-// of a job that is bound to the zone lose their machine meanwhile.
-TEST(CombinedFaults, ZoneCutOffWithTheLeader) {
+// A zone with workers and the leader is partitioned for longer than a lease, and a job there is cancelled.
+// Tasks of a job that is bound to the other zone lose their machine meanwhile.
+TEST(CombinedFaults, ZonePartitionedWithTheLeader) {
     CombinedFaultsCluster cluster("zone_cut");
     cluster.workers.task_run_s = {{"j-3/0", 90}, {"j-3/1", 90}, {"j-3/2", 90}};
     for (const auto* id : {"j-1", "j-2"}) EXPECT_EQ(cluster.submit(0, id, {{"Yard", "a"}})->status, 201);
@@ -471,12 +548,12 @@
     cluster.expect_status_everywhere("j-3", "done");
 }
 
-// The state service is slow, then refuses the leader alone, then everybody for longer than cancel_s, while
-// users cancel and ask.
-TEST(CombinedFaults, SlowThenRefusingThenOut) {
+// The store is slow, then refuses the leader alone, then everybody for longer than cancel_s, while users
+// cancel and ask.
+TEST(CombinedFaults, StoreSlowThenRefusingThenOut) {
     CombinedFaultsCluster cluster("slow_then_out");
     cluster.start_jobs({"j-1", "j-2", "j-3"});
-    // Renewals are as patient as everything else: a slow service unseats no leader, and work goes on.
+    // Renewals wait as long as everything else: a slow store ends no term, and work goes on.
     cluster.store_delay_s = 1.2;
     cluster.run(20);
     EXPECT_EQ(cluster.leader(), cluster.old_leader);
@@ -530,9 +607,9 @@
         EXPECT_NE(cluster.poll(0, "j-" + std::to_string(i))->body.find("done"), std::string::npos) << i;
 }
 
-// What can't be taken is told so at once, whatever the state service does; what can't be decided is 503; and
-// repeats are answered by the present state.
-TEST(CombinedFaults, OddRequestsMeetAStateServiceInTrouble) {
+// An invalid request is refused at once, whatever the store does; what can't be decided is 503; and repeats
+// are answered by the present state.
+TEST(CombinedFaults, InvalidRequestsDuringAStoreOutage) {
     CombinedFaultsCluster cluster("odd_requests");
     cluster.workers.task_run_s["j-1/0"] = 5;
     cluster.start_jobs({"j-1", "j-2"});
@@ -550,7 +627,7 @@
         EXPECT_EQ(cluster.submit(1, "j-9", {{"Crew", "capped"}, {"Accelerators", 3}})->status,
                   out ? 503 : 422);
         EXPECT_LT(cluster.now(), from + 5);
-        // Known from before the outage on every node.
+        // Known from before the outage on every controller.
         for (int n = 0; n < 3; ++n) {
             EXPECT_NE(cluster.cancel(n, "j-1")->body.find("done"), std::string::npos);
             EXPECT_NE(cluster.submit(n, "j-1")->body.find("done"), std::string::npos);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,7 +1,9 @@
+// The settings file and the tuning file: what is read, and how errors are reported.
 #include <gtest/gtest.h>
 
 #include "config/settings.hpp"
 #include "config/tuning.hpp"
+#include "named_case.hpp"
 
 namespace pineroad::test {
 namespace {
@@ -52,14 +54,17 @@
     EXPECT_EQ(s.txn_ops, 20);
 }
 
+const std::string txn_ops_line = "txn_ops = 20\n";  // the line before a table of announced limits
+
+std::string with_next(const std::string& next) {
+    std::string text = good;
+    return text.replace(text.find(txn_ops_line), txn_ops_line.size(),
+                        txn_ops_line + "[params.state.next]\n" + next);
+}
+
 // Limits announced for later: the smaller of each counts from the start. All of them are optional, and
 // checked.
 TEST(Settings, AnnouncedLimitsCountFromTheStart) {
-    const std::string now = "txn_ops = 20\n";
-    const auto with_next = [&](const std::string& next) {
-        std::string text = good;
-        return text.replace(text.find(now), now.size(), now + "[params.state.next]\n" + next);
-    };
     const auto s = config::parse_settings(with_next("value_kb = 2.0\nwrite_rps = 40.0\n"), "f.toml");
     EXPECT_EQ(s.value_kb, 2.0);
     EXPECT_EQ(s.present_value_kb, 16.0);
@@ -67,11 +72,23 @@
     EXPECT_EQ(s.txn_ops, 20);
     EXPECT_EQ(config::parse_settings(with_next("txn_ops = 4\n"), "f.toml").txn_ops, 4);
     EXPECT_EQ(config::parse_settings(good, "f.toml").present_value_kb, 16.0);
-    for (const auto* bad : {"txn_ops = 3\n", "value_kb = \"2\"\n", "write_rps = 0\n"})
-        EXPECT_NE(complaint(with_next(bad), "host_name", "host_name").find("state.next."), std::string::npos);
-    EXPECT_NE(complaint(good, now, now + "next = 5\n").find("a table is needed"), std::string::npos);
+    EXPECT_NE(complaint(good, txn_ops_line, txn_ops_line + "next = 5\n").find("a table is needed"),
+              std::string::npos);
+}
+
+class InvalidAnnouncedLimit : public ::testing::TestWithParam<NamedCase<std::string>> {};
+
+TEST_P(InvalidAnnouncedLimit, IsRefused) {
+    const auto text = with_next(GetParam().value);
+    EXPECT_NE(complaint(text, "host_name", "host_name").find("state.next."), std::string::npos);
 }
 
+INSTANTIATE_TEST_SUITE_P(Settings, InvalidAnnouncedLimit,
+                         ::testing::Values(NamedCase<std::string>{"TooFewOperations", "txn_ops = 3\n"},
+                                           NamedCase<std::string>{"ValueSizeAsString", "value_kb = \"2\"\n"},
+                                           NamedCase<std::string>{"NoWrites", "write_rps = 0\n"}),
+                         case_name<NamedCase<std::string>>);
+
 TEST(Settings, AnyNumberOfPeers) {
     EXPECT_TRUE(config::parse_settings(good, "f.toml").peers.empty());
     std::string text = good;
@@ -109,10 +126,23 @@
     EXPECT_EQ(tuning_complaint("(pineroad\n  (sf 3))"), "t.sexp:2: sf: unknown key");
     EXPECT_EQ(tuning_complaint("(pineroad\n (idle-hold 9)\n (suspension-factor 0.5))"),
               "t.sexp:3: suspension-factor: must lie between 1 and 100");
-    for (const auto* bad : {"", "(", "(other)", "(pineroad (idle-hold))", "(pineroad (idle-hold x))",
-                            "(pineroad (idle-hold 1) (idle-hold 2))", "(pineroad idle-hold)"})
-        EXPECT_NE(tuning_complaint(bad), "") << bad;
 }
 
+class MalformedTuning : public ::testing::TestWithParam<NamedCase<std::string>> {};
+
+TEST_P(MalformedTuning, IsRefused) {
+    EXPECT_NE(tuning_complaint(GetParam().value), "") << GetParam().value;
+}
+
+INSTANTIATE_TEST_SUITE_P(
+    File, MalformedTuning,
+    ::testing::Values(NamedCase<std::string>{"Empty", ""}, NamedCase<std::string>{"Truncated", "("},
+                      NamedCase<std::string>{"OtherProgram", "(other)"},
+                      NamedCase<std::string>{"KeyWithoutValue", "(pineroad (idle-hold))"},
+                      NamedCase<std::string>{"ValueNotANumber", "(pineroad (idle-hold x))"},
+                      NamedCase<std::string>{"KeyTwice", "(pineroad (idle-hold 1) (idle-hold 2))"},
+                      NamedCase<std::string>{"KeyOutsideAList", "(pineroad idle-hold)"}),
+    case_name<NamedCase<std::string>>);
+
 }  // namespace
 }  // namespace pineroad::test
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -235,7 +235,7 @@
     EXPECT_EQ(cluster.submit(1, "j-2", {{"WaitsOn", nullptr}})->status, 201);
     EXPECT_EQ(cluster.submit(2, "j-4", {{"WaitsOn", json::array{}}})->status, 201);
     EXPECT_EQ(cluster.submit(2, "j-2", waits_on({"j-404"}))->status, 200);
-    // Without the store no controller can tell that a job was never accepted.
+    // Without the store no controller can prove that a job was never accepted.
     cluster.rejected_by_store = {1};
     const auto undecidable = cluster.submit(1, "j-5", waits_on({"j-404"}));
     EXPECT_EQ(undecidable->status, 503);
@@ -298,7 +298,7 @@
     EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
 
-// A cancellation meets the end of a dependency: whichever is first holds for all dependent jobs.
+// A cancellation races with the end of a dependency: whichever is first holds for all dependent jobs.
 TEST(Pipelines, CancelMeetsTheEndOfADependency) {
     PipelineCluster cluster("pipeline_cancel_meets_end");
     std::vector<std::string> jobs;
--- a/tests/lease_guard_test.cpp
+++ b/tests/lease_guard_test.cpp
@@ -61,7 +61,7 @@
     p.synced(100);
     EXPECT_TRUE(p.may_answer(125.9));
     EXPECT_FALSE(p.may_answer(126));
-    // Every peer names all it told: as good as the state service.
+    // Every peer names all it confirmed: as good as the store.
     p.confirmed_by({{120, 120.1, 500, true}, {121, 121.1, 500, true}});
     EXPECT_TRUE(p.may_answer(145.9));
     EXPECT_FALSE(p.may_answer(146));
@@ -78,11 +78,11 @@
     EXPECT_FALSE(p.may_answer(126));
     p.confirmed_by({{120, 120.1, 500, true}, {121, 121.1, 500, false}});
     EXPECT_FALSE(p.may_answer(126));
-    // Back within a second: the question left before the new life began, the answer came after. What the
-    // earlier life told in between is known to nobody.
+    // Back within a second: the question left before the new process began, the answer came after. What the
+    // earlier process confirmed in between is known to nobody.
     p.confirmed_by({{120, 120.1, 500, true}, {99.5, 100.4, 0.2, true}});
     EXPECT_FALSE(p.may_answer(126));
-    // Its clock may run fast: a life of 500 s by it may have begun half a second later than it says.
+    // Its clock may run fast: an uptime of 500 s by it may have begun half a second later than it says.
     p.synced(120);
     p.confirmed_by({{620, 620.1, 900, true}, {619.8, 619.9, 500, true}});
     EXPECT_FALSE(p.may_answer(146));
--- a/tests/machine_lifecycle_test.cpp
+++ b/tests/machine_lifecycle_test.cpp
@@ -163,27 +163,27 @@
 // machines' release was answered and not before; heartbeats held back by the partition prove nothing.
 TEST(MachineLifecycle, HalfOfAllMachinesPartitioned) {
     StartedLeader simulator("mass_silence");
-    std::vector<std::string> silent, heard;
-    const auto meet = [&](std::vector<std::string>& list, int first) {
+    std::vector<std::string> silent, connected;
+    const auto add_four = [&](std::vector<std::string>& list, int first) {
         for (int i = first; i < first + 4; ++i) {
             list.push_back("m-" + std::to_string(i));
             simulator.add_worker(list.back());
             simulator.synchronize_worker(list.back());
         }
     };
-    meet(silent, 1);
+    add_four(silent, 1);
     simulator.submit(gang_job("j-1", 4));
     simulator.plan_and_commit();
     simulator.send_heartbeats(silent);
     const auto before = simulator.starts;
     EXPECT_EQ(before, 4);
-    meet(heard, 5);
+    add_four(connected, 5);
     simulator.note("        m-1 to m-4 are cut off, their packets held back");
     std::vector<model::Report> held;
     for (const auto& m : silent) held.push_back(simulator.next_heartbeat(simulator.workers.at(m)));
     for (int i = 0; i < 8; ++i) {
         simulator.advance(3);
-        simulator.send_heartbeats(heard);
+        simulator.send_heartbeats(connected);
         simulator.plan_and_commit();
         EXPECT_EQ(simulator.starts, before);
     }
@@ -193,7 +193,7 @@
     for (const auto& r : held) EXPECT_FALSE(simulator.leader_state().absorb(r, simulator.now));
     for (int i = 0; i < 3; ++i) {
         simulator.plan_and_commit();
-        simulator.send_heartbeats(heard);
+        simulator.send_heartbeats(connected);
         simulator.advance(1);
     }
     EXPECT_EQ(simulator.starts, before + 4);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -4,6 +4,7 @@
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 #include <boost/asio/io_context.hpp>
+#include <tuple>
 
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
@@ -84,7 +85,7 @@
     EXPECT_FALSE(s.ask(*workers[5], "/checkin"));
 }
 
-// A watch after a long cut may hold more than memory does: such an answer is told from none.
+// A watch after a long partition may hold more than memory does: such an answer differs from none.
 TEST(Server, AnswersAreBounded) {
     AtTheLimit s(few());
     const auto c = s.client();
@@ -94,19 +95,30 @@
 }
 
 // Shares come from the platform's limit alone; none is empty, and together they stay below it.
-TEST(Server, SocketsAreSharedOut) {
-    for (const int all : {32, 200, 3362, 3504, 100000})
-        for (const std::size_t peers : {0U, 2U, 4U}) {
-            config::Settings s;
-            s.max_sockets = all;
-            s.peers.resize(peers);
-            const auto shares = net::share_sockets(s);
-            EXPECT_GE(shares.workers(), 2U);
-            EXPECT_GE(shares.users, 2U);
-            EXPECT_GE(shares.mesh, 1U);
-            EXPECT_GE(shares.stops, 1U);
-            EXPECT_LT(shares.front + shares.mesh + shares.stops, static_cast<std::size_t>(all));
-        }
+class SocketShares : public ::testing::TestWithParam<std::tuple<int, std::size_t>> {};
+
+TEST_P(SocketShares, StayBelowTheLimit) {
+    const auto [all, peers] = GetParam();
+    config::Settings s;
+    s.max_sockets = all;
+    s.peers.resize(peers);
+    const auto shares = net::share_sockets(s);
+    EXPECT_GE(shares.workers(), 2U);
+    EXPECT_GE(shares.users, 2U);
+    EXPECT_GE(shares.mesh, 1U);
+    EXPECT_GE(shares.stops, 1U);
+    EXPECT_LT(shares.front + shares.mesh + shares.stops, static_cast<std::size_t>(all));
+}
+
+INSTANTIATE_TEST_SUITE_P(Limits, SocketShares,
+                         ::testing::Combine(::testing::Values(32, 200, 3362, 3504, 100000),
+                                            ::testing::Values(0U, 2U, 4U)),
+                         [](const auto& info) {
+                             return std::to_string(std::get<0>(info.param)) + "SocketsWith" +
+                                    std::to_string(std::get<1>(info.param)) + "Peers";
+                         });
+
+TEST(Server, WorkersGetMostSockets) {
     config::Settings s;
     s.max_sockets = 3362;
     s.peers.resize(2);
--- a/tests/sched_test.cpp
+++ b/tests/sched_test.cpp
@@ -1,19 +1,20 @@
-// The pure scheduler: ordering, placement, suspension, capacity.
+// The scheduler without anything around it: order, placement, preemption, autoscaling.
 #include <gtest/gtest.h>
 
 #include "leader_simulator.hpp"
+#include "named_case.hpp"
 
 namespace pineroad::test {
 namespace {
 
-struct Fixture : ::testing::Test {
+struct Scheduler : ::testing::Test {
     config::Settings config = settings();
     config::Tuning tuning;
     std::vector<model::MachineType> types = machine_types();
     std::vector<std::unique_ptr<model::JobSpec>> specs;
     sched::Picture p;
 
-    Fixture() {
+    Scheduler() {
         p.settings = &config;
         p.tuning = &tuning;
         for (const auto& t : types)
@@ -47,7 +48,7 @@
     }
 };
 
-TEST_F(Fixture, FallingXfactorDecides) {
+TEST_F(Scheduler, FallingXfactorDecides) {
     machine("m-1");
     job(gang_job("j-1", 1), 1.5);
     job(gang_job("j-2", 1), 3.0);
@@ -56,7 +57,7 @@
     EXPECT_EQ(starts[0].job, "j-2");
 }
 
-TEST_F(Fixture, ImageHeldAndRoomUsedAreBetter) {
+TEST_F(Scheduler, ImageHeldAndRoomUsedAreBetter) {
     machine("m-1");
     machine("m-2").busy = true;
     machine("m-3");
@@ -66,7 +67,7 @@
     EXPECT_EQ(sched::place(p).at(0).machine, "m-2");
 }
 
-TEST_F(Fixture, SpotOnlyForThoseWhoMay) {
+TEST_F(Scheduler, SpotOnlyForThoseWhoMay) {
     machine("m-1", "g4", "a", true);
     job(array_job("j-1", 1), 1);
     EXPECT_TRUE(sched::place(p).empty());
@@ -75,30 +76,34 @@
 // Found by late last stages: one or two of a stage's hundreds of tasks were lost with spot machines, and all
 // that came after waited. Spot machines and empty ones are for pipelines the last choice; for others they
 // aren't.
-TEST_F(Fixture, PipelinesKeepOffSpotAndEmptyMachines) {
-    for (const bool in_pipeline : {false, true}) {
-        p.machines.clear();
-        p.jobs.clear();
-        machine("m-spot", "g4", "a", true).busy = true;
-        machine("m-empty");
-        auto& shared = machine("m-shared", "g4", "b");
-        shared.busy = true;
-        shared.free -= model::Resources{8, 1, 32};
-        p.machines[0].images = {"img-1"};
-        auto spec = array_job("j-1", 1);
-        spec.spot_ok = true;
-        job(spec, 1).in_pipeline = in_pipeline;
-        EXPECT_EQ(sched::place(p).at(0).machine, in_pipeline ? "m-shared" : "m-spot");
-        p.machines.pop_back();
-        auto next = array_job("j-2", 1);
-        next.spot_ok = true;
-        job(next, 1).in_pipeline = in_pipeline;
-        EXPECT_EQ(sched::place(p).at(0).machine, "m-spot");
-    }
+class SpotAndEmptyMachines : public Scheduler, public ::testing::WithParamInterface<NamedCase<bool>> {};
+
+TEST_P(SpotAndEmptyMachines, AreTheLastChoiceOfPipelines) {
+    const bool in_pipeline = GetParam().value;
+    machine("m-spot", "g4", "a", true).busy = true;
+    machine("m-empty");
+    auto& shared = machine("m-shared", "g4", "b");
+    shared.busy = true;
+    shared.free -= model::Resources{8, 1, 32};
+    p.machines[0].images = {"img-1"};
+    auto spec = array_job("j-1", 1);
+    spec.spot_ok = true;
+    job(spec, 1).in_pipeline = in_pipeline;
+    EXPECT_EQ(sched::place(p).at(0).machine, in_pipeline ? "m-shared" : "m-spot");
+    p.machines.pop_back();
+    auto next = array_job("j-2", 1);
+    next.spot_ok = true;
+    job(next, 1).in_pipeline = in_pipeline;
+    EXPECT_EQ(sched::place(p).at(0).machine, "m-spot");
 }
 
+INSTANTIATE_TEST_SUITE_P(Job, SpotAndEmptyMachines,
+                         ::testing::Values(NamedCase<bool>{"Alone", false},
+                                           NamedCase<bool>{"InAPipeline", true}),
+                         case_name<NamedCase<bool>>);
+
 // The inherited priority decides whom a waiter may stop, and by whom a victim may be stopped.
-TEST_F(Fixture, InheritedPriorityDecidesSuspension) {
+TEST_F(Scheduler, InheritedPriorityDecidesSuspension) {
     machine("m-1");
     victim(gang_job("j-1", 1), "m-1", 1.2);
     auto& waiter = job(gang_job("j-2", 1), 10);
@@ -110,7 +115,7 @@
 }
 
 // The last machine that a choosy class can use is not opened by work that has other places.
-TEST_F(Fixture, ReserveIsNotEatenByFlexibleWork) {
+TEST_F(Scheduler, ReserveIsNotEatenByFlexibleWork) {
     tuning.headroom = 1;
     machine("m-1");
     auto flexible = array_job("j-1", 1);
@@ -126,7 +131,7 @@
     EXPECT_EQ(sched::place(p).size(), 1U);
 }
 
-TEST_F(Fixture, FactorWidthAndCategoryGuardVictims) {
+TEST_F(Scheduler, FactorWidthAndCategoryGuardVictims) {
     machine("m-1");
     auto v = gang_job("j-1", 1);
     victim(v, "m-1", 1.2);
@@ -148,7 +153,7 @@
 }
 
 // PROTOCOL "Preemption" comes on top of the design.
-TEST_F(Fixture, EqualPriorityIsNeverStopped) {
+TEST_F(Scheduler, EqualPriorityIsNeverStopped) {
     machine("m-1");
     victim(gang_job("j-1", 1), "m-1", 1);
     auto& waiter = job(gang_job("j-2", 1), 50);
@@ -161,7 +166,7 @@
     (void)waiter;
 }
 
-TEST_F(Fixture, AllVictimsTogetherOrNone) {
+TEST_F(Scheduler, AllVictimsTogetherOrNone) {
     machine("m-1");
     victim(gang_job("j-1", 1), "m-1", 1);
     auto w = gang_job("j-2", 2);
@@ -172,7 +177,7 @@
     EXPECT_TRUE(sched::suspend(p));
 }
 
-TEST_F(Fixture, LargestVictimsGoFirst) {
+TEST_F(Scheduler, LargestVictimsGoFirst) {
     machine("m-1");
     machine("m-2", "g2");
     auto small = gang_job("j-1", 1);
@@ -187,7 +192,7 @@
     EXPECT_EQ(sched::suspend(p)->victims, std::vector<std::string>{"j-2"});
 }
 
-TEST_F(Fixture, HolderKeepsWhatFreesUp) {
+TEST_F(Scheduler, HolderKeepsWhatFreesUp) {
     machine("m-1");
     auto& holder = job(gang_job("j-1", 2), 1);
     holder.waited_s = tuning.holding_wait_s + 1;
@@ -199,7 +204,7 @@
 
 // Found by a day of bursts: half of the widest gangs waited over four minutes, since machines of two zones
 // were held for a gang that must stay in one, and what was let go at last went to whoever had climbed higher.
-TEST_F(Fixture, HolderKeepsOneZoneAndGoesFirst) {
+TEST_F(Scheduler, HolderKeepsOneZoneAndGoesFirst) {
     machine("m-1", "g4", "a");
     machine("m-2", "g4", "b");
     machine("m-3", "g4", "b");
@@ -222,7 +227,7 @@
 }
 
 // A team at its limit holds nothing: what it can't use would stand idle.
-TEST_F(Fixture, NobodyHoldsBeyondTheLimit) {
+TEST_F(Scheduler, NobodyHoldsBeyondTheLimit) {
     machine("m-1");
     auto spec = gang_job("j-1", 2);
     spec.team = "capped";
@@ -230,7 +235,7 @@
     EXPECT_TRUE(sched::hold(p).machines.empty());
 }
 
-TEST_F(Fixture, CheapestFullMachineIsRented) {
+TEST_F(Scheduler, CheapestFullMachineIsRented) {
     auto flexible = array_job("j-1", 4);
     flexible.spot_ok = true;
     job(flexible, 1, 0);
@@ -242,7 +247,7 @@
     EXPECT_FALSE(sched::capacity(p).rent[0].spot);
 }
 
-TEST_F(Fixture, MachinesOnTheirWayCount) {
+TEST_F(Scheduler, MachinesOnTheirWayCount) {
     job(gang_job("j-1", 1), 1, 0);
     auto& m = machine("m-1");
     m.ready = false;
@@ -250,7 +255,7 @@
     EXPECT_TRUE(sched::capacity(p).rent.empty());
 }
 
-TEST_F(Fixture, IdleMachinesGoBackButNotTheReserve) {
+TEST_F(Scheduler, IdleMachinesGoBackButNotTheReserve) {
     tuning.headroom = 1;
     machine("m-1").idle_s = 500;
     machine("m-2").idle_s = 500;
@@ -263,7 +268,7 @@
     EXPECT_EQ(sched::capacity(p).give_back.size(), 1U);
 }
 
-TEST(Sched, XfactorIsWaitOverEstimate) {
+TEST(Slowdown, XfactorIsWaitOverEstimate) {
     EXPECT_DOUBLE_EQ(sched::xfactor(60, 60), 2.0);
     EXPECT_DOUBLE_EQ(sched::xfactor(-5, 60), 1.0);
     EXPECT_DOUBLE_EQ(sched::xfactor(9, 0), 10.0);
--- a/tests/watch_cache_test.cpp
+++ b/tests/watch_cache_test.cpp
@@ -24,7 +24,7 @@
     EXPECT_FALSE(log.above(2008));  // the last that was forgotten is 2009
     EXPECT_FALSE(log.above(2009));  // still more than a message
     EXPECT_EQ(log.above(100000 + c::cancellations_kept - 3)->size(), 2U);
-    // What was told of an old revision is not lost silently either.
+    // An entry of an old revision that comes late is not dropped silently either.
     log.learn("j-1", 5);
     EXPECT_FALSE(log.above(4));
 }
@@ -33,15 +33,17 @@
 // it, and a final state that is missing when the cache is read anew is not forgotten.
 TEST(WatchCache, LearnsFinalStatesFromAnyPeer) {
     control::Mirror m;
-    std::vector<std::string> heard;
-    m.on_cancelled = [&](const std::string& id, bool fresh) { heard.push_back(id + (fresh ? " new" : "")); };
+    std::vector<std::string> learned;
+    m.on_cancelled = [&](const std::string& id, bool fresh) {
+        learned.push_back(id + (fresh ? " new" : ""));
+    };
     m.learn_final("j-1", {model::Final::cancelled}, 8);
     m.learn_final("j-2", {model::Final::done}, 9);
     m.clear();
     EXPECT_EQ(m.final_of("j-1"), model::Final::cancelled);
     EXPECT_EQ(m.cancellations().above(7)->size(), 1U);
     m.apply({{{records::final_key("j-1"), records::final_json({model::Final::cancelled}), 8}}, 9}, 0);
-    EXPECT_EQ(heard, (std::vector<std::string>{"j-1 new", "j-1"}));
+    EXPECT_EQ(learned, (std::vector<std::string>{"j-1 new", "j-1"}));
 }
 
 // Two watches may answer out of order: what is known is not undone by an older revision.
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -3,6 +3,7 @@
 
 #include <boost/json.hpp>
 
+#include "named_case.hpp"
 #include "sample_jobs.hpp"
 #include "wire/gossip.hpp"
 #include "wire/protocol.hpp"
@@ -28,43 +29,80 @@
     return std::holds_alternative<model::JobSpec>(wire::parse_submission(body));
 }
 
-TEST(Wire, SubmissionIsStrictButForUnknownFields) {
+TEST(Submission, IsRead) {
     ASSERT_TRUE(accepted(good));
     const auto s = std::get<model::JobSpec>(wire::parse_submission(good));
     EXPECT_EQ(s.shape, model::Shape::gang);
     EXPECT_EQ(s.tasks, 16U);
     EXPECT_FALSE(s.zone);
-    for (const auto* omittable : {"Breeds", "Yard", "DueS"})
-        EXPECT_TRUE(accepted(with(omittable, ""))) << omittable;
-    for (const auto* body : {"", "{", "[]", "null", "7", "{\"NameId\":"})
-        EXPECT_FALSE(accepted(body)) << body;
-    for (const auto* key :
-         {"NameId", "Jobclass", "Crew", "Shape", "Urgency", "Pieces", "Vcpus", "Accelerators", "MemGb",
-          "Bundle", "SizeGb", "Together", "Spread", "Loaners", "GuessS", "NotchS", "StashS"}) {
-        EXPECT_FALSE(accepted(with(key, ""))) << key << " missing";
-        EXPECT_FALSE(accepted(with(key, "null"))) << key << " null";
-        EXPECT_FALSE(accepted(with(key, "{}"))) << key << " of the wrong type";
-    }
-    for (const auto& [key, value] :
-         std::vector<std::pair<std::string, std::string>>{{"NameId", "\"000412\""},
-                                                          {"NameId", "\"j-\""},
-                                                          {"NameId", "\"j-a/b\""},
-                                                          {"NameId", "\"j-" + std::string(80, '1') + "\""},
-                                                          {"Pieces", "0"},
-                                                          {"Pieces", "-1"},
-                                                          {"Pieces", "100001"},
-                                                          {"Pieces", "1.5"},
-                                                          {"Vcpus", "-1.0"},
-                                                          {"Vcpus", "1e999"},
-                                                          {"GuessS", "\"240\""},
-                                                          {"Breeds", "[1]"},
-                                                          {"Yard", "7"},
-                                                          {"Shape", "\"gang\""},
-                                                          {"Urgency", "\"low\""}})
-        EXPECT_FALSE(accepted(with(key, value))) << key << " " << value;
 }
 
-TEST(Wire, ReportIsRead) {
+class MalformedSubmission : public ::testing::TestWithParam<NamedCase<std::string>> {};
+
+TEST_P(MalformedSubmission, IsRefused) {
+    EXPECT_FALSE(accepted(GetParam().value)) << GetParam().value;
+}
+
+INSTANTIATE_TEST_SUITE_P(Body, MalformedSubmission,
+                         ::testing::Values(NamedCase<std::string>{"Empty", ""},
+                                           NamedCase<std::string>{"Truncated", "{"},
+                                           NamedCase<std::string>{"Array", "[]"},
+                                           NamedCase<std::string>{"Null", "null"},
+                                           NamedCase<std::string>{"Number", "7"},
+                                           NamedCase<std::string>{"TruncatedField", "{\"NameId\":"}),
+                         case_name<NamedCase<std::string>>);
+
+class OptionalField : public ::testing::TestWithParam<std::string> {};
+
+TEST_P(OptionalField, MayBeMissing) {
+    EXPECT_TRUE(accepted(with(GetParam(), "")));
+}
+
+INSTANTIATE_TEST_SUITE_P(Submission, OptionalField, ::testing::Values("Breeds", "Yard", "DueS"),
+                         [](const auto& info) { return info.param; });
+
+class MandatoryField : public ::testing::TestWithParam<std::string> {};
+
+TEST_P(MandatoryField, HasToBePresentAndOfItsType) {
+    const auto& key = GetParam();
+    EXPECT_FALSE(accepted(with(key, ""))) << key << " missing";
+    EXPECT_FALSE(accepted(with(key, "null"))) << key << " null";
+    EXPECT_FALSE(accepted(with(key, "{}"))) << key << " of the wrong type";
+}
+
+INSTANTIATE_TEST_SUITE_P(Submission, MandatoryField,
+                         ::testing::Values("NameId", "Jobclass", "Crew", "Shape", "Urgency", "Pieces",
+                                           "Vcpus", "Accelerators", "MemGb", "Bundle", "SizeGb", "Together",
+                                           "Spread", "Loaners", "GuessS", "NotchS", "StashS"),
+                         [](const auto& info) { return info.param; });
+
+struct FieldCase {
+    std::string name, key, value;
+    friend std::ostream& operator<<(std::ostream& out, const FieldCase& c) { return out << c.name; }
+};
+
+class InvalidField : public ::testing::TestWithParam<FieldCase> {};
+
+TEST_P(InvalidField, IsRefused) {
+    const auto& [name, key, value] = GetParam();
+    EXPECT_FALSE(accepted(with(key, value))) << key << " " << value;
+}
+
+INSTANTIATE_TEST_SUITE_P(
+    Submission, InvalidField,
+    ::testing::Values(
+        FieldCase{"NameWithoutPrefix", "NameId", "\"000412\""},
+        FieldCase{"NameOfPrefixOnly", "NameId", "\"j-\""}, FieldCase{"NameWithSlash", "NameId", "\"j-a/b\""},
+        FieldCase{"NameTooLong", "NameId", "\"j-" + std::string(80, '1') + "\""},
+        FieldCase{"NoTasks", "Pieces", "0"}, FieldCase{"NegativeTasks", "Pieces", "-1"},
+        FieldCase{"TooManyTasks", "Pieces", "100001"}, FieldCase{"FractionalTasks", "Pieces", "1.5"},
+        FieldCase{"NegativeCpus", "Vcpus", "-1.0"}, FieldCase{"InfiniteCpus", "Vcpus", "1e999"},
+        FieldCase{"EstimateAsString", "GuessS", "\"240\""}, FieldCase{"MachineTypeAsNumber", "Breeds", "[1]"},
+        FieldCase{"ZoneAsNumber", "Yard", "7"}, FieldCase{"UnknownShape", "Shape", "\"gang\""},
+        FieldCase{"UnknownPriority", "Urgency", "\"low\""}),
+    case_name<FieldCase>);
+
+TEST(Wire, HeartbeatIsRead) {
     const auto r = wire::parse_report(
         R"({"Host":"m-1","Address":"10.1.0.2:9000","Breed":"g4","Yard":"a","Loaners":true,"Stint":1,"Tick":88,"Baton":41,"WarningS":null,)"
         R"("Pieces":[{"Piece":"j-000412/3","Try":2,"Status":"running"},{"Piece":"j-000398/0","Try":1,"Status":"ended","Cause":"done"}]})");
@@ -74,14 +112,28 @@
     ASSERT_EQ(report.tasks.size(), 2U);
     EXPECT_EQ(report.tasks[0].task.index, 3U);
     EXPECT_EQ(report.tasks[1].cause, model::ExitCause::done);
-    for (
-        const auto* body :
-        {"", "[]", "{}",
-         R"({"Host":"m-1","Address":"a","Breed":"g","Yard":"a","Loaners":true,"Stint":-1,"Tick":1,"Baton":1,"Pieces":[]})",
-         R"({"Host":"m-1","Address":"a","Breed":"g","Yard":"a","Loaners":true,"Stint":1,"Tick":1,"Baton":1,"Pieces":[{"Piece":"x","Try":1,"Status":"running"}]})"})
-        EXPECT_TRUE(std::holds_alternative<std::string>(wire::parse_report(body))) << body;
 }
 
+class MalformedHeartbeat : public ::testing::TestWithParam<NamedCase<std::string>> {};
+
+TEST_P(MalformedHeartbeat, IsRefused) {
+    const auto& body = GetParam().value;
+    EXPECT_TRUE(std::holds_alternative<std::string>(wire::parse_report(body))) << body;
+}
+
+INSTANTIATE_TEST_SUITE_P(
+    Body, MalformedHeartbeat,
+    ::testing::Values(
+        NamedCase<std::string>{"Empty", ""}, NamedCase<std::string>{"Array", "[]"},
+        NamedCase<std::string>{"WithoutFields", "{}"},
+        NamedCase<std::string>{
+            "NegativeAgentEpoch",
+            R"({"Host":"m-1","Address":"a","Breed":"g","Yard":"a","Loaners":true,"Stint":-1,"Tick":1,"Baton":1,"Pieces":[]})"},
+        NamedCase<std::string>{
+            "TaskWithoutIndex",
+            R"({"Host":"m-1","Address":"a","Breed":"g","Yard":"a","Loaners":true,"Stint":1,"Tick":1,"Baton":1,"Pieces":[{"Piece":"x","Try":1,"Status":"running"}]})"}),
+    case_name<NamedCase<std::string>>);
+
 TEST(Wire, AnswersHaveTheProtocolsForm) {
     using model::Order;
     EXPECT_EQ(
@@ -94,7 +146,7 @@
     EXPECT_EQ(wire::follow_target("pr/", 7, 2000), "/follow?Under=pr/&Since=7&BlockMs=2000");
 }
 
-TEST(Wire, StateServiceAnswersAreRead) {
+TEST(Wire, StoreAnswersAreRead) {
     const auto e = wire::parse_events(
         R"({"Epoch":433,"Events":[{"Write":"c/9","Value":{"a":1},"Stamp":433},{"Drop":"c/d","Stamp":432}]})");
     ASSERT_TRUE(e);
