--- a/tests/asymmetric_partition_test.cpp
+++ b/tests/asymmetric_partition_test.cpp
@@ -8,7 +8,7 @@
 // does not acknowledge, and given nothing more. Its work is placed elsewhere when its own lease has ended
 // it, and the machine is released.
 TEST(AsymmetricPartition, InboundPartitionIsDetected) {
-    StartedLeader simulator("hears_nothing", {"m-1"});
+    StartedLeader simulator("inbound_partition", {"m-1"});
     simulator.add_worker("m-2");
     simulator.run_job(array_job("j-1", 1), "m-1");
     simulator.note("        nothing reaches m-1 any more");
@@ -35,7 +35,7 @@
 // A machine that still sends heartbeats in the same agent epoch when its lease must have ended has
 // received answers again.
 TEST(AsymmetricPartition, HealedMachineIsUsedAgain) {
-    StartedLeader simulator("hears_again", {"m-1"});
+    StartedLeader simulator("inbound_partition_healed", {"m-1"});
     simulator.run_job(array_job("j-1", 1), "m-1");
     simulator.submit(array_job("j-2", 1));
     simulator.plan_and_commit();
@@ -51,7 +51,7 @@
 
 // When no answer reaches many machines at once, the fault is the leader's: no machine is released.
 TEST(AsymmetricPartition, ManyAtOnceReleaseNoMachine) {
-    StartedLeader simulator("many_hear_nothing");
+    StartedLeader simulator("inbound_partition_of_many");
     std::vector<std::string> machines;
     for (int i = 1; i <= 8; ++i) {
         machines.push_back("m-" + std::to_string(i));
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -30,7 +30,7 @@
 
 // A new leader finds progress without a job: the user cancelled, and the tasks have to be stopped.
 TEST(Cancellation, HoldsAcrossAFailover) {
-    StartedLeader simulator("cancel_during_takeover", {"m-1"});
+    StartedLeader simulator("cancel_during_failover", {"m-1"});
     simulator.run_job(array_job("j-1", 1), "m-1");
     simulator.cancel("j-1", false);
     simulator.begin_term();
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -72,15 +72,16 @@
 // Every fault of a machine, short and long.
 std::vector<MachineFaultCase> machine_faults(const std::string& trace, double short_s, double long_s) {
     struct Fault {
-        std::string name, noted;
+        std::string name, trace, noted;
         MachineFault fault;
     };
-    const std::vector<Fault> faults{{"Hung", "hung", {true, false, false}},
-                                    {"InboundPartition", "deaf", {false, true, false}},
-                                    {"OutboundPartition", "mute", {false, false, true}}};
+    const std::vector<Fault> faults{
+        {"Hung", "hung", "hung", {true, false, false}},
+        {"InboundPartition", "inbound_partition", "deaf", {false, true, false}},
+        {"OutboundPartition", "outbound_partition", "mute", {false, false, true}}};
     std::vector<MachineFaultCase> cases;
     for (const auto& each : faults) {
-        const auto trace_name = trace + "_" + each.noted;
+        const auto trace_name = trace + "_" + each.trace;
         cases.push_back({each.name, trace_name, each.noted, each.fault, short_s});
         cases.push_back({each.name + "Long", trace_name + "_long", each.noted, each.fault, long_s});
     }
@@ -91,7 +92,7 @@
 // through the outage that follows; what another controller confirmed as cancelled meanwhile is stopped all
 // the same, and soon: the peers confirm everything they acknowledged. Healthy work runs on.
 TEST(CombinedFaults, CancelledElsewhereThenAStoreOutage) {
-    CombinedFaultsCluster cluster("gap");
+    CombinedFaultsCluster cluster("cancelled_before_outage");
     cluster.start_jobs({"j-1", "j-2", "j-3"});
     cluster.note("refuse  c-" + std::to_string(cluster.old_leader));
     cluster.rejected_by_store = {cluster.old_leader};
@@ -125,7 +126,7 @@
 
 TEST_P(ConfirmedFromMemory, InsideAnOutage) {
     const bool by_submission = GetParam().value;
-    CombinedFaultsCluster cluster(by_submission ? "told_by_submission" : "told_by_poll");
+    CombinedFaultsCluster cluster(by_submission ? "confirmed_by_submission" : "confirmed_by_poll");
     cluster.start_jobs({"j-1", "j-2"});
     cluster.rejected_by_store = {cluster.old_leader};
     cluster.lost_commit_answers = {cluster.follower};
@@ -156,7 +157,8 @@
 
 TEST_P(ConfirmingControllerEnds, RightAfterItsAnswer) {
     const double away = GetParam().value;
-    CombinedFaultsCluster cluster("teller_ends_" + std::to_string(static_cast<int>(away * 10)));
+    CombinedFaultsCluster cluster("confirming_controller_ends_" +
+                                  std::to_string(static_cast<int>(away * 10)));
     cluster.start_jobs({"j-1", "j-2"});
     cluster.rejected_by_store = {cluster.old_leader};
     cluster.run(0.95);
@@ -186,7 +188,7 @@
 
 // A controller paused between its commit and its answer confirms when it goes on; its peers learn of it then.
 TEST(CombinedFaults, PausedBetweenCommitAndAnswer) {
-    CombinedFaultsCluster cluster("frozen_teller");
+    CombinedFaultsCluster cluster("confirming_controller_paused");
     cluster.start_jobs({"j-1", "j-2"});
     cluster.rejected_by_store = {cluster.old_leader};
     const auto answer = cluster.send_request(cluster.follower, "POST", "/submissions/j-1/cancel");
@@ -212,7 +214,7 @@
 // The leader loses the store and the other controllers, not its workers and users. Cancellations go
 // through the new one; nothing starts twice, and the old one's workers find the new one in time.
 TEST(CombinedFaults, LeaderPartitionedFromAllButItsWorkers) {
-    CombinedFaultsCluster cluster("cut_but_for_workers");
+    CombinedFaultsCluster cluster("partitioned_but_for_workers");
     cluster.start_jobs({"j-1", "j-2"});
     cluster.note("cut     c-" + std::to_string(cluster.old_leader) + " from the state service and its peers");
     cluster.partitioned_from_store = cluster.partitioned_from_peers = {cluster.old_leader};
@@ -261,8 +263,7 @@
     EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
 
-INSTANTIATE_TEST_SUITE_P(Fault, StopOfAFaultyMachine,
-                         ::testing::ValuesIn(machine_faults("stop_meets", 8, 50)),
+INSTANTIATE_TEST_SUITE_P(Fault, StopOfAFaultyMachine, ::testing::ValuesIn(machine_faults("stop", 8, 50)),
                          case_name<MachineFaultCase>);
 
 // The leader learns of a cancellation when its lease is over, from a peer, inside an outage; the machine
@@ -319,7 +320,7 @@
 // A cancellation, a question and a repeated submission meet the end of a job's last task. Whichever is first
 // holds; the invariant checker sees what goes back and what is confirmed too early.
 TEST(CombinedFaults, RequestsAtTheEndOfTheLastTask) {
-    CombinedFaultsCluster cluster("meets_the_end");
+    CombinedFaultsCluster cluster("requests_at_last_task_end");
     std::vector<std::string> jobs;
     for (int i = 1; i <= 6; ++i) {
         jobs.push_back("j-" + std::to_string(i));
@@ -378,7 +379,7 @@
 // A team is at its quota when the leader fails over, one of its machines can't be reached, and a cancellation
 // comes meanwhile: what the machine may still run counts until it is proven off.
 TEST(CombinedFaults, QuotaHoldsAcrossAFailover) {
-    CombinedFaultsCluster cluster("limit_across_takeover");
+    CombinedFaultsCluster cluster("quota_across_failover");
     const boost::json::object capped{{"Crew", "capped"}};
     for (const auto* id : {"j-1", "j-2", "j-3", "j-4"}) EXPECT_EQ(cluster.submit(0, id, capped)->status, 201);
     cluster.run(15);
@@ -402,7 +403,7 @@
 
 TEST_P(DuplicatedHeartbeats, ReachANewLeader) {
     const double after = GetParam().value;
-    CombinedFaultsCluster cluster("late_reports_" + std::to_string(static_cast<int>(after)));
+    CombinedFaultsCluster cluster("duplicated_heartbeats_" + std::to_string(static_cast<int>(after)));
     cluster.workers.duplicate_heartbeats_after_s = after;
     cluster.start_jobs({"j-1", "j-2"});
     const auto machine = cluster.workers.machine_with("j-1").id;
@@ -427,7 +428,7 @@
 
 // Heartbeats held back until a new leader has acted arrive there.
 TEST(CombinedFaults, HeldHeartbeatsReachANewLeader) {
-    CombinedFaultsCluster cluster("held_reports");
+    CombinedFaultsCluster cluster("held_heartbeats");
     cluster.start_jobs({"j-1", "j-2"});
     cluster.workers.hold_heartbeats = true;
     cluster.run(3);
@@ -448,7 +449,7 @@
 
 TEST_P(DelayedTransactions, AreCarriedOutLate) {
     const double late = GetParam().value;
-    CombinedFaultsCluster cluster("late_writes_" + std::to_string(static_cast<int>(late)));
+    CombinedFaultsCluster cluster("delayed_writes_" + std::to_string(static_cast<int>(late)));
     cluster.start_jobs({"j-1", "j-2"});
     cluster.delayed_writes_s = late;
     cluster.note("writes  are late");
@@ -480,7 +481,7 @@
 
 TEST_P(AllControllersDown, RightAfterACancellation) {
     const double away = GetParam().value;
-    CombinedFaultsCluster cluster(away < 1 ? "all_away_a_moment" : "all_away");
+    CombinedFaultsCluster cluster(away < 1 ? "all_controllers_down_a_moment" : "all_controllers_down");
     cluster.start_jobs({"j-1", "j-2"});
     EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
     for (int n = 0; n < 3; ++n) cluster.kill(n);
@@ -523,7 +524,7 @@
 // A zone with workers and the leader is partitioned for longer than a lease, and a job there is cancelled.
 // Tasks of a job that is bound to the other zone lose their machine meanwhile.
 TEST(CombinedFaults, ZonePartitionedWithTheLeader) {
-    CombinedFaultsCluster cluster("zone_cut");
+    CombinedFaultsCluster cluster("zone_partitioned");
     cluster.workers.task_run_s = {{"j-3/0", 90}, {"j-3/1", 90}, {"j-3/2", 90}};
     for (const auto* id : {"j-1", "j-2"}) EXPECT_EQ(cluster.submit(0, id, {{"Yard", "a"}})->status, 201);
     EXPECT_EQ(cluster.submit(0, "j-3", {{"Yard", "b"}, {"Pieces", 3}})->status, 201);
@@ -551,7 +552,7 @@
 // The store is slow, then refuses the leader alone, then everybody for longer than cancel_s, while users
 // cancel and ask.
 TEST(CombinedFaults, StoreSlowThenRefusingThenOut) {
-    CombinedFaultsCluster cluster("slow_then_out");
+    CombinedFaultsCluster cluster("store_slow_then_out");
     cluster.start_jobs({"j-1", "j-2", "j-3"});
     // Renewals wait as long as everything else: a slow store ends no term, and work goes on.
     cluster.store_delay_s = 1.2;
@@ -610,7 +611,7 @@
 // An invalid request is refused at once, whatever the store does; what can't be decided is 503; and repeats
 // are answered by the present state.
 TEST(CombinedFaults, InvalidRequestsDuringAStoreOutage) {
-    CombinedFaultsCluster cluster("odd_requests");
+    CombinedFaultsCluster cluster("invalid_requests");
     cluster.workers.task_run_s["j-1/0"] = 5;
     cluster.start_jobs({"j-1", "j-2"});
     cluster.run(15);
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -17,7 +17,7 @@
 
 // One leader; any controller accepts a job, and any other knows it at once.
 TEST(Controller, OneLeaderAndEveryControllerKnowsTheJob) {
-    ClusterSimulator cluster("nodes_quiet", 3);
+    ClusterSimulator cluster("controllers_quiet", 3);
     cluster.run(5);
     EXPECT_FALSE(cluster.store.leader().empty());
     EXPECT_EQ(cluster.submit(0, "j-1")->status, 201);
@@ -37,7 +37,7 @@
 // A leader that loses the store and its peers, but not its workers: it starts nothing, steps down
 // soon after its lease, and takes nothing back when it returns.
 TEST(Controller, LeaderPartitionedAloneStepsDown) {
-    ClusterSimulator cluster("leader_cut_off_alone", 3);
+    ClusterSimulator cluster("leader_partitioned_alone", 3);
     cluster.run(5);
     const int old = cluster.leader();
     const auto token = cluster.store.token();
@@ -79,7 +79,7 @@
 
 // In an outage of the store, nobody else can lead: the leader goes on answering its workers.
 TEST(Controller, StoreOutageKeepsWorkers) {
-    ClusterSimulator cluster("outage_of_all", 3);
+    ClusterSimulator cluster("store_outage", 3);
     cluster.run(5);
     const int leader = cluster.leader();
     std::uint64_t tick = 0;
@@ -104,7 +104,7 @@
 // A leader paused with a start decided, its commit and its answer on their way, while its clock
 // runs on: when it goes on, the commit comes late and is refused, and the answer carries no start.
 TEST(Controller, PausedLeaderStartsNothing) {
-    ClusterSimulator cluster("frozen_leader", 3);
+    ClusterSimulator cluster("paused_leader", 3);
     cluster.run(5);
     const int old = cluster.leader(), other = (old + 1) % 3;
     const auto token = cluster.store.token();
@@ -148,7 +148,7 @@
 
 // A candidate paused between its lease and its bid: the bid comes late, for a lease that has expired.
 TEST(Controller, PausedCandidateWinsNothing) {
-    ClusterSimulator cluster("frozen_candidate", 3);
+    ClusterSimulator cluster("paused_candidate", 3);
     cluster.run(5);
     const int first = cluster.leader();
     const int one = (first + 1) % 3, two = (first + 2) % 3;
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -33,7 +33,7 @@
 // The last task of a dependency has ended and its leader knows; a failover comes before the record. The new
 // leader knows of the end by a heartbeat alone, and starts what waits only after its own commit.
 TEST(Dependencies, NoStartBetweenAnEndAndItsRecord) {
-    LeaderSimulator simulator("dependency_end_in_takeover");
+    LeaderSimulator simulator("dependency_end_in_failover");
     simulator.begin_term();
     simulator.add_worker("m-1");
     simulator.synchronize_worker("m-1");
@@ -300,7 +300,7 @@
 
 // A cancellation races with the end of a dependency: whichever is first holds for all dependent jobs.
 TEST(Pipelines, CancelMeetsTheEndOfADependency) {
-    PipelineCluster cluster("pipeline_cancel_meets_end");
+    PipelineCluster cluster("pipeline_cancel_at_end");
     std::vector<std::string> jobs;
     for (int i = 1; i <= 5; ++i) {
         jobs.push_back("j-" + std::to_string(i));
--- a/tests/durable_writes_test.cpp
+++ b/tests/durable_writes_test.cpp
@@ -64,7 +64,7 @@
 // Found by a day of bursts: with the write budget spent, every commit was small, filled with placements,
 // and left no room for the end of a job. Users waited minutes for the done of work that had long ended.
 TEST(DurableWrites, CompletionsComeBeforePlacements) {
-    LeaderSimulator simulator("ends_in_a_crowd");
+    LeaderSimulator simulator("completions_before_placements");
     simulator.config.value_kb = 1;  // a segment holds few jobs
     simulator.begin_term();
     simulator.add_ready_workers({"m-1"});
@@ -89,7 +89,7 @@
 // A segment is overwritten when nobody needs it; a second copy of the commit that wrote it first then
 // finds a newer revision, and what was true at that time does not come back.
 TEST(DurableWrites, LateCopyOfAnOverwrittenSegmentIsRefused) {
-    StartedLeader simulator("segment_written_over", {"m-1"});
+    StartedLeader simulator("segment_overwritten", {"m-1"});
     const auto first = placement_batch(simulator, array_job("j-1", 1));
     simulator.apply_batch(first);
     simulator.send_heartbeat("m-1");
@@ -111,7 +111,7 @@
 // A job that is over still stands in a segment that others need: a later segment holds a tombstone for
 // it, so that a new leader does not take its tasks for unknown ones.
 TEST(DurableWrites, EndedJobGetsATombstone) {
-    StartedLeader simulator("denied", {"m-1"});
+    StartedLeader simulator("tombstone", {"m-1"});
     simulator.submit(array_job("j-1", 1));
     simulator.run_job(array_job("j-2", 1), "m-1");
     simulator.set_task_state("j-1/0", TaskState::exited, ExitCause::done);
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -8,7 +8,7 @@
 // Unknown means possibly still running: no heartbeat of the machine of an earlier term's placement has
 // arrived, so its task waits for proof.
 TEST(Failover, LeavesUnknownTasksAlone) {
-    StartedLeader simulator("takeover_unknown", {"m-1"});
+    StartedLeader simulator("failover_unknown_tasks", {"m-1"});
     simulator.add_worker("m-2");
     simulator.run_job(array_job("j-1", 1), "m-1");
     simulator.note("        m-1 is cut off; its task runs on");
@@ -31,7 +31,7 @@
 // A provisioning request without an answer is repeated under its name by the next leader (an idempotent
 // request): it provisions once, and is not forgotten.
 TEST(Failover, RepeatsAnUnansweredProvisioningRequest) {
-    StartedLeader simulator("rental_takeover");
+    StartedLeader simulator("provisioning_across_failover");
     simulator.submit(gang_job("j-1", 1));
     simulator.plan_and_commit();
     const auto first = simulator.provision_machines();
@@ -50,7 +50,7 @@
 // A failover long after provisioning: no machine has sent a heartbeat in the new term, and none is given
 // up for that.
 TEST(Failover, ReleasesNoRunningMachine) {
-    StartedLeader simulator("takeover_keeps_machines", {"m-1"});
+    StartedLeader simulator("failover_keeps_machines", {"m-1"});
     simulator.advance(400);
     simulator.begin_term();
     simulator.leader_state().listed({{"m-1", "", "g4", "a", false, model::MachineStatus::running, 400},
@@ -70,7 +70,7 @@
 // Spot machines reclaimed between two leaders: their notice never reaches the new one. What the list does
 // not show once its lag has passed is gone, and a release proves it without waiting for silence.
 TEST(Failover, SpotMachineReclaimedBetweenTwoTermsIsReleased) {
-    StartedLeader simulator("taken_between_terms");
+    StartedLeader simulator("reclaimed_between_terms");
     simulator.add_worker("m-1", "g4", "a", true);
     simulator.add_worker("m-2");
     simulator.synchronize_worker("m-1");
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -57,7 +57,7 @@
 // A running gang that lost a task starts a new attempt only when the last task of the old attempt is off
 // its machine.
 TEST(Gang, RestartsOnlyAfterTheLastTaskEnded) {
-    StartedLeader simulator("gang_lost_member", {"m-1", "m-2"});
+    StartedLeader simulator("gang_lost_task", {"m-1", "m-2"});
     start_gang(simulator, gang_job("j-1", 2), {"m-1", "m-2"});
     set_both_tasks(simulator, TaskState::running);
     simulator.send_heartbeats({"m-1", "m-2"});
@@ -81,7 +81,7 @@
 
 // Orderly stop: every task gets a direct command in the same moment, with time to write its checkpoint.
 TEST(Gang, PreemptionStopsAllTasksAtOnce) {
-    LeaderSimulator simulator("suspension");
+    LeaderSimulator simulator("preemption");
     simulator.tuning.suspension_period_s = 1;
     simulator.begin_term();
     simulator.add_ready_workers({"m-1", "m-2"});
--- a/tests/heartbeat_test.cpp
+++ b/tests/heartbeat_test.cpp
@@ -34,7 +34,7 @@
 // Guards the order by (agent epoch, sequence number): an older heartbeat that arrives late must not undo
 // what a newer one showed.
 TEST(Heartbeat, StaleHeartbeatIsIgnored) {
-    StartedLeader simulator("stale_report", {"m-1"});
+    StartedLeader simulator("stale_heartbeat", {"m-1"});
     const auto early = simulator.next_heartbeat(simulator.workers.at("m-1"));
     simulator.run_job(array_job("j-1", 1), "m-1");
     simulator.note("report  of before the start arrives late");
@@ -56,7 +56,7 @@
 
 // A new agent epoch proves that the tasks of the earlier one have ended: they are placed again.
 TEST(Heartbeat, NewAgentEpochFreesTasks) {
-    StartedLeader simulator("lost_session", {"m-1"});
+    StartedLeader simulator("new_agent_epoch", {"m-1"});
     simulator.run_job(array_job("j-1", 1), "m-1");
     simulator.expire_worker_lease("m-1");
     simulator.send_heartbeat("m-1");
@@ -67,7 +67,7 @@
 
 // A task that no placement knows is stopped and then reaped.
 TEST(Heartbeat, UnknownTasksAreStopped) {
-    LeaderSimulator simulator("strays");
+    LeaderSimulator simulator("unknown_tasks");
     simulator.specs["j-9"] = array_job("j-9", 1);
     simulator.begin_term();
     auto& m = simulator.add_worker("m-1");
--- a/tests/machine_lifecycle_test.cpp
+++ b/tests/machine_lifecycle_test.cpp
@@ -116,7 +116,7 @@
 
 // A provisioned machine without a heartbeat is released after its boot time, and not before.
 TEST(MachineLifecycle, MachineThatNeverBootsIsReleased) {
-    StartedLeader simulator("never_up");
+    StartedLeader simulator("never_boots");
     simulator.submit(gang_job("j-1", 1));
     simulator.plan_and_commit();
     simulator.provision_machines();
@@ -146,7 +146,7 @@
 
 // A spot machine whose notice has run out is proven gone by a release, not by waiting for the list.
 TEST(MachineLifecycle, ReclaimedSpotMachineIsReleasedAtOnce) {
-    StartedLeader simulator("spot_taken");
+    StartedLeader simulator("spot_reclaimed");
     simulator.add_worker("m-1", "g4", "a", true);
     simulator.synchronize_worker("m-1");
     simulator.workers.at("m-1").notice_s = 8;
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -6,7 +6,7 @@
 
 // The quota counts what may still run on machines without a heartbeat in this term.
 TEST(PlacementConstraints, QuotaCountsUnknownTasks) {
-    StartedLeader simulator("team_limit", {"m-1"});
+    StartedLeader simulator("quota_unknown_tasks", {"m-1"});
     simulator.add_worker("m-2");
     auto job = array_job("j-1", 3);
     job.team = "capped";  // 2 GPUs
@@ -21,7 +21,7 @@
 // One zone counts tasks on machines without a heartbeat too: until such a machine's zone is known, no
 // zone is allowed.
 TEST(PlacementConstraints, OneZoneCountsUnknownTasks) {
-    StartedLeader simulator("together");
+    StartedLeader simulator("one_zone");
     simulator.add_worker("m-1", "g4", "a");
     simulator.add_worker("m-2", "g4", "b");
     simulator.synchronize_worker("m-1");
