--- a/tests/asymmetric_partition_test.cpp
+++ b/tests/asymmetric_partition_test.cpp
@@ -23,11 +23,11 @@
         simulator.advance(3);
     }
     EXPECT_EQ(simulator.starts, 3);  // those of j-2 went to m-2
-    EXPECT_TRUE(simulator.leader_state().next_releases(simulator.now).empty());
+    EXPECT_TRUE(simulator.leader_state().machines_to_release(simulator.now).empty());
     simulator.expire_worker_lease("m-1");
     simulator.send_heartbeat("m-1", true);
     simulator.plan_and_commit();
-    EXPECT_EQ(simulator.leader_state().next_releases(simulator.now), std::vector<std::string>{"m-1"});
+    EXPECT_EQ(simulator.leader_state().machines_to_release(simulator.now), std::vector<std::string>{"m-1"});
     EXPECT_EQ(simulator.send_heartbeat("m-2").size(), 1U);
     EXPECT_EQ(simulator.starts, 4);
 }
@@ -46,7 +46,7 @@
         simulator.send_heartbeat("m-1"), simulator.advance(3), simulator.plan(), simulator.commit_all();
     simulator.send_heartbeat("m-1");
     EXPECT_EQ(simulator.starts, 2);
-    EXPECT_TRUE(simulator.leader_state().next_releases(simulator.now).empty());
+    EXPECT_TRUE(simulator.leader_state().machines_to_release(simulator.now).empty());
 }
 
 // When no answer reaches many machines at once, the fault is the leader's: no machine is released.
@@ -68,7 +68,7 @@
     }
     for (const auto& m : machines) simulator.expire_worker_lease(m);
     for (const auto& m : machines) simulator.send_heartbeat(m, true);
-    EXPECT_TRUE(simulator.leader_state().next_releases(simulator.now).empty());
+    EXPECT_TRUE(simulator.leader_state().machines_to_release(simulator.now).empty());
 }
 
 // A machine that never shows this term's fencing token gets no commands and proves nothing; it is
@@ -84,8 +84,8 @@
         simulator.send_heartbeat("m-2");
         simulator.plan_and_commit();
         EXPECT_EQ(simulator.starts, 1);
-        EXPECT_EQ(simulator.leader_state().next_releases(simulator.now).empty(),
-                  i * 3 <= simulator.config.lease_s)
+        EXPECT_EQ(simulator.leader_state().machines_to_release(simulator.now).empty(),
+                  i * 3 <= simulator.config.worker_lease_s)
             << i;
         simulator.advance(3);
     }
--- a/tests/cluster_simulator.cpp
+++ b/tests/cluster_simulator.cpp
@@ -37,8 +37,8 @@
             out = co_await cluster_.to_store(from_, method, target, body, timeout_s);
         else if (to_.host == "peer")
             out = co_await cluster_.to_peer(from_, to_.port, method, target, body, timeout_s);
-        else if (to_.host == "cloud" && target == wire::flavors_path)
-            out = Reply{200, json::serialize(wire::types_json(machine_types()))};
+        else if (to_.host == "cloud" && target == wire::machine_types_path)
+            out = Reply{200, json::serialize(wire::machine_types_json(machine_types()))};
         else if (to_.host == "cloud")
             out = cluster_.workers.answer_cloud_request(method, target, body);
         else if (!(out = cluster_.workers.direct_command(from_, to_.host, body)))
@@ -132,9 +132,9 @@
     auto& own = process(controller);
     own.settings = settings();
     own.settings.name = "c-" + std::to_string(controller);
-    own.settings.state = {"state", 1};
-    own.settings.cloud = {"cloud", 1};
-    own.settings.front = own.settings.mesh = {"127.0.0.1", 1};
+    own.settings.store_endpoint = {"state", 1};
+    own.settings.cloud_endpoint = {"cloud", 1};
+    own.settings.public_endpoint = own.settings.peer_endpoint = {"127.0.0.1", 1};
     own.record_format = options.record_format;
     if (options.adjust) options.adjust(own.settings);
     for (int peer = 0; peer < controllers; ++peer) {
@@ -164,7 +164,7 @@
                           controller](const config::Endpoint& to) -> std::unique_ptr<net::Client> {
         return std::make_unique<Link>(*this, alive, controller, to);
     };
-    own.controller = std::make_unique<control::Node>(*own.io, own.settings, processes_->tuning, connect,
+    own.controller = std::make_unique<controller::Controller>(*own.io, own.settings, processes_->tuning, connect,
                                                      ++seed_, own.record_format);
     own.controller->run_loops();
 }
@@ -207,9 +207,9 @@
     }
     workers.step(step_s);
     // A new leader is worth a line whenever it comes.
-    if (const auto token = store.token(); token != noted_token_) {
-        noted_token_ = token;
-        note("term    " + std::to_string(token) + " is won by " + store.leader());
+    if (const auto fencing_token = store.fencing_token(); fencing_token != noted_token_) {
+        noted_token_ = fencing_token;
+        note("term    " + std::to_string(fencing_token) + " is won by " + store.leader());
     }
 }
 
@@ -234,7 +234,7 @@
     net::Request request{method, target, body};
     net::asio::co_spawn(
         *own.io,
-        [](control::Node& receiver, net::Request r,
+        [](controller::Controller& receiver, net::Request r,
            std::shared_ptr<std::optional<Reply>> into) -> net::awaitable<void> {
             *into = co_await receiver.front(std::move(r));
         }(*own.controller, std::move(request), out),
@@ -291,11 +291,11 @@
     return reply;
 }
 
-std::optional<Reply> ClusterSimulator::send_heartbeat(int controller, const model::Report& report) {
+std::optional<Reply> ClusterSimulator::send_heartbeat(int controller, const model::Heartbeat& report) {
     return request(controller, "POST", "/checkin", heartbeat_body(report));
 }
 
-std::string ClusterSimulator::heartbeat_body(const model::Report& report) {
+std::string ClusterSimulator::heartbeat_body(const model::Heartbeat& report) {
     json::array tasks;
     for (const auto& task : report.tasks)
         tasks.push_back(json::object{
@@ -305,9 +305,9 @@
                                         {"Breed", "g4"},
                                         {"Yard", "a"},
                                         {"Loaners", false},
-                                        {"Stint", report.session},
-                                        {"Tick", report.tick},
-                                        {"Baton", report.token},
+                                        {"Stint", report.agent_epoch},
+                                        {"Tick", report.sequence},
+                                        {"Baton", report.fencing_token},
                                         {"Pieces", tasks}});
 }
 
--- a/tests/cluster_simulator.hpp
+++ b/tests/cluster_simulator.hpp
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "control/node.hpp"
+#include "controller/controller.hpp"
 #include "sample_jobs.hpp"
 #include "store_simulator.hpp"
 #include "trace.hpp"
@@ -53,12 +53,12 @@
                                      const boost::json::object& other = {});
     std::optional<net::Reply> poll(int controller, const std::string& id);
     std::optional<net::Reply> cancel(int controller, const std::string& id);
-    std::optional<net::Reply> send_heartbeat(int controller, const model::Report& report);
+    std::optional<net::Reply> send_heartbeat(int controller, const model::Heartbeat& report);
     /// A request whose answer is looked at later: a paused process gives none.
     std::shared_ptr<std::optional<net::Reply>> send_request(int controller, const std::string& method,
                                                             const std::string& target,
                                                             const std::string& body = {});
-    static std::string heartbeat_body(const model::Report& report);
+    static std::string heartbeat_body(const model::Heartbeat& report);
 
     // --- processes ---
     void kill(int controller);
@@ -97,13 +97,13 @@
         std::unique_ptr<boost::asio::io_context> io = std::make_unique<boost::asio::io_context>();
         config::Settings settings;
         std::uint64_t record_format = wire::records::format;
-        std::unique_ptr<control::Node> controller;
+        std::unique_ptr<controller::Controller> controller;
         std::shared_ptr<bool> alive;
     };
     struct Processes {
         config::Tuning tuning;
         std::vector<Process> controllers;
-        std::vector<std::unique_ptr<control::Node>> ended;
+        std::vector<std::unique_ptr<controller::Controller>> ended;
     };
     struct DelayedWrite {
         double at = 0;
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -50,8 +50,8 @@
 
 TEST(Settings, UnknownKeysAreIgnored) {
     const auto s = config::parse_settings(good, "f.toml");
-    EXPECT_EQ(s.front.port, 8080);
-    EXPECT_EQ(s.txn_ops, 20);
+    EXPECT_EQ(s.public_endpoint.port, 8080);
+    EXPECT_EQ(s.max_transaction_changes, 20);
 }
 
 const std::string txn_ops_line = "txn_ops = 20\n";  // the line before a table of announced limits
@@ -67,11 +67,11 @@
 TEST(Settings, AnnouncedLimitsCountFromTheStart) {
     const auto s = config::parse_settings(with_next("value_kb = 2.0\nwrite_rps = 40.0\n"), "f.toml");
     EXPECT_EQ(s.value_kb, 2.0);
-    EXPECT_EQ(s.present_value_kb, 16.0);
-    EXPECT_EQ(s.write_rps, 25.0);
-    EXPECT_EQ(s.txn_ops, 20);
-    EXPECT_EQ(config::parse_settings(with_next("txn_ops = 4\n"), "f.toml").txn_ops, 4);
-    EXPECT_EQ(config::parse_settings(good, "f.toml").present_value_kb, 16.0);
+    EXPECT_EQ(s.current_value_kb, 16.0);
+    EXPECT_EQ(s.store_writes_per_s, 25.0);
+    EXPECT_EQ(s.max_transaction_changes, 20);
+    EXPECT_EQ(config::parse_settings(with_next("txn_ops = 4\n"), "f.toml").max_transaction_changes, 4);
+    EXPECT_EQ(config::parse_settings(good, "f.toml").current_value_kb, 16.0);
     EXPECT_NE(complaint(good, txn_ops_line, txn_ops_line + "next = 5\n").find("a table is needed"),
               std::string::npos);
 }
@@ -121,8 +121,8 @@
 
 TEST(Tuning, EveryValueIsChecked) {
     const auto t = config::parse_tuning("(pineroad\n  (suspension-factor 3)\n  (idle-hold 90))", "t.sexp");
-    EXPECT_EQ(t.suspension_factor, 3);
-    EXPECT_EQ(t.idle_hold_s, 90);
+    EXPECT_EQ(t.preemption_factor, 3);
+    EXPECT_EQ(t.idle_timeout_s, 90);
     EXPECT_EQ(tuning_complaint("(pineroad\n  (sf 3))"), "t.sexp:2: sf: unknown key");
     EXPECT_EQ(tuning_complaint("(pineroad\n (idle-hold 9)\n (suspension-factor 0.5))"),
               "t.sexp:3: suspension-factor: must lie between 1 and 100");
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -9,9 +9,9 @@
 
 namespace records = wire::records;
 
-model::Report idle_report(std::uint64_t tick, std::uint64_t token = 0) {
-    model::Report r;
-    r.machine = "m-1", r.session = 1, r.tick = tick, r.token = token;
+model::Heartbeat idle_report(std::uint64_t sequence, std::uint64_t fencing_token = 0) {
+    model::Heartbeat r;
+    r.machine = "m-1", r.agent_epoch = 1, r.sequence = sequence, r.fencing_token = fencing_token;
     return r;
 }
 
@@ -40,9 +40,9 @@
     ClusterSimulator cluster("leader_partitioned_alone", 3);
     cluster.run(5);
     const int old = cluster.leader();
-    const auto token = cluster.store.token();
-    std::uint64_t tick = 0;
-    EXPECT_EQ(cluster.send_heartbeat(old, idle_report(++tick))->status, 200);
+    const auto fencing_token = cluster.store.fencing_token();
+    std::uint64_t sequence = 0;
+    EXPECT_EQ(cluster.send_heartbeat(old, idle_report(++sequence))->status, 200);
     EXPECT_EQ(cluster.submit((old + 1) % 3, "j-1")->status, 201);
     cluster.note("cut     c-" + std::to_string(old) + " from the state service and its peers");
     cluster.partitioned_from_store = cluster.partitioned_from_peers = {old};
@@ -50,7 +50,7 @@
     const double partitioned_at = cluster.now();
     for (int i = 0; i < 30 && stepped_down_after < 0; ++i) {
         cluster.run(0.5);
-        const auto r = cluster.send_heartbeat(old, idle_report(++tick, token));
+        const auto r = cluster.send_heartbeat(old, idle_report(++sequence, fencing_token));
         ASSERT_TRUE(r);
         EXPECT_EQ(r->body.find("start"), std::string::npos);
         if (r->status == 421) stepped_down_after = cluster.now() - partitioned_at;
@@ -62,8 +62,8 @@
     cluster.run(5);
     const int fresh = cluster.leader();
     EXPECT_NE(fresh, old);
-    EXPECT_GT(cluster.store.token(), token);
-    const auto taken = cluster.send_heartbeat(fresh, idle_report(++tick, token));
+    EXPECT_GT(cluster.store.fencing_token(), fencing_token);
+    const auto taken = cluster.send_heartbeat(fresh, idle_report(++sequence, fencing_token));
     EXPECT_EQ(taken->status, 200);
     const auto refused = cluster.poll(old, "j-1");
     EXPECT_EQ(refused->status, 503);
@@ -73,7 +73,7 @@
     cluster.partitioned_from_store.clear(), cluster.partitioned_from_peers.clear();
     cluster.run(5);
     EXPECT_EQ(cluster.leader(), fresh);
-    EXPECT_EQ(cluster.send_heartbeat(old, idle_report(++tick, cluster.store.token()))->status, 421);
+    EXPECT_EQ(cluster.send_heartbeat(old, idle_report(++sequence, cluster.store.fencing_token()))->status, 421);
     EXPECT_EQ(cluster.poll(old, "j-1")->status, 200);
 }
 
@@ -82,12 +82,12 @@
     ClusterSimulator cluster("store_outage", 3);
     cluster.run(5);
     const int leader = cluster.leader();
-    std::uint64_t tick = 0;
+    std::uint64_t sequence = 0;
     cluster.note("outage  of the state service");
     cluster.store_outage = true;
     for (int i = 0; i < 20; ++i) {
         cluster.run(1);
-        EXPECT_EQ(cluster.send_heartbeat(leader, idle_report(++tick, 1))->status, 200) << i;
+        EXPECT_EQ(cluster.send_heartbeat(leader, idle_report(++sequence, 1))->status, 200) << i;
     }
     const auto refused = cluster.submit(1, "j-1");
     EXPECT_EQ(refused->status, 503);
@@ -107,12 +107,12 @@
     ClusterSimulator cluster("paused_leader", 3);
     cluster.run(5);
     const int old = cluster.leader(), other = (old + 1) % 3;
-    const auto token = cluster.store.token();
-    std::uint64_t tick = 0;
-    EXPECT_EQ(cluster.send_heartbeat(old, idle_report(++tick))->status, 200);
+    const auto fencing_token = cluster.store.fencing_token();
+    std::uint64_t sequence = 0;
+    EXPECT_EQ(cluster.send_heartbeat(old, idle_report(++sequence))->status, 200);
     cluster.run(1);
     const auto held = cluster.send_request(old, "POST", "/checkin",
-                                           ClusterSimulator::heartbeat_body(idle_report(++tick, token)));
+                                           ClusterSimulator::heartbeat_body(idle_report(++sequence, fencing_token)));
     cluster.run(0.1);
     cluster.holding_commits = {old};
     EXPECT_EQ(cluster.submit(other, "j-1")->status, 201);
@@ -125,7 +125,7 @@
     EXPECT_NE(fresh, old);
     EXPECT_FALSE(*held);
     // The machine finds the new leader, which gives it the job.
-    const auto at_fresh = cluster.send_heartbeat(fresh, idle_report(++tick, token));
+    const auto at_fresh = cluster.send_heartbeat(fresh, idle_report(++sequence, fencing_token));
     EXPECT_EQ(at_fresh->status, 200);
     cluster.note("freeze  ends");
     const auto& late = cluster.held_commits[old].front();
@@ -136,9 +136,9 @@
     EXPECT_EQ((*held)->body.find("start"), std::string::npos);
     cluster.note("late    answer of c-" + std::to_string(old) +
                  " to m-1: " + std::to_string((*held)->status));
-    const auto first = cluster.send_heartbeat(fresh, idle_report(++tick, cluster.store.token()));
-    const auto second = cluster.send_heartbeat(fresh, idle_report(++tick, cluster.store.token()));
-    EXPECT_EQ(cluster.send_heartbeat(old, idle_report(tick, cluster.store.token()))->status, 421);
+    const auto first = cluster.send_heartbeat(fresh, idle_report(++sequence, cluster.store.fencing_token()));
+    const auto second = cluster.send_heartbeat(fresh, idle_report(++sequence, cluster.store.fencing_token()));
+    EXPECT_EQ(cluster.send_heartbeat(old, idle_report(sequence, cluster.store.fencing_token()))->status, 421);
     const bool started =
         first->body.find("start") != std::string::npos || second->body.find("start") != std::string::npos;
     EXPECT_TRUE(started);
@@ -164,11 +164,11 @@
     cluster.note("freeze  ends for c-" + std::to_string(one));
     cluster.run(6);
     EXPECT_EQ(cluster.leader(), one);
-    const auto token = cluster.store.token();
+    const auto fencing_token = cluster.store.fencing_token();
     cluster.paused.clear();
     cluster.note("freeze  ends for c-" + std::to_string(two));
     cluster.run(6);
-    EXPECT_EQ(cluster.store.token(), token);
+    EXPECT_EQ(cluster.store.fencing_token(), fencing_token);
     EXPECT_EQ(cluster.send_heartbeat(one, idle_report(1))->status, 200);
     EXPECT_EQ(cluster.send_heartbeat(two, idle_report(1))->status, 421);
 }
@@ -179,7 +179,7 @@
     ClusterSimulator cluster("restart_in_election", 3);
     cluster.run(5);
     const int first = cluster.leader();
-    const auto token = cluster.store.token();
+    const auto fencing_token = cluster.store.fencing_token();
     const int one = (first + 1) % 3, two = (first + 2) % 3;
     cluster.note("hold    the commits of c-" + std::to_string(one) + " and c-" + std::to_string(two));
     cluster.holding_commits = {one, two};
@@ -195,13 +195,13 @@
             cluster.note("late    bid of the earlier c-" + std::to_string(n) +
                          " arrives: " + std::to_string(status));
         }
-    const auto dead = cluster.store.token();
+    const auto dead = cluster.store.fencing_token();
     cluster.restart(one), cluster.restart(two);
-    EXPECT_EQ(dead, token + 1);
+    EXPECT_EQ(dead, fencing_token + 1);
     cluster.run(2);
     cluster.restart(first);
     cluster.run(8);
-    EXPECT_GT(cluster.store.token(), dead);  // its lease was ended, not used
+    EXPECT_GT(cluster.store.fencing_token(), dead);  // its lease was ended, not used
     int leaders = 0;
     for (int n = 0; n < 3; ++n) leaders += cluster.send_heartbeat(n, idle_report(1))->status == 200;
     EXPECT_EQ(leaders, 1);
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 using model::DependencyGraph;
-using model::Ending;
-using model::Final;
+using model::JobOutcome;
+using model::FinalStatus;
 using model::Priority;
 using Ids = std::vector<std::string>;
 
@@ -33,10 +33,10 @@
     graph.add(after("j-3", {"j-1", "j-2"}));
     EXPECT_TRUE(graph.is_ready("j-1"));
     EXPECT_FALSE(graph.is_ready("j-3"));
-    EXPECT_TRUE(graph.end("j-1", {Final::done, 500}).ready.empty());
-    EXPECT_TRUE(graph.end("j-1", {Final::done, 500}).ready.empty());  // told again
+    EXPECT_TRUE(graph.end("j-1", {FinalStatus::done, 500}).ready.empty());
+    EXPECT_TRUE(graph.end("j-1", {FinalStatus::done, 500}).ready.empty());  // told again
     EXPECT_FALSE(graph.is_ready("j-3"));
-    EXPECT_EQ(graph.end("j-2", {Final::done, 300}).ready, Ids{"j-3"});
+    EXPECT_EQ(graph.end("j-2", {FinalStatus::done, 300}).ready, Ids{"j-3"});
     EXPECT_TRUE(graph.is_ready("j-3"));
     EXPECT_EQ(graph.ready_since_ms("j-3"), 500);
 }
@@ -54,7 +54,7 @@
     EXPECT_TRUE(graph.unresolved().empty());
     graph.remove("j-1");
     EXPECT_EQ(graph.unresolved(), Ids{"j-1"});
-    graph.end("j-1", {Final::done, 1});
+    graph.end("j-1", {FinalStatus::done, 1});
     EXPECT_TRUE(graph.unresolved().empty());
 }
 
@@ -64,12 +64,12 @@
     graph.add(after("j-2", {"j-1"}));
     graph.add(after("j-3", {"j-1"}));
     graph.add(after("j-4", {"j-2", "j-3"}));
-    EXPECT_EQ(sorted(graph.end("j-1", {Final::cancelled}).cancelled), (Ids{"j-2", "j-3", "j-4"}));
+    EXPECT_EQ(sorted(graph.end("j-1", {FinalStatus::cancelled}).cancelled), (Ids{"j-2", "j-3", "j-4"}));
     EXPECT_FALSE(graph.is_ready("j-4"));
     EXPECT_EQ(graph.add(after("j-5", {"j-4"})).cancelled, Ids{"j-5"});
     // Its own final record says the same, and what comes after it stays cancelled without it.
     graph.remove("j-4");
-    EXPECT_TRUE(graph.end("j-4", {Final::cancelled}).cancelled.empty());
+    EXPECT_TRUE(graph.end("j-4", {FinalStatus::cancelled}).cancelled.empty());
     EXPECT_TRUE(graph.is_cancelled("j-5"));
 }
 
@@ -89,12 +89,12 @@
     }
     EXPECT_EQ(graph.priority(after("j-0", {})), Priority::high);
     EXPECT_TRUE(graph.unresolved_before(last).empty());
-    EXPECT_EQ(graph.end("j-0", {Final::cancelled}).cancelled.size(), 120U);
+    EXPECT_EQ(graph.end("j-0", {FinalStatus::cancelled}).cancelled.size(), 120U);
     DependencyGraph chain;
     chain.add(after("j-0", {}));
     for (int i = 1; i <= 20000; ++i)
         chain.add(after("j-" + std::to_string(i), {"j-" + std::to_string(i - 1)}));
-    EXPECT_EQ(chain.end("j-0", {Final::cancelled}).cancelled.size(), 20000U);
+    EXPECT_EQ(chain.end("j-0", {FinalStatus::cancelled}).cancelled.size(), 20000U);
 }
 
 // The highest priority and the earliest deadline of what comes after count, until that is over.
@@ -109,14 +109,14 @@
     urgent.estimate_s = 10;
     graph.add(urgent);
     EXPECT_EQ(graph.priority(first), Priority::high);
-    EXPECT_EQ(graph.due_ms(urgent), 100000);
-    ASSERT_TRUE(graph.due_ms(second) && graph.due_ms(first));
-    EXPECT_LT(*graph.due_ms(second), 90000);
-    EXPECT_LT(*graph.due_ms(first),
-              *graph.due_ms(second) - static_cast<std::int64_t>(second.estimate_s * 1000));
+    EXPECT_EQ(graph.deadline_ms(urgent), 100000);
+    ASSERT_TRUE(graph.deadline_ms(second) && graph.deadline_ms(first));
+    EXPECT_LT(*graph.deadline_ms(second), 90000);
+    EXPECT_LT(*graph.deadline_ms(first),
+              *graph.deadline_ms(second) - static_cast<std::int64_t>(second.estimate_s * 1000));
     graph.remove("j-3");
     EXPECT_EQ(graph.priority(first), Priority::low);
-    EXPECT_FALSE(graph.due_ms(first));
+    EXPECT_FALSE(graph.deadline_ms(first));
 }
 
 // A mirror read anew adds the live jobs again; how those before them ended is not forgotten meanwhile.
@@ -126,7 +126,7 @@
     graph.add(after("j-2", {"j-1"}));
     graph.add(after("j-3", {"j-2"}));
     graph.remove("j-1");
-    graph.end("j-1", {Final::cancelled});
+    graph.end("j-1", {FinalStatus::cancelled});
     graph.clear();
     graph.add(after("j-3", {"j-2"}));
     EXPECT_FALSE(graph.is_cancelled("j-3"));
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -43,15 +43,15 @@
     simulator.set_task_state("j-1/0", TaskState::exited, ExitCause::done);
     simulator.send_heartbeat("m-1");
     simulator.plan();
-    EXPECT_EQ(simulator.leader_state().jobs().at("j-2").slots.size(), 0U);
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-2").placements.size(), 0U);
     simulator.begin_term();
     simulator.synchronize_worker("m-1");
     simulator.plan();
     EXPECT_TRUE(simulator.leader_state().jobs().at("j-1").finished);
-    EXPECT_EQ(simulator.leader_state().jobs().at("j-2").slots.size(), 0U);
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-2").placements.size(), 0U);
     simulator.commit_all();
     simulator.plan_and_commit("m-1");
-    EXPECT_EQ(simulator.leader_state().jobs().at("j-2").slots.size(), 1U);
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-2").placements.size(), 1U);
     EXPECT_EQ(simulator.starts, 2);
 }
 
@@ -68,8 +68,8 @@
     simulator.synchronize_worker("m-1");
     simulator.plan_and_commit("m-1");
     EXPECT_EQ(simulator.starts, 0);
-    simulator.store.put(records::final_key("j-1"),
-                        records::final_json({model::Final::done, simulator.wall_ms()}));
+    simulator.store.put(records::outcome_key("j-1"),
+                        records::outcome_json({model::FinalStatus::done, simulator.wall_ms()}));
     simulator.begin_term();
     simulator.synchronize_worker("m-1");
     simulator.plan_and_commit("m-1");
@@ -84,7 +84,7 @@
     simulator.add_worker("m-90");
     simulator.synchronize_worker("m-90");
     auto first = array_job("j-1", 1);
-    first.types = std::vector<std::string>{"g2"};  // there is none
+    first.allowed_machine_types = std::vector<std::string>{"g2"};  // there is none
     simulator.submit(first);
     auto second = after("j-2", {"j-1"}, 6);
     second.estimate_s = 10;
@@ -96,7 +96,7 @@
     simulator.advance(600);
     for (const auto& [id, worker] : simulator.workers) simulator.synchronize_worker(id);
     simulator.plan_and_commit();
-    const auto machine = simulator.leader_state().jobs().at("j-1").slots.at(0).machine;
+    const auto machine = simulator.leader_state().jobs().at("j-1").placements.at(0).machine;
     simulator.send_heartbeat(machine);
     simulator.set_task_state("j-1/0", TaskState::exited, ExitCause::done);
     simulator.send_heartbeat(machine);
@@ -104,21 +104,21 @@
     simulator.begin_term();
     for (const auto& [id, worker] : simulator.workers) simulator.synchronize_worker(id);
     simulator.plan_and_commit();
-    EXPECT_EQ(simulator.leader_state().jobs().at("j-2").slots.size(), 6U);
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-2").placements.size(), 6U);
     EXPECT_LT(simulator.leader_state().jobs().at("j-2").xfactor_at_start, 1.5);
 }
 
 // Jobs after a cancelled one get their final records in batches that keep to the limits, across a failover.
 TEST(Dependencies, WithdrawnRecordsAcrossATakeover) {
     LeaderSimulator simulator("dependency_fan_withdrawn");
-    simulator.config.txn_ops = 4;
+    simulator.config.max_transaction_changes = 4;
     simulator.config.value_kb = 2;
     simulator.begin_term();
     simulator.submit(array_job("j-0", 1));
     for (int i = 1; i <= 8; ++i) simulator.submit(after("j-" + std::to_string(i), {"j-0"}));
     simulator.cancel("j-0");
     for (int i = 0; i < 2; ++i) {
-        const auto batch = simulator.next_batch();
+        const auto batch = simulator.next_write_batch();
         ASSERT_TRUE(batch);
         simulator.apply_batch(*batch);
     }
@@ -158,7 +158,7 @@
     const double with = rounds();
     // 20 rounds over 4,000 jobs; a snapshot of each would take many times as long, sanitizers or not.
     EXPECT_LT(with, without + 1.0);
-    EXPECT_LE(simulator.leader_state().jobs().at("j-first").slots.size(), 1U);
+    EXPECT_LE(simulator.leader_state().jobs().at("j-first").placements.size(), 1U);
 }
 
 // --- whole controllers
@@ -357,7 +357,7 @@
     for (int n = 0; n < 3; ++n) cluster.kill(n);
     cluster.store.put_job(after("j-2", {"j-1"}), cluster.now());
     cluster.store.put_job(after("j-3", {"j-2"}), cluster.now());
-    cluster.store.put(records::final_key("j-1"), records::final_json({model::Final::cancelled, 1}));
+    cluster.store.put(records::outcome_key("j-1"), records::outcome_json({model::FinalStatus::cancelled, 1}));
     cluster.run(1);
     cluster.restart(1);
     std::string first;
@@ -378,9 +378,9 @@
 // an error, and the job is not known.
 TEST(Pipelines, LongListsAreAcceptedWholeOrNotAtAll) {
     ClusterOptions small;
-    small.adjust = [](config::Settings& s) { s.value_kb = 2, s.txn_ops = 4; };
+    small.adjust = [](config::Settings& s) { s.value_kb = 2, s.max_transaction_changes = 4; };
     PipelineCluster cluster("pipeline_long_lists", small);
-    cluster.store.value_bytes = 2048, cluster.store.txn_ops = 4;
+    cluster.store.value_bytes = 2048, cluster.store.max_transaction_changes = 4;
     cluster.workers.cloud_capacity = 0;
     std::vector<std::string> names;
     for (int i = 0; i < 500; ++i) names.push_back("j-" + std::to_string(100000 + i));
--- a/tests/durable_writes_test.cpp
+++ b/tests/durable_writes_test.cpp
@@ -9,10 +9,10 @@
 namespace records = wire::records;
 
 // A job is submitted and planned; the batch that places it, which is not applied yet.
-control::Batch placement_batch(LeaderSimulator& simulator, const model::JobSpec& spec) {
+cluster::WriteBatch placement_batch(LeaderSimulator& simulator, const model::JobSpec& spec) {
     simulator.submit(spec);
     simulator.plan();
-    const auto batch = simulator.next_batch();
+    const auto batch = simulator.next_write_batch();
     EXPECT_TRUE(batch);
     return batch.value();
 }
@@ -44,12 +44,12 @@
     for (int i = 0; i < 60; ++i) {
         const auto id = "m-" + std::to_string(100 + i);
         simulator.add_worker(id);
-        simulator.leader_state().absorb(simulator.next_heartbeat(simulator.workers.at(id)), simulator.now);
-        simulator.workers.at(id).token = simulator.leader_state().token();
-        simulator.leader_state().absorb(simulator.next_heartbeat(simulator.workers.at(id)), simulator.now);
+        simulator.leader_state().apply_heartbeat(simulator.next_heartbeat(simulator.workers.at(id)), simulator.now);
+        simulator.workers.at(id).fencing_token = simulator.leader_state().fencing_token();
+        simulator.leader_state().apply_heartbeat(simulator.next_heartbeat(simulator.workers.at(id)), simulator.now);
     }
     auto job = array_job("j-1", 100000);
-    job.need = {0.5, 0, 1};
+    job.task_resources = {0.5, 0, 1};
     simulator.submit(job);
     simulator.plan();
     simulator.commit_all();  // checked against value_kb by the simulator
@@ -79,7 +79,7 @@
         simulator.submit(array_job("j-" + id, 4));
     }
     simulator.plan();
-    const auto batch = simulator.next_batch(constants::least_batch);
+    const auto batch = simulator.next_write_batch(constants::target_batch_changes);
     ASSERT_TRUE(batch);
     EXPECT_GE(batch->segments.size(), 1U);
     simulator.apply_batch(*batch);
@@ -104,8 +104,8 @@
     simulator.note("commit  the first again: refused");
     simulator.begin_term();
     EXPECT_FALSE(simulator.leader_state().jobs().contains("j-1"));  // over: a tombstone in a later segment
-    EXPECT_EQ(simulator.leader_state().jobs().at("j-2").slots.size(), 1U);
-    EXPECT_EQ(simulator.leader_state().jobs().at("j-3").slots.size(), 1U);
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-2").placements.size(), 1U);
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-3").placements.size(), 1U);
 }
 
 // A job that is over still stands in a segment that others need: a later segment holds a tombstone for
@@ -119,12 +119,12 @@
     simulator.commit_all();
     simulator.submit(array_job("j-3", 1));
     simulator.plan();
-    EXPECT_TRUE(simulator.next_batch());  // refused by the store: the next one holds it again
+    EXPECT_TRUE(simulator.next_write_batch());  // refused by the store: the next one holds it again
     simulator.commit_all();
     simulator.begin_term();
     EXPECT_FALSE(simulator.leader_state().jobs().contains("j-1"));
-    EXPECT_EQ(simulator.leader_state().jobs().at("j-2").slots.size(), 1U);
-    EXPECT_EQ(simulator.leader_state().jobs().at("j-3").slots.size(), 1U);
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-2").placements.size(), 1U);
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-3").placements.size(), 1U);
 }
 
 // Version 0.1 kept a record a job. A new leader reads it, and moves it into a segment with the next
@@ -137,17 +137,17 @@
     model::Progress p;
     p.placements = {{0, 1, "m-1"}};
     p.next_attempt = 2;
-    p.need = array_job("j-1", 2).need, p.team = "team";
+    p.task_resources = array_job("j-1", 2).task_resources, p.team = "team";
     simulator.store.put(records::progress_key("j-1"), records::progress_json(p));
     simulator.begin_term();
     simulator.synchronize_worker("m-2");
     simulator.plan_and_commit();
-    const auto orders = simulator.send_heartbeat("m-2");
-    ASSERT_EQ(orders.size(), 1U);
-    EXPECT_EQ(orders[0].task.index, 1U);  // the other may run on m-1
+    const auto commands = simulator.send_heartbeat("m-2");
+    ASSERT_EQ(commands.size(), 1U);
+    EXPECT_EQ(commands[0].task.index, 1U);  // the other may run on m-1
     EXPECT_FALSE(simulator.store.rows.contains(records::progress_key("j-1")));
     simulator.begin_term();
-    EXPECT_EQ(simulator.leader_state().jobs().at("j-1").slots.size(), 2U);
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-1").placements.size(), 2U);
 }
 
 }  // namespace
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -53,17 +53,17 @@
     StartedLeader simulator("failover_keeps_machines", {"m-1"});
     simulator.advance(400);
     simulator.begin_term();
-    simulator.leader_state().listed({{"m-1", "", "g4", "a", false, model::MachineStatus::running, 400},
+    simulator.leader_state().apply_machine_list({{"m-1", "", "g4", "a", false, model::MachineStatus::running, 400},
                                      {"m-2", "", "g4", "a", false, model::MachineStatus::booting, 400}},
                                     simulator.now);
     simulator.plan();
-    EXPECT_TRUE(simulator.leader_state().next_releases(simulator.now).empty());
+    EXPECT_TRUE(simulator.leader_state().machines_to_release(simulator.now).empty());
     simulator.advance(2);
     simulator.synchronize_worker("m-1");
     simulator.advance(14);
     simulator.send_heartbeat("m-1");
     simulator.plan();
-    EXPECT_EQ(simulator.leader_state().next_releases(simulator.now), std::vector<std::string>{"m-2"});
+    EXPECT_EQ(simulator.leader_state().machines_to_release(simulator.now), std::vector<std::string>{"m-2"});
     simulator.release_machines();
 }
 
@@ -75,7 +75,7 @@
     simulator.add_worker("m-2");
     simulator.synchronize_worker("m-1");
     auto job = array_job("j-1", 1);
-    job.spot_ok = true;
+    job.allows_spot = true;
     simulator.run_job(job, "m-1");
     simulator.note("        m-1 is taken");
     simulator.begin_term();
@@ -84,17 +84,17 @@
     const std::vector<model::ListedMachine> list{
         {"m-2", "", "g4", "a", false, model::MachineStatus::running, 400}};
     for (int i = 0; i < 5; ++i) {
-        simulator.leader_state().listed(list, simulator.now);
+        simulator.leader_state().apply_machine_list(list, simulator.now);
         simulator.plan();
-        EXPECT_TRUE(simulator.leader_state().next_releases(simulator.now).empty())
+        EXPECT_TRUE(simulator.leader_state().machines_to_release(simulator.now).empty())
             << "the list may be as old as twice its lag";
         simulator.advance(3);
         simulator.send_heartbeat("m-2");
     }
     simulator.advance(1);
-    simulator.leader_state().listed(list, simulator.now);
+    simulator.leader_state().apply_machine_list(list, simulator.now);
     simulator.plan();
-    EXPECT_EQ(simulator.leader_state().next_releases(simulator.now), std::vector<std::string>{"m-1"});
+    EXPECT_EQ(simulator.leader_state().machines_to_release(simulator.now), std::vector<std::string>{"m-1"});
     simulator.release_machines();
     simulator.plan_and_commit();
     EXPECT_EQ(simulator.send_heartbeat("m-2").size(), 1U);
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -38,7 +38,7 @@
 TEST(Gang, ReplacesALostWaitingTask) {
     StartedLeader simulator("gang_replacement", {"m-1", "m-2", "m-3"});
     start_gang(simulator, gang_job("j-1", 2), {"m-1", "m-2", "m-3"});
-    simulator.set_task_state("j-1/0", TaskState::waiting);
+    simulator.set_task_state("j-1/0", TaskState::waiting_for_gang);
     std::string lost;
     for (auto& [id, worker] : simulator.workers)
         if (!worker.tasks.empty() && worker.tasks[0].task.index == 1) lost = id;
@@ -82,7 +82,7 @@
 // Orderly stop: every task gets a direct command in the same moment, with time to write its checkpoint.
 TEST(Gang, PreemptionStopsAllTasksAtOnce) {
     LeaderSimulator simulator("preemption");
-    simulator.tuning.suspension_period_s = 1;
+    simulator.tuning.preemption_period_s = 1;
     simulator.begin_term();
     simulator.add_ready_workers({"m-1", "m-2"});
     auto victim = gang_job("j-1", 2);
@@ -104,8 +104,8 @@
     simulator.send_heartbeats({"m-1", "m-2"});
     simulator.plan();
     simulator.deliver_direct_commands();
-    EXPECT_EQ(simulator.workers.at("m-1").tasks[0].state, TaskState::saving);
-    EXPECT_EQ(simulator.workers.at("m-2").tasks[0].state, TaskState::saving);
+    EXPECT_EQ(simulator.workers.at("m-1").tasks[0].state, TaskState::checkpointing);
+    EXPECT_EQ(simulator.workers.at("m-2").tasks[0].state, TaskState::checkpointing);
 }
 
 // A gang that lost a task after running for long has waited a moment only: after many losses at once the
@@ -116,15 +116,15 @@
     set_both_tasks(simulator, TaskState::running);
     simulator.advance(200);
     simulator.send_heartbeats({"m-1", "m-2", "m-3"});
-    set_both_tasks(simulator, TaskState::exited, ExitCause::peers);
+    set_both_tasks(simulator, TaskState::exited, ExitCause::gang_member_lost);
     simulator.send_heartbeats({"m-1", "m-2", "m-3"});
     simulator.note("        m-2 and m-3 are cut off");
     simulator.submit(gang_job("j-2", 1));
     simulator.advance(25);
     simulator.send_heartbeat("m-1");
     simulator.plan_and_commit();
-    const auto orders = simulator.send_heartbeat("m-1");
-    EXPECT_TRUE(std::any_of(orders.begin(), orders.end(), [](const auto& o) { return o.task.job == "j-2"; }));
+    const auto commands = simulator.send_heartbeat("m-1");
+    EXPECT_TRUE(std::any_of(commands.begin(), commands.end(), [](const auto& o) { return o.task.job == "j-2"; }));
 }
 
 }  // namespace
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -10,8 +10,9 @@
 #include <cstdlib>
 #include <fstream>
 
-#include "cluster.hpp"
-#include "wire/gossip.hpp"
+#include "cluster_simulator.hpp"
+#include "leader_simulator.hpp"
+#include "wire/peer_protocol.hpp"
 
 namespace pineroad::test {
 namespace {
@@ -121,35 +122,35 @@
            " saved " + print(task.saved);
 }
 
-std::string print(const model::Report& report) {
+std::string print(const model::Heartbeat& report) {
     std::string out = "host " + print(report.machine) + " address " + print(report.address) + " breed " +
                       print(report.type) + " yard " + print(report.zone) + " loaner " + print(report.spot) +
-                      " stint " + print(report.session) + " tick " + print(report.tick) + " baton " +
-                      print(report.token) + " warning " + print_or_nothing(report.notice_s) + " pieces";
+                      " stint " + print(report.agent_epoch) + " tick " + print(report.sequence) + " baton " +
+                      print(report.fencing_token) + " warning " + print_or_nothing(report.interruption_notice_s) + " pieces";
     for (const auto& task : report.tasks) out += " {" + print(task) + "}";
     return out;
 }
 
 std::string read_report(const std::string& body) {
-    const auto parsed = wire::parse_report(body);
+    const auto parsed = wire::parse_heartbeat(body);
     if (const auto* reason = std::get_if<std::string>(&parsed)) return "refused: " + *reason;
-    return "report " + print(std::get<model::Report>(parsed));
+    return "report " + print(std::get<model::Heartbeat>(parsed));
 }
 
-std::vector<model::Order> sample_orders() {
-    using Op = model::Order::Op;
-    return {{Op::start, {"j-1", 4}, 2, 0},
-            {Op::start, {"j-1", 5}, 3, 7},
-            {Op::stop, {"j-2", 1}, 1, 10},
-            {Op::stop, {"j-2", 99999}, 18446744073709551615ULL, 0.25},
-            {Op::forget, {"j-3", 0}, 1, 0}};
+std::vector<model::Command> sample_orders() {
+    using Kind = model::Command::Kind;
+    return {{Kind::start, {"j-1", 4}, 2, 0},
+            {Kind::start, {"j-1", 5}, 3, 7},
+            {Kind::stop, {"j-2", 1}, 1, 10},
+            {Kind::stop, {"j-2", 99999}, 18446744073709551615ULL, 0.25},
+            {Kind::forget, {"j-3", 0}, 1, 0}};
 }
 
 std::string print(const std::vector<model::MachineType>& types) {
     std::string out;
     for (const auto& t : types)
-        out += "{" + print(t.name) + " room " + print(t.room.cpus) + " " + print(t.room.gpus) + " " +
-               print(t.room.memory_gb) + " cache " + print(t.cache_gb) + " fetch " + print(t.fetch_gb_per_s) +
+        out += "{" + print(t.name) + " room " + print(t.capacity.cpus) + " " + print(t.capacity.gpus) + " " +
+               print(t.capacity.memory_gb) + " cache " + print(t.cache_gb) + " fetch " + print(t.fetch_gb_per_s) +
                " price " + print(t.price) + " loaner " + print(t.spot_price) + " boot " + print(t.boot_s) +
                " yards " + print(t.zones) + "}";
     return "types " + out;
@@ -162,41 +163,41 @@
         out += "{" + print(m.id) + " " + print(m.address) + " " + print(m.type) + " " + print(m.zone) +
                " loaner " + print(m.spot) + " " + states[static_cast<int>(m.status)] + " held " +
                print(m.age_s) + "}";
-    return "machines " + out + " more " + print(list.more);
+    return "machines " + out + " more " + print(list.truncated);
 }
 
 std::string print(const wire::Row& row) {
-    return "{" + row.key + " " + print(row.value) + " stamp " + print(row.stamp) + "}";
+    return "{" + row.key + " " + print(row.value) + " stamp " + print(row.mod_revision) + "}";
 }
 std::string print(const wire::Rows& rows) {
-    std::string out = "epoch " + print(rows.epoch) + " more " + print(rows.more);
+    std::string out = "epoch " + print(rows.revision) + " more " + print(rows.truncated);
     for (const auto& row : rows.rows) out += " " + print(row);
     return out;
 }
-std::string print(const wire::Events& events) {
-    std::string out = "epoch " + print(events.epoch);
+std::string print(const wire::WatchEvents& events) {
+    std::string out = "epoch " + print(events.revision);
     for (const auto& e : events.events)
         out += " {" + e.key + " " + (e.value ? "written " + print(*e.value) : "dropped") + " stamp " +
-               print(e.stamp) + "}";
+               print(e.mod_revision) + "}";
     return out;
 }
 
-std::string print(const wire::Gossip& g) {
-    std::string out = "node " + print(g.node) + " token " + print(g.token) + " leader " + print(g.leader) +
-                      " up " + print(g.up_ms) + " state " + print(g.state_age_ms) + " report " +
-                      print(g.report_age_ms) + " epoch " + print(g.epoch) + " vouches " + print(g.vouches) +
-                      " format " + print(g.format) + " asked " + print(g.asked_to_depend) + " cancelled";
+std::string print(const wire::PeerMessage& g) {
+    std::string out = "node " + print(g.node) + " token " + print(g.fencing_token) + " leader " + print(g.leader) +
+                      " up " + print(g.uptime_ms) + " state " + print(g.store_contact_age_ms) + " report " +
+                      print(g.heartbeat_age_ms) + " epoch " + print(g.revision) + " vouches " + print(g.confirms_cancellations) +
+                      " format " + print(g.format) + " asked " + print(g.dependencies_requested) + " cancelled";
     for (const auto& [revision, job] : g.cancelled) out += " " + print(revision) + "=" + print(job);
     return out;
 }
 
-std::vector<wire::Gossip> sample_messages() {
-    const auto most = ~std::uint64_t{0};
+std::vector<wire::PeerMessage> sample_messages() {
+    const auto max_placements = ~std::uint64_t{0};
     return {
         {},
         {"c-1", 7, "c-2", 1000, 20, 30, 77, true, {{5, "j-1"}, {6, "j-2"}}, 1, false},
         {"c-0", 1, "", 0, 0, 0, 0, false, {}, 2, true},
-        {"a-long-name-of-a-controller", most, "c-9", most, most, most, most, true, {{most, "j-a"}}, 3, true}};
+        {"a-long-name-of-a-controller", max_placements, "c-9", max_placements, max_placements, max_placements, max_placements, true, {{max_placements, "j-a"}}, 3, true}};
 }
 
 // Without what is optional, and with all of it.
@@ -207,10 +208,10 @@
     auto job = gang_job("j-full", 4);
     job.shape = model::Shape::service;
     job.priority = model::Priority::production;
-    job.need = {0.1, 1.5, 1e9};
-    job.types = std::vector<std::string>{"g4", "g2"};
+    job.task_resources = {0.1, 1.5, 1e9};
+    job.allowed_machine_types = std::vector<std::string>{"g4", "g2"};
     job.zone = "b";
-    job.one_zone = job.spread = job.spot_ok = true;
+    job.same_zone = job.spread = job.allows_spot = true;
     job.deadline_s = 90.5;
     job.accepted_ms = 1700000000123;
     job.dependencies = {"j-1", "j-2"};
@@ -230,8 +231,8 @@
     out += " placed";
     for (const auto& x : p.placements)
         out += " " + std::to_string(x.index) + "#" + print(x.attempt) + "@" + print(x.machine);
-    return out + " next " + print(p.next_attempt) + " ran " + print(p.ran_s) + " need " + print(p.need.cpus) +
-           " " + print(p.need.gpus) + " " + print(p.need.memory_gb) + " team " + print(p.team) + " partial " +
+    return out + " next " + print(p.next_attempt) + " ran " + print(p.checkpointed_run_s) + " need " + print(p.task_resources.cpus) +
+           " " + print(p.task_resources.gpus) + " " + print(p.task_resources.memory_gb) + " team " + print(p.team) + " partial " +
            print(p.partial);
 }
 
@@ -241,8 +242,8 @@
     p.done += 9U;
     p.placements = {{5, 7, "m-1"}, {8, 12, "m-22"}};
     p.next_attempt = 13;
-    p.ran_s = 61.25;
-    p.need = {8, 1, 32};
+    p.checkpointed_run_s = 61.25;
+    p.task_resources = {8, 1, 32};
     p.team = "team";
     p.partial = partial;
     return p;
@@ -253,37 +254,37 @@
         "sequence " + print(segment.sequence.first) + "." + print(segment.sequence.second) + " entries";
     for (const auto& [name, progress] : segment.entries)
         out +=
-            " {" + name.job + " part " + std::to_string(name.part) + " " + print_or_nothing(progress) + "}";
+            " {" + name.job + " part " + std::to_string(name.shard) + " " + print_or_nothing(progress) + "}";
     return out;
 }
 std::string print(const records::EntryName& name) {
-    return name.job + " part " + std::to_string(name.part);
+    return name.job + " part " + std::to_string(name.shard);
 }
 std::string print(const records::Leader& l) {
-    return l.node + " token " + print(l.token) + " lease " + print(l.lease) + " nonce " + print(l.nonce);
+    return l.node + " token " + print(l.fencing_token) + " lease " + print(l.lease) + " nonce " + print(l.nonce);
 }
 std::string print(const std::set<std::string>& names) {
     return print(std::vector<std::string>(names.begin(), names.end()));
 }
-std::string print(const model::Rental& r) {
+std::string print(const model::ProvisioningRequest& r) {
     return "{" + r.name + " " + r.type + " " + r.zone + " loaner " + print(r.spot) + " count " +
            std::to_string(r.count) + "}";
 }
-std::string print(const std::vector<model::Rental>& rentals) {
+std::string print(const std::vector<model::ProvisioningRequest>& provisioning_requests) {
     std::string out = "rentals";
-    for (const auto& r : rentals) out += " " + print(r);
+    for (const auto& r : provisioning_requests) out += " " + print(r);
     return out;
 }
-std::string print(const model::Ending& ending) {
-    return (ending.final == model::Final::done ? "done at " : "cancelled at ") + std::to_string(ending.at_ms);
+std::string print(const model::JobOutcome& ending) {
+    return (ending.status == model::FinalStatus::done ? "done at " : "cancelled at ") + std::to_string(ending.ended_at_ms);
 }
-std::string print(const model::CategoryMeans& means) {
+std::string print(const model::CategoryAverages& means) {
     std::string out = "means";
     for (const auto& [name, c] : means) out += " " + name + "=" + print(c.mean) + "*" + print(c.count);
     return out;
 }
 
-std::vector<model::Rental> sample_rentals() {
+std::vector<model::ProvisioningRequest> sample_rentals() {
     return {{"r-1-1", "g4", "a", false, 9}, {"r-1-2", "g2", "b", true, 1}};
 }
 
@@ -298,7 +299,7 @@
 }
 
 // The stored rows, without the leader's random number.
-void put_rows(Golden& golden, const std::map<std::string, StateService::Row>& rows) {
+void put_rows(Golden& golden, const std::map<std::string, StoreSimulator::Row>& rows) {
     for (const auto& [key, row] : rows) {
         auto value = row.value;
         if (auto* object = value.if_object(); object && object->contains("nonce"))
@@ -365,17 +366,17 @@
 
 TEST(Golden, Users) {
     Golden g("users");
-    using State = wire::JobState;
+    using State = wire::JobStatus;
     const std::pair<const char*, State> states[] = {{"queued", State::queued},
                                                     {"running", State::running},
                                                     {"done", State::done},
                                                     {"cancelled", State::cancelled}};
     for (const auto& [name, state] : states) {
-        g.put(name, wire::job_answer("j-1", state));
-        g.put(std::string(name) + " with counts", wire::job_answer("j-1", state, std::pair{3ULL, 100000ULL}));
+        g.put(name, wire::job_status_response("j-1", state));
+        g.put(std::string(name) + " with counts", wire::job_status_response("j-1", state, std::pair{3ULL, 100000ULL}));
     }
     for (const auto* reason : {"", "no such job", "a \"quoted\" reason \n\x01 \xc3\xa9"})
-        g.put("error", wire::error_answer(reason));
+        g.put("error", wire::error_response(reason));
     for (const auto* id :
          {"j-1", "j-", "j-aZ09", "j_1", "", "j-a/b", "j-a b", "000412",
           "j-34567890123456789012345678901234567890", "j-345678901234567890123456789012345678901"})
@@ -442,20 +443,20 @@
                          "Pieces"},
                         pieces),
                read_report);
-    g.put("orders", wire::orders_answer(41, sample_orders()));
-    g.put("no orders", wire::orders_answer(0, {}));
-    g.put("direct", wire::do_request(41, 7, sample_orders()));
-    g.put("direct, none", wire::do_request(0, 0, {}));
-    g.put("redirect", wire::redirect_answer("c-2"));
-    g.put("redirect to nobody", wire::redirect_answer(""));
+    g.put("orders", wire::heartbeat_response(41, sample_orders()));
+    g.put("no orders", wire::heartbeat_response(0, {}));
+    g.put("direct", wire::direct_command_request(41, 7, sample_orders()));
+    g.put("direct, none", wire::direct_command_request(0, 0, {}));
+    g.put("redirect", wire::redirect_response("c-2"));
+    g.put("redirect to nobody", wire::redirect_response(""));
 }
 
 TEST(Golden, Cloud) {
     Golden g("cloud");
-    g.put("types", print(wire::types_json(machine_types())));
-    g.put("no types", print(wire::types_json({})));
+    g.put("types", print(wire::machine_types_json(machine_types())));
+    g.put("no types", print(wire::machine_types_json({})));
     const std::string type = R"({"Name":"g4","Vcpus":32,"Accelerators":4,"MemGb":256.5,"Yards":["a","b"]})";
-    std::vector<std::string> types{print(wire::types_json(machine_types())),
+    std::vector<std::string> types{print(wire::machine_types_json(machine_types())),
                                    "[]",
                                    "{}",
                                    R"({"Breeds":7})",
@@ -468,15 +469,15 @@
         for (const auto* value : {"7.5", "\"a\""})
             types.push_back("{\"Breeds\":[" + with(type.c_str(), key, value) + "]}");
     put_read(g, "read types", types,
-             [](const wire::Json& v) { return print_or_nothing(wire::parse_types(v)); });
-    for (const auto& rental : sample_rentals()) g.put("rental", wire::rental_request(rental));
+             [](const wire::Json& v) { return print_or_nothing(wire::parse_machine_types(v)); });
+    for (const auto& rental : sample_rentals()) g.put("rental", wire::provisioning_request(rental));
     put_bodies(g, "rented",
                {R"({"Hosts":["m-1","m-2"],"New":1})", R"({"Hosts":[]})", R"({"Hosts":[7]})",
                 R"({"Hosts":{}})", "{}", "[]", "", "null"},
-               [](const std::string& body) { return print_or_nothing(wire::parse_rented(body)); });
+               [](const std::string& body) { return print_or_nothing(wire::parse_provisioned_machines(body)); });
     g.put("release", wire::release_request({"m-1", "m-2"}));
     g.put("release of none", wire::release_request({}));
-    for (const auto* after : {"", "m-1", "m 1/ü&?=%"}) g.put("list", wire::list_target(after, 500));
+    for (const auto* after : {"", "m-1", "m 1/ü&?=%"}) g.put("list", wire::machine_list_target(after, 500));
     const std::string host =
         R"({"NameId":"m-1","Address":"10.0.0.1:9000","Breed":"g4","Yard":"a","Loaners":true,)"
         R"("Status":"running","HeldS":12.5})";
@@ -491,27 +492,27 @@
         for (const auto* value : {"", "null", "7", "\"booting\"", "\"failed\"", "\"gone\""})
             lists.push_back("{\"Hosts\":[" + with(host.c_str(), key, value) + "]}");
     put_bodies(g, "list", lists,
-               [](const std::string& body) { return print_or_nothing(wire::parse_list(body)); });
+               [](const std::string& body) { return print_or_nothing(wire::parse_machine_list(body)); });
 }
 
 TEST(Golden, StateServiceRequests) {
     Golden g("store_requests");
     for (const auto path :
-         {wire::submissions_path, wire::checkin_path, wire::health_path, wire::do_path, wire::flavors_path,
-          wire::machines_path, wire::release_path, wire::commit_path, wire::leases_path, wire::gossip_path})
+         {wire::submissions_path, wire::heartbeat_path, wire::health_path, wire::direct_command_path, wire::machine_types_path,
+          wire::machines_path, wire::release_path, wire::commit_path, wire::leases_path, wire::peer_message_path})
         g.put("path", std::string(path));
     g.put("key", wire::store_target("pr/final/j-1"));
     g.put("list", wire::list_store_target("pr/live/", "", 500));
     g.put("list on", wire::list_store_target("pr/live/", "pr/live/a/j 1#2?&=ü", 1));
-    g.put("follow", wire::follow_target("pr/", 7, 2000));
-    g.put("follow", wire::follow_target("p r", 18446744073709551615ULL, 0));
+    g.put("follow", wire::watch_target("pr/", 7, 2000));
+    g.put("follow", wire::watch_target("p r", 18446744073709551615ULL, 0));
     g.put("lease", wire::lease_request(6000));
     g.put("lease target", wire::lease_target(77));
-    g.put("touch", wire::touch_target(77));
+    g.put("touch", wire::renew_lease_target(77));
     wire::Transaction txn;
     g.put("empty transaction", wire::commit_request(txn));
-    txn.when = {{"pr/a", 0}, {"pr/b", 18446744073709551615ULL}};
-    txn.apply = {{"pr/a", json::object{{"z", 1}, {"a", 2.5}}, std::nullopt},
+    txn.conditions = {{"pr/a", 0}, {"pr/b", 18446744073709551615ULL}};
+    txn.changes = {{"pr/a", json::object{{"z", 1}, {"a", 2.5}}, std::nullopt},
                  {"pr/b", std::nullopt, std::nullopt},
                  {"pr/c", json::array{"x", nullptr, true}, 77},
                  {"pr/d", json::value(nullptr), std::nullopt}};
@@ -521,11 +522,11 @@
 TEST(Golden, StateServiceAnswers) {
     Golden g("store_answers");
     put_bodies(g, "epoch", {R"({"Epoch":433})", R"({"Epoch":-1})", R"({"Epoch":1.5})", "{}", "[]", ""},
-               [](const std::string& body) { return print_or_nothing(wire::parse_epoch(body)); });
+               [](const std::string& body) { return print_or_nothing(wire::parse_revision(body)); });
     put_bodies(
         g, "failed",
         {R"({"failed":["a/b","c"],"Epoch":431})", R"({"failed":[7,"c"]})", R"({"failed":7})", "{}", ""},
-        [](const std::string& body) { return print(wire::parse_failed(body)); });
+        [](const std::string& body) { return print(wire::parse_failed_conditions(body)); });
     put_bodies(g, "permit", {R"({"Permit":7})", R"({"Permit":"7"})", "{}", ""},
                [](const std::string& body) { return print_or_nothing(wire::parse_lease(body)); });
     const std::vector<std::string> rows{R"({"Key":"a/b","Value":{"z":1,"a":[2.5]},"Stamp":7})",
@@ -558,27 +559,27 @@
          R"({"Epoch":433,"Events":[{"Write":"c/9","Value":1}]})", R"({"Epoch":433,"Events":[{"Stamp":1}]})",
          R"({"Epoch":433,"Events":[7]})", R"({"Epoch":433,"Events":7})", R"({"Epoch":433})",
          R"({"Events":[]})", "[]", ""},
-        [](const std::string& body) { return print_or_nothing(wire::parse_events(body)); });
+        [](const std::string& body) { return print_or_nothing(wire::parse_watch_events(body)); });
 }
 
 TEST(Golden, Peers) {
     Golden g("peers");
     for (const auto& message : sample_messages()) {
-        const auto bytes = wire::gossip_bytes(message);
+        const auto bytes = wire::encode_peer_message(message);
         g.put("message", print(message));
         g.put("bytes", hex(bytes));
-        g.put("read back", print_or_nothing(wire::parse_gossip(bytes)));
-        g.put("cut short", print_or_nothing(wire::parse_gossip(bytes.substr(0, bytes.size() - 1))));
+        g.put("read back", print_or_nothing(wire::parse_peer_message(bytes)));
+        g.put("cut short", print_or_nothing(wire::parse_peer_message(bytes.substr(0, bytes.size() - 1))));
     }
-    g.put("empty", print_or_nothing(wire::parse_gossip("")));
-    g.put("empty map", print_or_nothing(wire::parse_gossip(from_hex("a0"))));
-    g.put("garbage", print_or_nothing(wire::parse_gossip("not cbor")));
+    g.put("empty", print_or_nothing(wire::parse_peer_message("")));
+    g.put("empty map", print_or_nothing(wire::parse_peer_message(from_hex("a0"))));
+    g.put("garbage", print_or_nothing(wire::parse_peer_message("not cbor")));
     std::ifstream in(std::string(PINEROAD_FIXTURES) + "/version-0.4.json");
     std::ostringstream text;
     text << in.rdbuf();
     const auto kept = json::parse(text.str()).as_object();
     const std::string earlier(kept.at("gossip").as_string());
-    g.put("version 0.4", print_or_nothing(wire::parse_gossip(from_hex(earlier))));
+    g.put("version 0.4", print_or_nothing(wire::parse_peer_message(from_hex(earlier))));
 }
 
 TEST(Golden, Keys) {
@@ -586,17 +587,17 @@
     const std::pair<const char*, std::string_view> constants[] = {
         {"all", records::all_prefix},          {"live", records::live_prefix},
         {"leader", records::leader_key},       {"term", records::term_key},
-        {"types", records::types_key},         {"means", records::means_key},
+        {"types", records::machine_types_key},         {"means", records::category_averages_key},
         {"format", records::format_key},       {"dependencies", records::dependencies_prefix},
         {"jobs", records::job_prefix},         {"progress", records::progress_prefix},
-        {"segments", records::segment_prefix}, {"rentals", records::rentals_key},
-        {"rental", records::rental_prefix},    {"final", records::final_prefix}};
+        {"segments", records::segment_prefix}, {"rentals", records::provisioning_requests_key},
+        {"rental", records::provisioning_request_prefix},    {"final", records::outcome_prefix}};
     for (const auto& [label, text] : constants) g.put(label, std::string(text));
     g.put("job", records::job_key("j-1"));
     g.put("progress of a job", records::progress_key("j-1"));
     g.put("segment", records::segment_key("0007"));
-    g.put("rental by name", records::rental_key("r-1-2"));
-    g.put("final of a job", records::final_key("j-1"));
+    g.put("rental by name", records::provisioning_request_key("r-1-2"));
+    g.put("final of a job", records::outcome_key("j-1"));
     g.put("dependencies of a job", records::dependencies_key("j-1", 12));
     g.put("under", print_or_nothing(records::under("pr/live/a/j-1", records::job_prefix)));
     g.put("not under", print_or_nothing(records::under("pr/live/s/0", records::job_prefix)));
@@ -614,23 +615,23 @@
         g.put(job.id, print(stored));
         g.put("read back", print_or_nothing(records::parse_job(job.id, stored)));
     }
-    const auto split = [&](const model::JobSpec& job, std::size_t bytes, std::size_t most) {
-        const auto parts = records::job_records(job, bytes, most);
-        g.section(job.id + " in records of " + std::to_string(bytes) + ", " + std::to_string(most) +
+    const auto sharded = [&](const model::JobSpec& job, std::size_t bytes, std::size_t max_placements) {
+        const auto shards = records::job_records(job, bytes, max_placements);
+        g.section(job.id + " in records of " + std::to_string(bytes) + ", " + std::to_string(max_placements) +
                   " further");
-        if (!parts) return g.put("records", "nothing");
-        g.put("job", print(parts->job));
-        for (const auto& record : parts->dependencies) {
+        if (!shards) return g.put("records", "nothing");
+        g.put("job", print(shards->job));
+        for (const auto& record : shards->dependencies) {
             g.put("further", print(record));
             g.put("read back", print_or_nothing(records::parse_dependencies(record)));
         }
     };
-    split(plain_job(), 8000, 4);
-    split(plain_job(), 100, 4);
-    split(job_with_long_list(5), 8000, 4);
-    split(job_with_long_list(100), 500, 4);
-    split(job_with_long_list(100), 500, 2);
-    split(job_with_long_list(100), 500, 0);
+    sharded(plain_job(), 8000, 4);
+    sharded(plain_job(), 100, 4);
+    sharded(job_with_long_list(5), 8000, 4);
+    sharded(job_with_long_list(100), 500, 4);
+    sharded(job_with_long_list(100), 500, 2);
+    sharded(job_with_long_list(100), 500, 0);
     g.section("read");
     const auto full = print(records::job_json(full_job()));
     std::vector<std::string> table{"7", "null", "[]", "{}", full};
@@ -651,9 +652,9 @@
     model::Progress none;
     g.put("none", print(records::progress_json(none)));
     for (const bool partial : {false, true})
-        for (const std::uint32_t part : {0U, 3U}) {
-            const auto stored = records::progress_json(sample_progress(partial), part);
-            g.put(std::string(partial ? "partial" : "whole") + ", part " + std::to_string(part),
+        for (const std::uint32_t shard : {0U, 3U}) {
+            const auto stored = records::progress_json(sample_progress(partial), shard);
+            g.put(std::string(partial ? "partial" : "whole") + ", part " + std::to_string(shard),
                   print(stored));
             g.put("read back", print_or_nothing(records::parse_progress(stored)));
         }
@@ -694,39 +695,39 @@
     g.put("term", print(records::term_json(41)));
     put_read(g, "term", {print(records::term_json(41)), "41", "{}", "null", "\"41\"", R"({"token":-1})"},
              [](const wire::Json& v) { return print_or_nothing(records::parse_term(v)); });
-    g.put("means", print(records::means_json({{"w0l1", {1.25, 3}}, {"w2l0", {10, 1}}})));
+    g.put("means", print(records::category_averages_json({{"w0l1", {1.25, 3}}, {"w2l0", {10, 1}}})));
     put_read(g, "means",
              {R"({"w0l1":[1.25,3],"w2l0":[10,1]})", R"({"a":[1],"b":[1,-1],"c":7,"d":["x",1],"e":[1,2]})",
               "{}", "7"},
-             [](const wire::Json& v) { return print(records::parse_means(v)); });
+             [](const wire::Json& v) { return print(records::parse_category_averages(v)); });
     g.put("format", print(records::format_json({"c-0", "c-1"})));
     put_read(g, "format",
              {R"({"format":2,"controllers":["c-0","c-1"]})", R"({"format":3,"controllers":["c-0",7]})",
               R"({"format":1,"controllers":["c-0"]})", R"({"controllers":["c-0"]})", R"({"format":2})",
               R"({"format":2,"controllers":7})", "{}", "7"},
              [](const wire::Json& v) { return print_or_nothing(records::parse_format(v)); });
-    const auto rentals = sample_rentals();
-    for (const auto& rental : rentals) g.put("rental", print(records::rental_json(rental)));
-    g.put("rentals", print(records::rentals_json(rentals)));
-    g.put("no rentals", print(records::rentals_json({})));
-    const auto rental = print(records::rental_json(rentals[0]));
+    const auto provisioning_requests = sample_rentals();
+    for (const auto& rental : provisioning_requests) g.put("rental", print(records::provisioning_request_json(rental)));
+    g.put("rentals", print(records::provisioning_requests_json(provisioning_requests)));
+    g.put("no rentals", print(records::provisioning_requests_json({})));
+    const auto rental = print(records::provisioning_request_json(provisioning_requests[0]));
     std::vector<std::string> table{"7", "{}", rental};
     for (const auto* key : {"type", "zone", "spot", "count"})
         for (const auto* value : {"", "7", "-1", "true", "\"x\""})
             table.push_back(with(rental.c_str(), key, value));
     put_read(g, "rental", table,
-             [](const wire::Json& v) { return print_or_nothing(records::parse_rental("r-1-1", v)); });
-    put_read(g, "rentals", {"{}", "7", print(records::rentals_json(rentals)), R"({"r-1":{}})"},
-             [](const wire::Json& v) { return print_or_nothing(records::parse_rentals(v)); });
+             [](const wire::Json& v) { return print_or_nothing(records::parse_provisioning_request("r-1-1", v)); });
+    put_read(g, "rentals", {"{}", "7", print(records::provisioning_requests_json(provisioning_requests)), R"({"r-1":{}})"},
+             [](const wire::Json& v) { return print_or_nothing(records::parse_provisioning_requests(v)); });
     for (const std::int64_t at : {0LL, 1700000000123LL})
-        for (const auto final : {model::Final::done, model::Final::cancelled}) {
-            const model::Ending ending{final, at};
-            g.put(print(ending), print(records::final_json(ending)));
+        for (const auto final : {model::FinalStatus::done, model::FinalStatus::cancelled}) {
+            const model::JobOutcome ending{final, at};
+            g.put(print(ending), print(records::outcome_json(ending)));
         }
     put_read(g, "final",
              {R"({"f":"done"})", R"({"f":"cancelled"})", R"({"f":"odd"})", R"({"f":"done","at":5})",
               R"({"f":"done","at":-5})", R"({"f":7})", "{}", "7"},
-             [](const wire::Json& v) { return print_or_nothing(records::parse_final(v)); });
+             [](const wire::Json& v) { return print_or_nothing(records::parse_outcome(v)); });
 }
 
 // --- a whole controller
@@ -739,9 +740,9 @@
 
 class Asked {
    public:
-    Asked(Cluster& cluster, Golden& golden) : cluster_(cluster), golden_(golden) {}
+    Asked(ClusterSimulator& cluster, Golden& golden) : cluster_(cluster), golden_(golden) {}
     void ask(int node, const std::string& method, const std::string& target, const std::string& body = {}) {
-        const auto reply = cluster_.ask(node, method, target, body);
+        const auto reply = cluster_.request(node, method, target, body);
         golden_.put(method + " " + target + (body.empty() ? "" : " ") + body,
                     reply ? print(*reply) : "no answer");
     }
@@ -754,7 +755,7 @@
     }
 
    private:
-    Cluster& cluster_;
+    ClusterSimulator& cluster_;
     Golden& golden_;
 };
 
@@ -790,10 +791,10 @@
 
 TEST(Golden, AnswersOfAController) {
     Golden g("http");
-    Cluster c("golden_http", 3);
+    ClusterSimulator c("golden_http", 3);
     Asked a(c, g);
-    c.fleet.capacity = 6;
-    c.fleet.run_s["j-done/0"] = 5;
+    c.workers.cloud_capacity = 6;
+    c.workers.task_run_s["j-done/0"] = 5;
     c.run(5);
     g.section("accepted");
     a.put("done", c.submit(0, "j-done"));
@@ -818,14 +819,14 @@
     ask_submissions(a);
     a.put("after a cancelled one", c.submit(0, "j-orphan", {{"WaitsOn", json::array{"j-cancelled"}}}));
     a.put("known by then", c.submit(0, "j-done"));
-    c.state.value_bytes = 10;
+    c.store.value_bytes = 10;
     a.submit("Crew", "\"team\"");
-    c.state.value_bytes = SIZE_MAX;
+    c.store.value_bytes = SIZE_MAX;
     g.section("check-ins");
-    model::Report report;
-    report.machine = "m-77", report.session = 1, report.tick = 5;
+    model::Heartbeat report;
+    report.machine = "m-77", report.agent_epoch = 1, report.sequence = 5;
     const int leader = c.leader(), other = (leader + 1) % 3;
-    const auto body = Cluster::body_of(report);
+    const auto body = ClusterSimulator::heartbeat_body(report);
     a.ask(other, "POST", "/checkin", body);
     a.ask(leader, "POST", "/checkin", body);
     a.ask(leader, "POST", "/checkin", body);
@@ -833,15 +834,15 @@
     a.ask(other, "POST", "/checkin", with(body.c_str(), "Host", ""));
     a.ask(leader, "POST", "/checkin", with(body.c_str(), "Baton", "-1"));
     g.section("outage");
-    c.state_out = true;
+    c.store_outage = true;
     c.run(8);
     a.ask(other, "GET", "/up");
     a.ask(other, "GET", "/submissions/j-done");
     a.ask(other, "GET", "/submissions/j-runs");
     a.ask(other, "POST", "/submissions/j-runs/cancel");
     a.submit("Crew", "\"team\"", other);
-    c.state_out = false;
-    c.state.extend_leases(c.now());
+    c.store_outage = false;
+    c.store.extend_leases(c.now());
     c.run(5);
 }
 
@@ -849,7 +850,7 @@
     Golden g("http_earlier");
     ClusterOptions options;
     options.record_format = 1;
-    Cluster c("golden_http_earlier", 3, options);
+    ClusterSimulator c("golden_http_earlier", 3, options);
     Asked a(c, g);
     a.ask(0, "GET", "/up");
     a.submit("Crew", "\"team\"");
@@ -873,18 +874,18 @@
     {
         net::asio::io_context io;
         auto config = settings();
-        config.state = {"state", 1}, config.cloud = {"cloud", 1};
-        config.front = config.mesh = {"127.0.0.1", 1};
+        config.store_endpoint = {"state", 1}, config.cloud_endpoint = {"cloud", 1};
+        config.public_endpoint = config.peer_endpoint = {"127.0.0.1", 1};
         config.peers = {{"c-1", "a", {"peer", 1}}};
         const config::Tuning tuning;
-        control::Node node(
+        controller::Controller node(
             io, config, tuning, [](const config::Endpoint&) { return std::make_unique<Silent>(); }, 1);
         const auto ask = [&](const std::string& method, const std::string& target, const std::string& body) {
             std::optional<net::Reply> reply;
             net::Request request{method, target, body};
             net::asio::co_spawn(
                 io,
-                [](control::Node& to, net::Request r,
+                [](controller::Controller& to, net::Request r,
                    std::optional<net::Reply>& into) -> net::awaitable<void> {
                     into = co_await to.mesh(std::move(r));
                 }(node, std::move(request), reply),
@@ -900,7 +901,7 @@
             for (const auto* target : {"/gossip", "/gossip?x=1", "/", "/submissions"})
                 ask(method, target, "");
         ask("POST", "/gossip", "garbage");
-        for (const auto& message : sample_messages()) ask("POST", "/gossip", wire::gossip_bytes(message));
+        for (const auto& message : sample_messages()) ask("POST", "/gossip", wire::encode_peer_message(message));
     }
     net::Clock::simulated.reset();
 }
@@ -908,13 +909,13 @@
 TEST(Golden, RowsOfAStory) {
     Golden g("rows");
     ClusterOptions options;
-    options.adjust = [](config::Settings& s) { s.value_kb = s.present_value_kb = 2; };
-    Cluster c("golden_rows", 3, options);
-    c.fleet.capacity = 6;
-    c.fleet.run_s["j-array/0"] = c.fleet.run_s["j-first/0"] = 5;
+    options.adjust = [](config::Settings& s) { s.value_kb = s.current_value_kb = 2; };
+    ClusterSimulator c("golden_rows", 3, options);
+    c.workers.cloud_capacity = 6;
+    c.workers.task_run_s["j-array/0"] = c.workers.task_run_s["j-first/0"] = 5;
     c.run(8);
     g.section("at the start");
-    put_rows(g, c.state.rows());
+    put_rows(g, c.store.rows());
     const json::object small{{"Vcpus", 0.5}, {"Accelerators", 0}, {"MemGb", 0.5}};
     auto array = small, large = small, gang = small;
     array["Pieces"] = 3;
@@ -928,51 +929,51 @@
     json::array before;
     for (int i = 0; i < 60; ++i) {
         const std::string id = "j-abcdefghijklmnopqrstuvwxyz" + std::to_string(i);
-        c.fleet.submitted({{"NameId", id}, {"Crew", "team"}, {"Pieces", 1}, {"Accelerators", 1}});
-        c.state.put_job(array_job(id, 1), c.now());
+        c.workers.invariants.job_submitted({{"NameId", id}, {"Crew", "team"}, {"Pieces", 1}, {"Accelerators", 1}});
+        c.store.put_job(array_job(id, 1), c.now());
         before.emplace_back(id);
     }
     c.run(2);
     c.submit(0, "j-list", {{"WaitsOn", before}});
     c.run(2);
     g.section("accepted");
-    put_rows(g, c.state.rows());
+    put_rows(g, c.store.rows());
     c.run(60);
     g.section("running");
-    put_rows(g, c.state.rows());
+    put_rows(g, c.store.rows());
     c.cancel(0, "j-large");
     c.cancel(1, "j-gang");
     c.cancel(1, "j-list");
     c.run(30);
     g.section("cancelled");
-    put_rows(g, c.state.rows());
+    put_rows(g, c.store.rows());
 }
 
 // --- transactions of a term
 // ----------------------------------------------------------------------------------
 
-class Story : public World {
+class Story : public LeaderSimulator {
    public:
-    Story(const std::string& name, Golden& golden) : World(name), golden_(golden) {}
-    void commit_all() {
+    Story(const std::string& name, Golden& golden) : LeaderSimulator(name), golden_(golden) {}
+    void commit_and_print() {
         for (int i = 0; i < 50; ++i) {
-            const auto batch = take_batch();
+            const auto batch = next_write_batch();
             if (!batch) return;
             golden_.put("transaction", wire::commit_request(batch->txn));
-            apply(*batch);
+            apply_batch(*batch);
         }
     }
     void meet_and_start(const std::string& machine) {
-        golden_.put("answer to " + machine, wire::orders_answer(book().token(), checkin(machine)));
+        golden_.put("answer to " + machine, wire::heartbeat_response(leader_state().fencing_token(), send_heartbeat(machine)));
     }
     // Two seconds on: a plan, what it writes, rents and tells the workers.
     void step() {
-        pass(2);
+        advance(2);
         plan();
-        for (const auto& rental : rent()) golden_.put("rental", wire::rental_request(rental));
-        commit_all();
+        for (const auto& rental : provision_machines()) golden_.put("rental", wire::provisioning_request(rental));
+        commit_and_print();
         for (const auto& [id, w] : workers) meet_and_start(id);
-        commit_all();
+        commit_and_print();
     }
     void set_all(model::TaskState state, model::ExitCause cause = model::ExitCause::none) {
         for (auto& [id, w] : workers)
@@ -987,9 +988,9 @@
 TEST(Golden, TransactionsOfAStory) {
     Golden g("transactions");
     Story w("golden_transactions", g);
-    w.lead();
-    w.worker("m-a"), w.worker("m-b", "g4", "b"), w.worker("m-c", "g2", "a", true);
-    for (const auto* id : {"m-a", "m-b", "m-c"}) w.meet(id);
+    w.begin_term();
+    w.add_worker("m-a"), w.add_worker("m-b", "g4", "b"), w.add_worker("m-c", "g2", "a", true);
+    for (const auto* id : {"m-a", "m-b", "m-c"}) w.synchronize_worker(id);
     g.section("array, gang and a job that waits");
     w.submit(array_job("j-array", 3));
     w.submit(gang_job("j-gang", 2));
@@ -1001,7 +1002,7 @@
     w.set_all(model::TaskState::running);
     for (int i = 0; i < 2; ++i) w.step();
     g.section("ends");
-    w.set("j-array/0", model::TaskState::exited, model::ExitCause::done);
+    w.set_task_state("j-array/0", model::TaskState::exited, model::ExitCause::done);
     w.step();
     w.set_all(model::TaskState::exited, model::ExitCause::done);
     for (int i = 0; i < 3; ++i) w.step();
@@ -1013,24 +1014,24 @@
     g.section("a new term");
     w.submit(array_job("j-late", 2));
     w.step();
-    w.lead();
+    w.begin_term();
     for (int i = 0; i < 3; ++i) w.step();
 }
 
 TEST(Golden, TransactionsOfALargeJob) {
     Golden g("transactions_large");
     Story w("golden_transactions_large", g);
-    w.config.value_kb = w.config.present_value_kb = 2;
-    w.parts_allowed = true;
-    w.lead();
+    w.config.value_kb = w.config.current_value_kb = 2;
+    w.record_parts_allowed = true;
+    w.begin_term();
     for (int i = 0; i < 40; ++i)
-        w.meet((w.worker("m-" + std::to_string(10 + i)), "m-" + std::to_string(10 + i)));
+        w.synchronize_worker((w.add_worker("m-" + std::to_string(10 + i)), "m-" + std::to_string(10 + i)));
     w.submit(array_job("j-large", 150));
     for (int i = 0; i < 2; ++i) w.step();
     w.set_all(model::TaskState::running);
     w.step();
     for (const int i : {0, 7, 100})
-        w.set("j-large/" + std::to_string(i), model::TaskState::exited, model::ExitCause::done);
+        w.set_task_state("j-large/" + std::to_string(i), model::TaskState::exited, model::ExitCause::done);
     for (int i = 0; i < 3; ++i) w.step();
     w.set_all(model::TaskState::exited, model::ExitCause::done);
     for (int i = 0; i < 4; ++i) w.step();
--- a/tests/heartbeat_test.cpp
+++ b/tests/heartbeat_test.cpp
@@ -15,14 +15,14 @@
     simulator.submit(array_job("j-1", 1));
     simulator.plan_and_commit();
     const auto late =
-        simulator.leader_state().orders_for("m-1", true, simulator.now);  // the answer is slow on its way
+        simulator.leader_state().commands_for("m-1", true, simulator.now);  // the answer is slow on its way
     simulator.begin_term();
     simulator.send_heartbeat("m-2");
     simulator.send_heartbeat("m-2");
     auto& m1 = simulator.workers.at("m-1");
     const auto report = simulator.next_heartbeat(m1);  // sent before the worker learned of the new term
     simulator.note("report  m-1 without tasks, under the old token");
-    simulator.leader_state().absorb(report, simulator.now);
+    simulator.leader_state().apply_heartbeat(report, simulator.now);
     simulator.plan_and_commit();
     EXPECT_TRUE(simulator.send_heartbeat("m-2").empty());
     simulator.note("answer  of the old term reaches m-1 at last");
@@ -35,12 +35,12 @@
 // what a newer one showed.
 TEST(Heartbeat, StaleHeartbeatIsIgnored) {
     StartedLeader simulator("stale_heartbeat", {"m-1"});
-    const auto early = simulator.next_heartbeat(simulator.workers.at("m-1"));
+    const auto tasks_under_older_token = simulator.next_heartbeat(simulator.workers.at("m-1"));
     simulator.run_job(array_job("j-1", 1), "m-1");
     simulator.note("report  of before the start arrives late");
-    EXPECT_FALSE(simulator.leader_state().absorb(early, simulator.now));
+    EXPECT_FALSE(simulator.leader_state().apply_heartbeat(tasks_under_older_token, simulator.now));
     simulator.plan();
-    EXPECT_FALSE(simulator.leader_state().dirty());  // an older empty heartbeat does not mark the task lost
+    EXPECT_FALSE(simulator.leader_state().write_due());  // an older empty heartbeat does not mark the task lost
 }
 
 // A command whose answer was lost is sent again with the next heartbeat, and starts its task once.
@@ -83,26 +83,26 @@
     StartedLeader simulator("late_copies", {"m-1", "m-2"});
     simulator.run_job(array_job("j-1", 1), "m-1");
     const auto copy = simulator.next_heartbeat(simulator.workers.at("m-1"));
-    simulator.leader_state().absorb(copy, simulator.now);
+    simulator.leader_state().apply_heartbeat(copy, simulator.now);
     simulator.note("        m-1 stops with all that is on it");
     for (int i = 0; i < 6; ++i) {
         simulator.advance(3);
         simulator.send_heartbeat("m-2");
-        EXPECT_FALSE(simulator.leader_state().absorb(copy, simulator.now));
+        EXPECT_FALSE(simulator.leader_state().apply_heartbeat(copy, simulator.now));
         simulator.note("copy    of m-1's last report");
         simulator.plan();
     }
-    EXPECT_EQ(simulator.leader_state().next_releases(simulator.now), std::vector<std::string>{"m-1"});
+    EXPECT_EQ(simulator.leader_state().machines_to_release(simulator.now), std::vector<std::string>{"m-1"});
     simulator.release_machines();
     simulator.commit_all();
     simulator.advance(120);
     simulator.note("copy    of m-1's last report, long after its lease");
-    EXPECT_FALSE(simulator.leader_state().absorb(copy, simulator.now));
+    EXPECT_FALSE(simulator.leader_state().apply_heartbeat(copy, simulator.now));
     EXPECT_FALSE(simulator.leader_state().machines().contains("m-1"));
     simulator.begin_term();
     simulator.note("copy    in a later term, under the old token");
-    simulator.leader_state().absorb(copy, simulator.now);
-    EXPECT_TRUE(simulator.leader_state().orders_for("m-1", true, simulator.now).empty());
+    simulator.leader_state().apply_heartbeat(copy, simulator.now);
+    EXPECT_TRUE(simulator.leader_state().commands_for("m-1", true, simulator.now).empty());
     simulator.submit(array_job("j-2", 1));
     simulator.plan_and_commit();
     EXPECT_TRUE(simulator.leader_state().machines().at("m-1").tasks.empty());  // it gets nothing
@@ -116,11 +116,11 @@
     simulator.plan_and_commit("m-1");
     EXPECT_FALSE(
         simulator.leader_state().has_room("m-1", simulator.now));  // nothing came lately that would fit
-    sched::ClassDemand demand;
+    scheduling::ClassDemand demand;
     demand.sample = array_job("j-2", 1);
     simulator.leader_state().plan(simulator.now, simulator.wall_ms(), {{"small", demand}});
     EXPECT_TRUE(simulator.leader_state().has_room("m-1", simulator.now));
-    demand.sample.need.cpus = 31;
+    demand.sample.task_resources.cpus = 31;
     simulator.leader_state().plan(simulator.now, simulator.wall_ms(), {{"large", demand}});
     EXPECT_FALSE(simulator.leader_state().has_room("m-1", simulator.now));
 }
--- a/tests/invariant_checker.cpp
+++ b/tests/invariant_checker.cpp
@@ -44,7 +44,7 @@
 void InvariantChecker::job_status_confirmed(const std::string& id, const std::string& status, double now) {
     const auto cancelled_at = dependency_cancelled_at(id);
     const bool live = status == "queued" || status == "running";
-    EXPECT_FALSE(live && cancelled_at && now > *cancelled_at + cancel_s)
+    EXPECT_FALSE(live && cancelled_at && now > *cancelled_at + cancellation_timeout_s)
         << "orphaned: " << id << " " << status;
     if (status == "withdrawn") confirmed_cancellations_.emplace(id, now);
     EXPECT_FALSE(status != "withdrawn" && cancellation_confirmed(id)) << "went_back: " << id << " " << status;
@@ -92,7 +92,7 @@
                                        double now) {
     if (!task.executes()) return;
     const auto cancelled = confirmed_cancellations_.find(task.id.job);
-    if (cancelled == confirmed_cancellations_.end() || now <= cancelled->second + cancel_s) return;
+    if (cancelled == confirmed_cancellations_.end() || now <= cancelled->second + cancellation_timeout_s) return;
     if (!violating_tasks_.insert(name_of(task.id)).second) return;
     ADD_FAILURE() << "ran_cancelled: " << name_of(task.id) << " on " << machine.id << " "
                   << now - cancelled->second << " s after its cancellation was confirmed";
--- a/tests/invariant_checker.hpp
+++ b/tests/invariant_checker.hpp
@@ -31,7 +31,7 @@
 
     [[nodiscard]] bool cancellation_confirmed(const std::string& job) const;
 
-    double cancel_s = 66;      ///< from a confirmed cancellation until nothing of it executes
+    double cancellation_timeout_s = 66;      ///< from a confirmed cancellation until nothing of it executes
     double team_gpus_max = 2;  ///< of the team "capped", as in settings()
 
    private:
--- a/tests/leader_simulator.cpp
+++ b/tests/leader_simulator.cpp
@@ -11,16 +11,16 @@
 
 namespace records = wire::records;
 using model::ExitCause;
-using model::Order;
+using model::Command;
 using model::TaskState;
 
 namespace {
 
-std::string describe(const Order& order) {
+std::string describe(const Command& order) {
     const std::string task =
         order.task.job + "/" + std::to_string(order.task.index) + "#" + std::to_string(order.attempt);
-    if (order.op == Order::Op::start) return "start " + task;
-    if (order.op == Order::Op::forget) return "reap " + task;
+    if (order.kind == Command::Kind::start) return "start " + task;
+    if (order.kind == Command::Kind::forget) return "reap " + task;
     std::ostringstream out;
     out << "stop " << task << " grace " << order.grace_s;
     return out.str();
@@ -37,22 +37,22 @@
 // --- the store ---------------------------------------------------------------------------------------------
 
 std::optional<std::uint64_t> SimulatedStore::commit(const wire::Transaction& transaction) {
-    for (const auto& condition : transaction.when) {
+    for (const auto& condition : transaction.conditions) {
         const auto row = rows.find(condition.key);
-        if ((row == rows.end() ? 0 : row->second.stamp) != condition.stamp) return std::nullopt;
+        if ((row == rows.end() ? 0 : row->second.mod_revision) != condition.mod_revision) return std::nullopt;
     }
-    ++epoch;
-    for (const auto& change : transaction.apply) {
+    ++revision;
+    for (const auto& change : transaction.changes) {
         if (change.value)
-            rows[change.key] = {*change.value, epoch};
+            rows[change.key] = {*change.value, revision};
         else
             rows.erase(change.key);
     }
-    return epoch;
+    return revision;
 }
 
 void SimulatedStore::put(const std::string& key, wire::Json value) {
-    rows[key] = {std::move(value), ++epoch};
+    rows[key] = {std::move(value), ++revision};
 }
 
 // --- users -------------------------------------------------------------------------------------------------
@@ -64,49 +64,49 @@
 void LeaderSimulator::submit(model::JobSpec spec) {
     spec.accepted_ms = wall_ms();
     wire::Transaction transaction;
-    transaction.when = {{records::job_key(spec.id), 0}, {records::final_key(spec.id), 0}};
-    transaction.apply = {{records::job_key(spec.id), records::job_json(spec), std::nullopt}};
+    transaction.conditions = {{records::job_key(spec.id), 0}, {records::outcome_key(spec.id), 0}};
+    transaction.changes = {{records::job_key(spec.id), records::job_json(spec), std::nullopt}};
     const auto revision = store.commit(transaction);
-    note("user    submits " + spec.id + ": " + std::to_string(spec.tasks) + " tasks" +
+    note("user    submits " + spec.id + ": " + std::to_string(spec.task_count) + " tasks" +
          (revision ? "" : ", known already"));
     specs[spec.id] = spec;
     if (!revision || !leader_state_) return;
     add_accepted_job(spec);
-    if (watch_cache_->dependencies().is_cancelled(spec.id)) leader_state_->job_withdrawn(spec.id, now);
+    if (watch_cache_->dependencies().is_cancelled(spec.id)) leader_state_->job_cancelled_by_dependency(spec.id, now);
 }
 
 void LeaderSimulator::add_accepted_job(const model::JobSpec& spec) {
-    watch_cache_->apply_row(records::job_key(spec.id), records::job_json(spec), store.epoch, now);
-    leader_state_->job_added(spec, store.epoch, now);
+    watch_cache_->apply_row(records::job_key(spec.id), records::job_json(spec), store.revision, now);
+    leader_state_->job_added(spec, store.revision, now);
 }
 
 // What the leader's process learns of a job's end.
-void LeaderSimulator::record_ending(const std::string& id, const model::Ending& ending) {
+void LeaderSimulator::record_ending(const std::string& id, const model::JobOutcome& ending) {
     watch_cache_->apply_drop(records::job_key(id));
-    watch_cache_->learn_final(id, ending, store.epoch);
+    watch_cache_->record_outcome(id, ending, store.revision);
 }
 
 bool LeaderSimulator::cancel(const std::string& id, bool leader_learns) {
     const auto row = store.rows.find(records::job_key(id));
     if (row == store.rows.end()) return false;
-    const model::Ending ending{model::Final::cancelled, wall_ms()};
+    const model::JobOutcome ending{model::FinalStatus::cancelled, wall_ms()};
     wire::Transaction transaction;
-    transaction.when = {{records::job_key(id), row->second.stamp}, {records::final_key(id), 0}};
-    transaction.apply = {{records::job_key(id), std::nullopt, std::nullopt},
-                         {records::final_key(id), records::final_json(ending), std::nullopt}};
-    const bool committed = store.commit(transaction).has_value();
-    note("user    cancels " + id + (committed ? ": withdrawn" : ": too late"));
-    if (committed) cancelled_at[id] = now;
-    if (committed && leader_learns && leader_state_) {
+    transaction.conditions = {{records::job_key(id), row->second.mod_revision}, {records::outcome_key(id), 0}};
+    transaction.changes = {{records::job_key(id), std::nullopt, std::nullopt},
+                         {records::outcome_key(id), records::outcome_json(ending), std::nullopt}};
+    const bool apply_commit = store.commit(transaction).has_value();
+    note("user    cancels " + id + (apply_commit ? ": withdrawn" : ": too late"));
+    if (apply_commit) cancelled_at[id] = now;
+    if (apply_commit && leader_learns && leader_state_) {
         leader_state_->job_cancelled(id, now);
         record_ending(id, ending);
     }
-    return committed;
+    return apply_commit;
 }
 
 std::string LeaderSimulator::job_status(const std::string& id) const {
-    if (const auto row = store.rows.find(records::final_key(id)); row != store.rows.end())
-        return records::parse_final(row->second.value)->final == model::Final::done ? "done" : "withdrawn";
+    if (const auto row = store.rows.find(records::outcome_key(id)); row != store.rows.end())
+        return records::parse_outcome(row->second.value)->status == model::FinalStatus::done ? "done" : "withdrawn";
     return store.rows.contains(records::job_key(id)) ? "accepted" : "unknown";
 }
 
@@ -114,51 +114,51 @@
 
 void LeaderSimulator::begin_term() {
     const std::string leader_key(records::leader_key);
-    ++token_;
-    store.put(leader_key, records::leader_json({"c-0", token_, token_, token_}));
+    ++fencing_token_;
+    store.put(leader_key, records::leader_json({"c-0", fencing_token_, fencing_token_, fencing_token_}));
     leader_state_ =
-        std::make_unique<control::Book>(config, tuning, token_, store.rows.at(leader_key).stamp, now);
-    leader_state_->set_types(machine_types());
-    watch_cache_ = std::make_unique<control::Mirror>();
-    for (const auto& [key, row] : store.rows) watch_cache_->apply_row(key, row.value, row.stamp, now);
+        std::make_unique<cluster::ClusterState>(config, tuning, fencing_token_, store.rows.at(leader_key).mod_revision, now);
+    leader_state_->set_machine_types(machine_types());
+    watch_cache_ = std::make_unique<store::WatchCache>();
+    for (const auto& [key, row] : store.rows) watch_cache_->apply_row(key, row.value, row.mod_revision, now);
     watch_cache_->on_dependencies = [this](const model::DependencyGraph::Change& change) {
-        for (const auto& id : change.cancelled) leader_state_->job_withdrawn(id, now);
+        for (const auto& id : change.cancelled) leader_state_->job_cancelled_by_dependency(id, now);
     };
     leader_state_->load(*watch_cache_, now, wall_ms());
-    if (record_parts_allowed) leader_state_->allow_parts();
-    note("term    " + std::to_string(token_) + " begins");
+    if (record_parts_allowed) leader_state_->allow_sharding();
+    note("term    " + std::to_string(fencing_token_) + " begins");
 }
 
 void LeaderSimulator::plan() {
-    leader_state_->tick(now);
+    leader_state_->detect_failures(now);
     leader_state_->plan(now, wall_ms(), {});
 }
 
-std::optional<control::Batch> LeaderSimulator::next_batch(std::size_t operations) {
-    return leader_state_->next_batch(operations);
+std::optional<cluster::WriteBatch> LeaderSimulator::next_write_batch(std::size_t operations) {
+    return leader_state_->next_write_batch(operations);
 }
 
-bool LeaderSimulator::apply_batch(const control::Batch& batch) {
+bool LeaderSimulator::apply_batch(const cluster::WriteBatch& batch) {
     std::string keys;
-    for (const auto& change : batch.txn.apply) keys += (change.value ? " +" : " -") + change.key.substr(3);
+    for (const auto& change : batch.txn.changes) keys += (change.value ? " +" : " -") + change.key.substr(3);
     const auto revision = store.commit(batch.txn);
     note("commit " + keys + (revision ? "" : ": refused"));
-    for (const auto& change : batch.txn.apply)
+    for (const auto& change : batch.txn.changes)
         if (change.value) {
             EXPECT_LE(boost::json::serialize(*change.value).size(), config.value_kb * 1024);
         }
-    EXPECT_LE(batch.txn.apply.size(), static_cast<std::size_t>(config.txn_ops));
-    EXPECT_LE(batch.txn.when.size(), 4 * static_cast<std::size_t>(config.txn_ops));
+    EXPECT_LE(batch.txn.changes.size(), static_cast<std::size_t>(config.max_transaction_changes));
+    EXPECT_LE(batch.txn.conditions.size(), 4 * static_cast<std::size_t>(config.max_transaction_changes));
     if (!revision) return false;
-    leader_state_->committed(batch, *revision, now, wall_ms());
-    for (const auto& end : batch.finals) record_ending(end.job, end.ending);
+    leader_state_->apply_commit(batch, *revision, now, wall_ms());
+    for (const auto& end : batch.finished_jobs) record_ending(end.job, end.outcome);
     return true;
 }
 
 bool LeaderSimulator::commit_all() {
     constexpr int most_batches = 50;
     for (int i = 0; i < most_batches; ++i) {
-        const auto batch = next_batch();
+        const auto batch = next_write_batch();
         if (!batch) return true;
         if (!apply_batch(*batch)) return false;
     }
@@ -190,50 +190,50 @@
     }
 }
 
-model::Report LeaderSimulator::next_heartbeat(Worker& worker) {
-    model::Report r;
+model::Heartbeat LeaderSimulator::next_heartbeat(Worker& worker) {
+    model::Heartbeat r;
     r.machine = worker.id;
     r.address = "10.0.0.9:1";
     r.type = worker.type;
     r.zone = worker.zone;
     r.spot = worker.spot;
-    r.session = worker.session;
-    r.tick = ++worker.tick;
-    r.token = worker.token;
-    r.notice_s = worker.notice_s;
+    r.agent_epoch = worker.agent_epoch;
+    r.sequence = ++worker.sequence;
+    r.fencing_token = worker.fencing_token;
+    r.interruption_notice_s = worker.interruption_notice_s;
     r.tasks = worker.tasks;
     return r;
 }
 
-std::vector<Order> LeaderSimulator::send_heartbeat(const std::string& id, bool lost_answer) {
+std::vector<Command> LeaderSimulator::send_heartbeat(const std::string& id, bool lost_answer) {
     Worker& worker = workers.at(id);
-    const bool fresh = leader_state_->absorb(next_heartbeat(worker), now);
-    const auto orders = fresh ? leader_state_->orders_for(id, true, now) : std::vector<Order>{};
+    const bool fresh = leader_state_->apply_heartbeat(next_heartbeat(worker), now);
+    const auto commands = fresh ? leader_state_->commands_for(id, true, now) : std::vector<Command>{};
     std::string line =
-        "report  " + id + " (" + std::to_string(worker.session) + "," + std::to_string(worker.tick) + ")";
+        "report  " + id + " (" + std::to_string(worker.agent_epoch) + "," + std::to_string(worker.sequence) + ")";
     for (const auto& task : worker.tasks) line += " " + describe(task);
     note(line + (fresh ? "" : " is stale"));
-    for (const auto& order : orders)
+    for (const auto& order : commands)
         note("answer  " + id + ": " + describe(order) + (lost_answer ? " (lost)" : ""));
-    if (!lost_answer) execute(worker, orders, leader_state_->token());
-    return orders;
+    if (!lost_answer) execute(worker, commands, leader_state_->fencing_token());
+    return commands;
 }
 
 void LeaderSimulator::send_heartbeats(const std::vector<std::string>& ids) {
     for (const auto& id : ids) send_heartbeat(id);
 }
 
-void LeaderSimulator::execute(Worker& worker, const std::vector<Order>& orders, std::uint64_t token) {
-    if (token < worker.token) return;
-    worker.token = token;
-    for (const auto& order : orders) {
+void LeaderSimulator::execute(Worker& worker, const std::vector<Command>& commands, std::uint64_t fencing_token) {
+    if (fencing_token < worker.fencing_token) return;
+    worker.fencing_token = fencing_token;
+    for (const auto& order : commands) {
         const auto task = std::find_if(worker.tasks.begin(), worker.tasks.end(), [&](const auto& t) {
             return t.task == order.task && t.attempt == order.attempt;
         });
         const bool known = task != worker.tasks.end();
-        if (order.op == Order::Op::start) {
+        if (order.kind == Command::Kind::start) {
             if (!known) execute_start(worker, order);
-        } else if (known && order.op == Order::Op::forget) {
+        } else if (known && order.kind == Command::Kind::forget) {
             if (task->state == TaskState::exited) worker.tasks.erase(task);
         } else if (known && task->state != TaskState::exited) {
             execute_stop(*task, order);
@@ -241,26 +241,26 @@
     }
 }
 
-void LeaderSimulator::execute_start(Worker& worker, const Order& order) {
+void LeaderSimulator::execute_start(Worker& worker, const Command& order) {
     ++starts;
     check_start(worker, order.task);
     worker.tasks.push_back({order.task, order.attempt, TaskState::fetching, ExitCause::none, false});
 }
 
-void LeaderSimulator::execute_stop(model::ReportedTask& task, const Order& order) const {
+void LeaderSimulator::execute_stop(model::ReportedTask& task, const Command& order) const {
     const auto& spec = specs.at(order.task.job);
-    if (task.state == TaskState::running && spec.checkpoint_s > 0 && order.grace_s >= spec.save_s)
-        task.state = TaskState::saving;
+    if (task.state == TaskState::running && spec.checkpoint_interval_s > 0 && order.grace_s >= spec.checkpoint_save_s)
+        task.state = TaskState::checkpointing;
     else
         task = {task.task, task.attempt, TaskState::exited, ExitCause::stopped, false};
 }
 
 void LeaderSimulator::deliver_direct_commands() {
-    for (const auto& direct : leader_state_->direct_orders()) {
+    for (const auto& direct : leader_state_->take_direct_commands()) {
         auto& worker = workers.at(direct.machine);
-        for (const auto& order : direct.orders) note("/do     " + direct.machine + ": " + describe(order));
-        if (!worker.hung && direct.session == worker.session)
-            execute(worker, direct.orders, leader_state_->token());
+        for (const auto& order : direct.commands) note("/do     " + direct.machine + ": " + describe(order));
+        if (!worker.hung && direct.agent_epoch == worker.agent_epoch)
+            execute(worker, direct.commands, leader_state_->fencing_token());
     }
 }
 
@@ -278,8 +278,8 @@
 void LeaderSimulator::expire_worker_lease(const std::string& id) {
     auto& worker = workers.at(id);
     worker.tasks.clear();
-    ++worker.session;
-    note("worker  " + id + ": its lease ran out, session " + std::to_string(worker.session));
+    ++worker.agent_epoch;
+    note("worker  " + id + ": its lease ran out, session " + std::to_string(worker.agent_epoch));
 }
 
 void LeaderSimulator::synchronize_worker(const std::string& id) {
@@ -315,19 +315,19 @@
     check_quota(spec);
     check_place(worker, spec);
     const auto cancelled = cancelled_at.find(task.job);
-    EXPECT_TRUE(cancelled == cancelled_at.end() || now <= cancelled->second + config.cancel_s)
+    EXPECT_TRUE(cancelled == cancelled_at.end() || now <= cancelled->second + config.cancellation_timeout_s)
         << "ran_cancelled: " << task.job;
 }
 
 void LeaderSimulator::check_quota(const model::JobSpec& spec) const {
-    double cpus = spec.need.cpus;
-    double gpus = spec.need.gpus;
+    double cpus = spec.task_resources.cpus;
+    double gpus = spec.task_resources.gpus;
     for (const auto& [id, worker] : workers)
         for (const auto& task : worker.tasks) {
             const auto& other = specs.at(task.task.job);
             if (task.state == TaskState::exited || other.team != spec.team) continue;
-            cpus += other.need.cpus;
-            gpus += other.need.gpus;
+            cpus += other.task_resources.cpus;
+            gpus += other.task_resources.gpus;
         }
     for (const auto& team : config.teams) {
         if (team.name != spec.team) continue;
@@ -341,19 +341,19 @@
     for (const auto& [id, other] : workers)
         for (const auto& task : other.tasks)
             if (task.state != TaskState::exited && task.task.job == spec.id) ++tasks_by_zone[other.zone];
-    EXPECT_TRUE(sched::allowed_on(spec, worker.type, worker.zone, worker.spot))
+    EXPECT_TRUE(scheduling::allowed_on(spec, worker.type, worker.zone, worker.spot))
         << "wrong_place: " << spec.id << " on " << worker.id;
-    EXPECT_TRUE(!spec.one_zone || tasks_by_zone.size() == 1) << "wrong_place: " << spec.id << " in two zones";
+    EXPECT_TRUE(!spec.same_zone || tasks_by_zone.size() == 1) << "wrong_place: " << spec.id << " in two zones";
     for (const auto& [zone, tasks] : tasks_by_zone)
-        EXPECT_TRUE(!spec.spread || tasks <= (spec.tasks + 1) / 2)
+        EXPECT_TRUE(!spec.spread || tasks <= (spec.task_count + 1) / 2)
             << "wrong_place: too many of " << spec.id << " in " << zone;
 }
 
 // --- cloud -------------------------------------------------------------------------------------------------
 
-std::vector<model::Rental> LeaderSimulator::provision_machines() {
-    std::vector<model::Rental> out;
-    while (const auto request = leader_state_->next_rental()) {
+std::vector<model::ProvisioningRequest> LeaderSimulator::provision_machines() {
+    std::vector<model::ProvisioningRequest> out;
+    while (const auto request = leader_state_->next_provisioning_request()) {
         auto& machines = provisioned_[request->name];
         const bool again = !machines.empty();
         while (machines.size() < request->count)
@@ -366,14 +366,14 @@
             if (!workers.contains(id)) add_worker(id, request->type, request->zone, request->spot);
         }
         note(line);
-        leader_state_->rented(request->name, machines, now);
+        leader_state_->machines_provisioned(request->name, machines, now);
         out.push_back(*request);
     }
     return out;
 }
 
 void LeaderSimulator::release_machines() {
-    const auto ids = leader_state_->next_releases(now);
+    const auto ids = leader_state_->machines_to_release(now);
     if (ids.empty()) return;
     std::string line = "cloud   released";
     for (const auto& id : ids) {
@@ -381,7 +381,7 @@
         workers.erase(id);
     }
     note(line);
-    leader_state_->released(ids, now);
+    leader_state_->machines_released(ids, now);
 }
 
 StartedLeader::StartedLeader(const std::string& trace, const std::vector<std::string>& ready_workers)
--- a/tests/leader_simulator.hpp
+++ b/tests/leader_simulator.hpp
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
-#include "control/book.hpp"
-#include "control/mirror.hpp"
+#include "cluster/cluster_state.hpp"
+#include "store/watch_cache.hpp"
 #include "sample_jobs.hpp"
 #include "trace.hpp"
 
@@ -24,10 +24,10 @@
    public:
     struct Row {
         wire::Json value;
-        std::uint64_t stamp = 0;
+        std::uint64_t mod_revision = 0;
     };
     std::map<std::string, Row> rows;
-    std::uint64_t epoch = 0;  ///< the store's revision
+    std::uint64_t revision = 0;  ///< the store's revision
     /// The new revision of the store, or nothing: a condition failed.
     std::optional<std::uint64_t> commit(const wire::Transaction& transaction);
     void put(const std::string& key, wire::Json value);
@@ -41,8 +41,8 @@
     struct Worker {
         std::string id, type = "g4", zone = "a";
         bool spot = false, hung = false;
-        std::uint64_t session = 1, tick = 0, token = 0;
-        std::optional<double> notice_s;
+        std::uint64_t agent_epoch = 1, sequence = 0, fencing_token = 0;
+        std::optional<double> interruption_notice_s;
         std::vector<model::ReportedTask> tasks;
     };
 
@@ -71,22 +71,22 @@
     /// A plan and its commits; then, if a machine is named, a heartbeat of it that takes the commands.
     void plan_and_commit(const std::string& machine = {});
     /// The next write batch, which is not applied yet.
-    std::optional<control::Batch> next_batch(std::size_t operations = SIZE_MAX);
+    std::optional<cluster::WriteBatch> next_write_batch(std::size_t operations = SIZE_MAX);
     /// By the store; then the leader gets the answer. False: a condition failed.
-    bool apply_batch(const control::Batch& batch);
-    control::Book& leader_state() { return *leader_state_; }
+    bool apply_batch(const cluster::WriteBatch& batch);
+    cluster::ClusterState& leader_state() { return *leader_state_; }
 
     // --- workers ---
     Worker& add_worker(const std::string& id, const std::string& type = "g4", const std::string& zone = "a",
                        bool spot = false);
     /// Workers of the default type in zone a that have proven to run nothing.
     void add_ready_workers(const std::vector<std::string>& ids);
-    model::Report next_heartbeat(Worker& worker);
+    model::Heartbeat next_heartbeat(Worker& worker);
     /// One heartbeat, its answer executed; with lost_answer the worker never gets it.
-    std::vector<model::Order> send_heartbeat(const std::string& id, bool lost_answer = false);
+    std::vector<model::Command> send_heartbeat(const std::string& id, bool lost_answer = false);
     void send_heartbeats(const std::vector<std::string>& ids);
     /// By a worker: commands under an older fencing token are ignored.
-    void execute(Worker& worker, const std::vector<model::Order>& orders, std::uint64_t token);
+    void execute(Worker& worker, const std::vector<model::Command>& commands, std::uint64_t fencing_token);
     void deliver_direct_commands();
     void set_task_state(const std::string& task, model::TaskState state,
                         model::ExitCause cause = model::ExitCause::none, bool saved = false);
@@ -102,7 +102,7 @@
 
     // --- cloud ---
     /// Open provisioning requests, which are answered in full.
-    std::vector<model::Rental> provision_machines();
+    std::vector<model::ProvisioningRequest> provision_machines();
     void release_machines();
 
     std::map<std::string, Worker> workers;
@@ -115,16 +115,16 @@
     std::map<std::string, double> cancelled_at;
 
    private:
-    void record_ending(const std::string& id, const model::Ending& ending);
-    void execute_start(Worker& worker, const model::Order& order);
-    void execute_stop(model::ReportedTask& task, const model::Order& order) const;
+    void record_ending(const std::string& id, const model::JobOutcome& ending);
+    void execute_start(Worker& worker, const model::Command& order);
+    void execute_stop(model::ReportedTask& task, const model::Command& order) const;
     void check_start(const Worker& worker, const model::TaskId& task) const;
     void check_quota(const model::JobSpec& spec) const;
     void check_place(const Worker& worker, const model::JobSpec& spec) const;
     Trace trace_;
-    std::unique_ptr<control::Mirror> watch_cache_;
-    std::unique_ptr<control::Book> leader_state_;
-    std::uint64_t token_ = 0;
+    std::unique_ptr<store::WatchCache> watch_cache_;
+    std::unique_ptr<cluster::ClusterState> leader_state_;
+    std::uint64_t fencing_token_ = 0;
     int provisioned_count_ = 0;
     std::map<std::string, std::vector<std::string>> provisioned_;  // by the request's name
 };
--- a/tests/machine_lifecycle_test.cpp
+++ b/tests/machine_lifecycle_test.cpp
@@ -17,7 +17,7 @@
     simulator.plan();
     simulator.release_machines();
     simulator.note("report  of m-1, held back, arrives");
-    EXPECT_FALSE(simulator.leader_state().absorb(held, simulator.now));
+    EXPECT_FALSE(simulator.leader_state().apply_heartbeat(held, simulator.now));
     simulator.plan_and_commit();
     EXPECT_EQ(simulator.send_heartbeat("m-2").size(), 1U);
 }
@@ -28,11 +28,11 @@
     simulator.add_worker("m-1", "g4", "a", true);
     simulator.synchronize_worker("m-1");
     auto job = array_job("j-1", 1);
-    job.spot_ok = true;
+    job.allows_spot = true;
     simulator.run_job(job, "m-1");
-    simulator.workers.at("m-1").notice_s = 8;
+    simulator.workers.at("m-1").interruption_notice_s = 8;
     simulator.send_heartbeat("m-1");
-    EXPECT_EQ(simulator.workers.at("m-1").tasks[0].state, TaskState::saving);
+    EXPECT_EQ(simulator.workers.at("m-1").tasks[0].state, TaskState::checkpointing);
     simulator.submit(array_job("j-2", 1));
     simulator.plan_and_commit();
     EXPECT_EQ(simulator.starts, 1);  // nothing new on a machine about to go
@@ -47,7 +47,7 @@
     simulator.set_task_state("j-2/0", TaskState::exited, ExitCause::error);
     simulator.send_heartbeat("m-1");
     simulator.plan();
-    EXPECT_EQ(simulator.leader_state().next_releases(simulator.now).size(), 1U);
+    EXPECT_EQ(simulator.leader_state().machines_to_release(simulator.now).size(), 1U);
 }
 
 // Failures of one job on several machines are evidence against the job: the machines stay, the job is
@@ -62,11 +62,11 @@
         simulator.send_heartbeats({"m-1", "m-2", "m-3", "m-4"});
     }
     EXPECT_EQ(simulator.starts, 3);
-    EXPECT_TRUE(simulator.leader_state().next_releases(simulator.now).empty());
+    EXPECT_TRUE(simulator.leader_state().machines_to_release(simulator.now).empty());
     simulator.plan_and_commit();
     simulator.send_heartbeats({"m-1", "m-2", "m-3", "m-4"});
     EXPECT_EQ(simulator.starts, 3);  // not again at once
-    for (const auto& [id, m] : simulator.leader_state().machines()) EXPECT_FALSE(m.faulty) << id;
+    for (const auto& [id, m] : simulator.leader_state().machines()) EXPECT_FALSE(m.quarantined) << id;
 }
 
 // Both at once: the job that fails everywhere is delayed, the machine on which everything fails is
@@ -96,7 +96,7 @@
     simulator.commit_all();
     EXPECT_EQ(simulator.job_status("j-2"), "done");
     EXPECT_EQ(simulator.job_status("j-1"), "accepted");
-    for (const auto& [id, m] : simulator.leader_state().machines()) EXPECT_EQ(m.faulty, id == "m-1") << id;
+    for (const auto& [id, m] : simulator.leader_state().machines()) EXPECT_EQ(m.quarantined, id == "m-1") << id;
 }
 
 // A pool without capacity is left for a while; another zone is asked at once.
@@ -104,11 +104,11 @@
     StartedLeader simulator("refused_pool");
     simulator.submit(gang_job("j-1", 1));
     simulator.plan_and_commit();
-    const auto r = simulator.leader_state().next_rental();
+    const auto r = simulator.leader_state().next_provisioning_request();
     ASSERT_TRUE(r);
-    simulator.leader_state().rental_refused(r->name, simulator.now);
+    simulator.leader_state().provisioning_refused(r->name, simulator.now);
     simulator.plan_and_commit();
-    const auto other = simulator.leader_state().next_rental();
+    const auto other = simulator.leader_state().next_provisioning_request();
     ASSERT_TRUE(other);
     EXPECT_NE(other->zone, r->zone);  // the other zone at once, this one later
     simulator.note("cloud   " + r->zone + " has none, " + other->zone + " is asked");
@@ -122,10 +122,10 @@
     simulator.provision_machines();
     simulator.advance(100);
     simulator.plan();
-    EXPECT_TRUE(simulator.leader_state().next_releases(simulator.now).empty());
+    EXPECT_TRUE(simulator.leader_state().machines_to_release(simulator.now).empty());
     simulator.advance(60);
     simulator.plan();
-    EXPECT_EQ(simulator.leader_state().next_releases(simulator.now).size(), 1U);
+    EXPECT_EQ(simulator.leader_state().machines_to_release(simulator.now).size(), 1U);
     simulator.release_machines();
 }
 
@@ -135,10 +135,10 @@
     simulator.run_job(array_job("j-1", 1), "m-1");
     simulator.note("        cut off for 60 s");
     simulator.advance(60);
-    simulator.leader_state().listening_from(simulator.now);
+    simulator.leader_state().restart_silence_timers(simulator.now);
     simulator.send_heartbeat("m-2");
     simulator.plan();
-    EXPECT_EQ(simulator.leader_state().next_releases(simulator.now),
+    EXPECT_EQ(simulator.leader_state().machines_to_release(simulator.now),
               std::vector<std::string>{"m-2"});  // idle; m-1 is not given up
     simulator.release_machines();
     simulator.send_heartbeat("m-1");
@@ -149,14 +149,14 @@
     StartedLeader simulator("spot_reclaimed");
     simulator.add_worker("m-1", "g4", "a", true);
     simulator.synchronize_worker("m-1");
-    simulator.workers.at("m-1").notice_s = 8;
+    simulator.workers.at("m-1").interruption_notice_s = 8;
     simulator.send_heartbeat("m-1");
     simulator.advance(8);
     simulator.plan();
-    EXPECT_TRUE(simulator.leader_state().next_releases(simulator.now).empty());
+    EXPECT_TRUE(simulator.leader_state().machines_to_release(simulator.now).empty());
     simulator.advance(1.5);
     simulator.plan();
-    EXPECT_EQ(simulator.leader_state().next_releases(simulator.now).size(), 1U);
+    EXPECT_EQ(simulator.leader_state().machines_to_release(simulator.now).size(), 1U);
 }
 
 // Half of all machines fall silent at once and come back later. Their tasks start elsewhere once the
@@ -179,7 +179,7 @@
     EXPECT_EQ(before, 4);
     add_four(connected, 5);
     simulator.note("        m-1 to m-4 are cut off, their packets held back");
-    std::vector<model::Report> held;
+    std::vector<model::Heartbeat> held;
     for (const auto& m : silent) held.push_back(simulator.next_heartbeat(simulator.workers.at(m)));
     for (int i = 0; i < 8; ++i) {
         simulator.advance(3);
@@ -187,10 +187,10 @@
         simulator.plan_and_commit();
         EXPECT_EQ(simulator.starts, before);
     }
-    EXPECT_EQ(simulator.leader_state().next_releases(simulator.now).size(), 4U);
+    EXPECT_EQ(simulator.leader_state().machines_to_release(simulator.now).size(), 4U);
     EXPECT_EQ(simulator.starts, before);
     simulator.release_machines();
-    for (const auto& r : held) EXPECT_FALSE(simulator.leader_state().absorb(r, simulator.now));
+    for (const auto& r : held) EXPECT_FALSE(simulator.leader_state().apply_heartbeat(r, simulator.now));
     for (int i = 0; i < 3; ++i) {
         simulator.plan_and_commit();
         simulator.send_heartbeats(connected);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -8,7 +8,7 @@
 
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
-#include "net/sockets.hpp"
+#include "net/socket_budget.hpp"
 
 namespace pineroad::test {
 namespace {
@@ -54,8 +54,8 @@
 net::HttpServer::Limits few() {
     net::HttpServer::Limits l;
     l.connections = 5, l.ordinary = 2;
-    l.first_request_s = l.favoured_idle_s = l.ordinary_idle_s = 60;
-    l.favoured = [](const std::string& target) { return target == "/checkin"; };
+    l.first_request_s = l.prioritized_idle_s = l.ordinary_idle_s = 60;
+    l.prioritized = [](const std::string& target) { return target == "/checkin"; };
     return l;
 }
 
@@ -95,14 +95,14 @@
 }
 
 // Shares come from the platform's limit alone; none is empty, and together they stay below it.
-class SocketShares : public ::testing::TestWithParam<std::tuple<int, std::size_t>> {};
+class SocketBudget : public ::testing::TestWithParam<std::tuple<int, std::size_t>> {};
 
-TEST_P(SocketShares, StayBelowTheLimit) {
+TEST_P(SocketBudget, StayBelowTheLimit) {
     const auto [all, peers] = GetParam();
     config::Settings s;
     s.max_sockets = all;
     s.peers.resize(peers);
-    const auto shares = net::share_sockets(s);
+    const auto shares = net::allocate_sockets(s);
     EXPECT_GE(shares.workers(), 2U);
     EXPECT_GE(shares.users, 2U);
     EXPECT_GE(shares.mesh, 1U);
@@ -110,7 +110,7 @@
     EXPECT_LT(shares.front + shares.mesh + shares.stops, static_cast<std::size_t>(all));
 }
 
-INSTANTIATE_TEST_SUITE_P(Limits, SocketShares,
+INSTANTIATE_TEST_SUITE_P(Limits, SocketBudget,
                          ::testing::Combine(::testing::Values(32, 200, 3362, 3504, 100000),
                                             ::testing::Values(0U, 2U, 4U)),
                          [](const auto& info) {
@@ -122,7 +122,7 @@
     config::Settings s;
     s.max_sockets = 3362;
     s.peers.resize(2);
-    EXPECT_GT(net::share_sockets(s).workers(), 2090U);  // every machine of a deployment half as large again
+    EXPECT_GT(net::allocate_sockets(s).workers(), 2090U);  // every machine of a deployment half as large again
 }
 
 }  // namespace
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -26,7 +26,7 @@
     simulator.add_worker("m-2", "g4", "b");
     simulator.synchronize_worker("m-1");
     auto job = array_job("j-1", 5);
-    job.one_zone = true;
+    job.same_zone = true;
     simulator.run_job(job, "m-1");
     EXPECT_EQ(simulator.starts, 4);
     simulator.synchronize_worker("m-2");
--- a/tests/sample_jobs.cpp
+++ b/tests/sample_jobs.cpp
@@ -8,14 +8,14 @@
     s.zone = "a";
     s.zones = {"a", "b"};
     s.teams = {{"team", 0, 0, 0, 0}, {"owed", 64, 0, 8, 0}, {"capped", 0, 16, 0, 2}};
-    s.report_s = 3;
-    s.lease_s = 36;
-    s.gang_wait_s = 35;
-    s.gang_peer_s = 4;
-    s.cancel_s = 66;
+    s.heartbeat_period_s = 3;
+    s.worker_lease_s = 36;
+    s.gang_start_timeout_s = 35;
+    s.gang_failure_detection_s = 4;
+    s.cancellation_timeout_s = 66;
     s.value_kb = 8;
-    s.txn_ops = 12;
-    s.write_rps = 20;
+    s.max_transaction_changes = 12;
+    s.store_writes_per_s = 20;
     return s;
 }
 
@@ -32,13 +32,13 @@
     spec.image = "img-1";
     spec.shape = model::Shape::array;
     spec.priority = model::Priority::low;
-    spec.tasks = tasks;
-    spec.need = {8, 1, 32};
+    spec.task_count = tasks;
+    spec.task_resources = {8, 1, 32};
     spec.image_gb = 5;
-    spec.spot_ok = false;
+    spec.allows_spot = false;
     spec.estimate_s = 60;
-    spec.checkpoint_s = 10;
-    spec.save_s = 2;
+    spec.checkpoint_interval_s = 10;
+    spec.checkpoint_save_s = 2;
     return spec;
 }
 
@@ -47,7 +47,7 @@
     spec.job_class = "wide";
     spec.shape = model::Shape::gang;
     spec.priority = model::Priority::normal;
-    spec.need = {28, 4, 200};
+    spec.task_resources = {28, 4, 200};
     return spec;
 }
 
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -7,15 +7,15 @@
 // What a quarter of a minute costs in commits and changes, and that every job is placed.
 TEST(Scale, TwoThousandMachines) {
     LeaderSimulator simulator("at_size");
-    simulator.config.report_s = 8;
+    simulator.config.heartbeat_period_s = 8;
     simulator.begin_term();
     const int machines = 2300, jobs = 300;
     for (int i = 0; i < machines; ++i) {
         const auto id = "m-" + std::to_string(10000 + i);
         auto& m = simulator.add_worker(id);
-        simulator.leader_state().absorb(simulator.next_heartbeat(m), simulator.now);
-        m.token = simulator.leader_state().token();
-        simulator.leader_state().absorb(simulator.next_heartbeat(m), simulator.now);
+        simulator.leader_state().apply_heartbeat(simulator.next_heartbeat(m), simulator.now);
+        m.fencing_token = simulator.leader_state().fencing_token();
+        simulator.leader_state().apply_heartbeat(simulator.next_heartbeat(m), simulator.now);
     }
     for (int i = 0; i < jobs; ++i) {
         auto job = i % 3 ? array_job("j-" + std::to_string(1000 + i), 15)
@@ -27,19 +27,19 @@
     std::size_t commits = 0, changes = 0;
     for (int round = 0; round < 40; ++round) {
         simulator.plan();
-        while (const auto batch = simulator.next_batch()) {
-            ASSERT_LE(batch->txn.apply.size(), static_cast<std::size_t>(simulator.config.txn_ops));
-            ++commits, changes += batch->txn.apply.size();
-            const auto epoch = simulator.store.commit(batch->txn);
-            if (!epoch) break;  // the finals: this simulator's jobs were never accepted through it
-            simulator.leader_state().committed(*batch, *epoch, simulator.now, simulator.wall_ms());
+        while (const auto batch = simulator.next_write_batch()) {
+            ASSERT_LE(batch->txn.changes.size(), static_cast<std::size_t>(simulator.config.max_transaction_changes));
+            ++commits, changes += batch->txn.changes.size();
+            const auto revision = simulator.store.commit(batch->txn);
+            if (!revision) break;  // the finals: this simulator's jobs were never accepted through it
+            simulator.leader_state().apply_commit(*batch, *revision, simulator.now, simulator.wall_ms());
         }
         simulator.advance(0.4);
     }
     std::size_t placed = 0, whole = 0;
     for (const auto& [id, job] : simulator.leader_state().jobs()) {
-        placed += job.slots.size();
-        whole += job.slots.size() == job.spec->tasks;
+        placed += job.placements.size();
+        whole += job.placements.size() == job.spec->task_count;
     }
     simulator.note(std::to_string(jobs) + " jobs, " + std::to_string(machines) + " machines: " +
                    std::to_string(placed) + " tasks placed, " + std::to_string(whole) + " jobs whole");
--- a/tests/sched_test.cpp
+++ b/tests/sched_test.cpp
@@ -12,7 +12,7 @@
     config::Tuning tuning;
     std::vector<model::MachineType> types = machine_types();
     std::vector<std::unique_ptr<model::JobSpec>> specs;
-    sched::Picture p;
+    scheduling::Snapshot p;
 
     Scheduler() {
         p.settings = &config;
@@ -21,30 +21,30 @@
             for (const auto& z : t.zones)
                 for (const bool spot : {true, false}) p.pools.push_back({&t, z, spot, false});
     }
-    sched::MachineView& machine(const std::string& id, const std::string& type = "g4",
+    scheduling::MachineSnapshot& machine(const std::string& id, const std::string& type = "g4",
                                 const std::string& zone = "a", bool spot = false) {
-        sched::MachineView m;
+        scheduling::MachineSnapshot m;
         m.id = id, m.type = type, m.zone = zone, m.spot = spot, m.ready = true;
         for (const auto& t : types)
-            if (t.name == type) m.free = t.room;
+            if (t.name == type) m.free = t.capacity;
         p.machines.push_back(m);
         return p.machines.back();
     }
-    sched::JobView& job(model::JobSpec spec, double xfactor, double slack = 1000) {
+    scheduling::PendingJob& job(model::JobSpec spec, double xfactor, double slack = 1000) {
         specs.push_back(std::make_unique<model::JobSpec>(std::move(spec)));
-        sched::JobView v;
+        scheduling::PendingJob v;
         v.spec = specs.back().get();
         v.priority = v.spec->priority;
-        for (std::uint32_t i = 0; i < v.spec->tasks; ++i) v.waiting.push_back(i);
+        for (std::uint32_t i = 0; i < v.spec->task_count; ++i) v.pending_tasks.push_back(i);
         v.xfactor = xfactor, v.slack_s = slack, v.expected_s = v.spec->estimate_s;
         p.jobs.push_back(v);
         return p.jobs.back();
     }
     void victim(model::JobSpec spec, const std::string& machine, double xfactor) {
         specs.push_back(std::make_unique<model::JobSpec>(std::move(spec)));
-        p.gangs.push_back({specs.back().get(), specs.back()->priority, xfactor, {machine}, true});
+        p.running_gangs.push_back({specs.back().get(), specs.back()->priority, xfactor, {machine}, true});
         for (auto& m : p.machines)
-            if (m.id == machine) m.free -= specs.back()->need, m.busy = true;
+            if (m.id == machine) m.free -= specs.back()->task_resources, m.busy = true;
     }
 };
 
@@ -52,7 +52,7 @@
     machine("m-1");
     job(gang_job("j-1", 1), 1.5);
     job(gang_job("j-2", 1), 3.0);
-    const auto starts = sched::place(p);
+    const auto starts = scheduling::place_tasks(p);
     ASSERT_EQ(starts.size(), 1U);
     EXPECT_EQ(starts[0].job, "j-2");
 }
@@ -64,13 +64,13 @@
     p.machines[1].images = {"img-1"};
     p.machines[1].free -= model::Resources{8, 1, 32};
     job(array_job("j-1", 1), 1);
-    EXPECT_EQ(sched::place(p).at(0).machine, "m-2");
+    EXPECT_EQ(scheduling::place_tasks(p).at(0).machine, "m-2");
 }
 
 TEST_F(Scheduler, SpotOnlyForThoseWhoMay) {
     machine("m-1", "g4", "a", true);
     job(array_job("j-1", 1), 1);
-    EXPECT_TRUE(sched::place(p).empty());
+    EXPECT_TRUE(scheduling::place_tasks(p).empty());
 }
 
 // Found by late last stages: one or two of a stage's hundreds of tasks were lost with spot machines, and all
@@ -87,14 +87,14 @@
     shared.free -= model::Resources{8, 1, 32};
     p.machines[0].images = {"img-1"};
     auto spec = array_job("j-1", 1);
-    spec.spot_ok = true;
+    spec.allows_spot = true;
     job(spec, 1).in_pipeline = in_pipeline;
-    EXPECT_EQ(sched::place(p).at(0).machine, in_pipeline ? "m-shared" : "m-spot");
+    EXPECT_EQ(scheduling::place_tasks(p).at(0).machine, in_pipeline ? "m-shared" : "m-spot");
     p.machines.pop_back();
     auto next = array_job("j-2", 1);
-    next.spot_ok = true;
+    next.allows_spot = true;
     job(next, 1).in_pipeline = in_pipeline;
-    EXPECT_EQ(sched::place(p).at(0).machine, "m-spot");
+    EXPECT_EQ(scheduling::place_tasks(p).at(0).machine, "m-spot");
 }
 
 INSTANTIATE_TEST_SUITE_P(Job, SpotAndEmptyMachines,
@@ -107,11 +107,11 @@
     machine("m-1");
     victim(gang_job("j-1", 1), "m-1", 1.2);
     auto& waiter = job(gang_job("j-2", 1), 10);
-    EXPECT_FALSE(sched::suspend(p));
+    EXPECT_FALSE(scheduling::select_preemption(p));
     waiter.priority = model::Priority::high;
-    EXPECT_TRUE(sched::suspend(p));
-    p.gangs[0].priority = model::Priority::high;
-    EXPECT_FALSE(sched::suspend(p));
+    EXPECT_TRUE(scheduling::select_preemption(p));
+    p.running_gangs[0].priority = model::Priority::high;
+    EXPECT_FALSE(scheduling::select_preemption(p));
 }
 
 // The last machine that a choosy class can use is not opened by work that has other places.
@@ -119,16 +119,16 @@
     tuning.headroom = 1;
     machine("m-1");
     auto flexible = array_job("j-1", 1);
-    flexible.spot_ok = true;
+    flexible.allows_spot = true;
     job(flexible, 5);
-    sched::ClassDemand d;
+    scheduling::ClassDemand d;
     d.sample = gang_job("j-0", 1);
     d.arrivals_per_s = 0.03;
     d.start_within_s = 20;
     p.demand["wide"] = d;
-    EXPECT_TRUE(sched::place(p).empty());
+    EXPECT_TRUE(scheduling::place_tasks(p).empty());
     p.demand.clear();
-    EXPECT_EQ(sched::place(p).size(), 1U);
+    EXPECT_EQ(scheduling::place_tasks(p).size(), 1U);
 }
 
 TEST_F(Scheduler, FactorWidthAndCategoryGuardVictims) {
@@ -138,18 +138,18 @@
     auto w = gang_job("j-2", 1);
     w.priority = model::Priority::high;
     auto& waiter = job(w, 2.3);
-    EXPECT_FALSE(sched::suspend(p)) << "2.3 is below 2 x 1.2";
+    EXPECT_FALSE(scheduling::select_preemption(p)) << "2.3 is below 2 x 1.2";
     waiter.xfactor = 2.4;
-    ASSERT_TRUE(sched::suspend(p));
-    EXPECT_EQ(sched::suspend(p)->victims, std::vector<std::string>{"j-1"});
-    specs[1]->need.cpus = 13;
-    EXPECT_FALSE(sched::suspend(p)) << "28 CPUs are more than twice 13";
-    specs[1]->need.cpus = 28;
-    p.gangs[0].xfactor = 1.6;
+    ASSERT_TRUE(scheduling::select_preemption(p));
+    EXPECT_EQ(scheduling::select_preemption(p)->victims, std::vector<std::string>{"j-1"});
+    specs[1]->task_resources.cpus = 13;
+    EXPECT_FALSE(scheduling::select_preemption(p)) << "28 CPUs are more than twice 13";
+    specs[1]->task_resources.cpus = 28;
+    p.running_gangs[0].xfactor = 1.6;
     waiter.xfactor = 10;
-    EXPECT_FALSE(sched::suspend(p)) << "1.6 is above 1.5 x a mean of 1";
-    p.means[sched::category(v, tuning)] = {2.0, 4};
-    EXPECT_TRUE(sched::suspend(p));
+    EXPECT_FALSE(scheduling::select_preemption(p)) << "1.6 is above 1.5 x a mean of 1";
+    p.category_averages[scheduling::category(v, tuning)] = {2.0, 4};
+    EXPECT_TRUE(scheduling::select_preemption(p));
 }
 
 // PROTOCOL "Preemption" comes on top of the design.
@@ -157,12 +157,12 @@
     machine("m-1");
     victim(gang_job("j-1", 1), "m-1", 1);
     auto& waiter = job(gang_job("j-2", 1), 50);
-    EXPECT_FALSE(sched::suspend(p));
+    EXPECT_FALSE(scheduling::select_preemption(p));
     specs[1]->team = "owed";  // guaranteed room, and the victim's team has no guarantee
-    p.use["team"] = {28, 4};
-    EXPECT_TRUE(sched::suspend(p));
-    p.use["owed"] = {64, 8};  // its guarantee is used up
-    EXPECT_FALSE(sched::suspend(p));
+    p.usage["team"] = {28, 4};
+    EXPECT_TRUE(scheduling::select_preemption(p));
+    p.usage["owed"] = {64, 8};  // its guarantee is used up
+    EXPECT_FALSE(scheduling::select_preemption(p));
     (void)waiter;
 }
 
@@ -172,34 +172,34 @@
     auto w = gang_job("j-2", 2);
     w.priority = model::Priority::high;
     job(w, 50);
-    EXPECT_FALSE(sched::suspend(p)) << "one machine's room does not hold two tasks";
+    EXPECT_FALSE(scheduling::select_preemption(p)) << "one machine's room does not hold two tasks";
     machine("m-2");
-    EXPECT_TRUE(sched::suspend(p));
+    EXPECT_TRUE(scheduling::select_preemption(p));
 }
 
 TEST_F(Scheduler, LargestVictimsGoFirst) {
     machine("m-1");
     machine("m-2", "g2");
     auto small = gang_job("j-1", 1);
-    small.need = {14, 2, 100};
+    small.task_resources = {14, 2, 100};
     victim(small, "m-2", 1);
     victim(gang_job("j-2", 1), "m-1", 1);
     auto w = gang_job("j-3", 1);
     w.priority = model::Priority::high;
-    w.need = {14, 2, 100};
+    w.task_resources = {14, 2, 100};
     job(w, 50);
-    ASSERT_TRUE(sched::suspend(p));
-    EXPECT_EQ(sched::suspend(p)->victims, std::vector<std::string>{"j-2"});
+    ASSERT_TRUE(scheduling::select_preemption(p));
+    EXPECT_EQ(scheduling::select_preemption(p)->victims, std::vector<std::string>{"j-2"});
 }
 
 TEST_F(Scheduler, HolderKeepsWhatFreesUp) {
     machine("m-1");
     auto& holder = job(gang_job("j-1", 2), 1);
-    holder.waited_s = tuning.holding_wait_s + 1;
+    holder.waited_s = tuning.reservation_wait_s + 1;
     job(array_job("j-2", 1), 9);
-    EXPECT_TRUE(sched::place(p).empty());
+    EXPECT_TRUE(scheduling::place_tasks(p).empty());
     p.jobs[0].waited_s = 10;
-    EXPECT_EQ(sched::place(p).size(), 1U);
+    EXPECT_EQ(scheduling::place_tasks(p).size(), 1U);
 }
 
 // Found by a day of bursts: half of the widest gangs waited over four minutes, since machines of two zones
@@ -209,19 +209,19 @@
     machine("m-2", "g4", "b");
     machine("m-3", "g4", "b");
     auto spec = gang_job("j-1", 3);
-    spec.one_zone = true;
-    job(spec, 1).waited_s = tuning.holding_wait_s + 1;
+    spec.same_zone = true;
+    job(spec, 1).waited_s = tuning.reservation_wait_s + 1;
     job(gang_job("j-2", 1), 9);
-    const auto held = sched::hold(p);
+    const auto held = scheduling::reserve_machines(p);
     EXPECT_EQ(held.job, "j-1");
     EXPECT_EQ(held.machines, (std::set<std::string>{"m-2", "m-3"}));
-    EXPECT_TRUE(sched::capacity(p).give_back.empty());
+    EXPECT_TRUE(scheduling::plan_autoscaling(p).scale_in.empty());
     auto trial = p;
-    const auto others = sched::place(trial);
+    const auto others = scheduling::place_tasks(trial);
     ASSERT_EQ(others.size(), 1U);  // what is of no use to the holder is not kept
     EXPECT_EQ(others[0].machine, "m-1");
     machine("m-4", "g4", "b");
-    const auto starts = sched::place(p);
+    const auto starts = scheduling::place_tasks(p);
     ASSERT_EQ(starts.size(), 4U);
     for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ(starts[i].job, "j-1");
 }
@@ -231,20 +231,20 @@
     machine("m-1");
     auto spec = gang_job("j-1", 2);
     spec.team = "capped";
-    job(spec, 1).waited_s = tuning.holding_wait_s + 1;
-    EXPECT_TRUE(sched::hold(p).machines.empty());
+    job(spec, 1).waited_s = tuning.reservation_wait_s + 1;
+    EXPECT_TRUE(scheduling::reserve_machines(p).machines.empty());
 }
 
 TEST_F(Scheduler, CheapestFullMachineIsRented) {
     auto flexible = array_job("j-1", 4);
-    flexible.spot_ok = true;
+    flexible.allows_spot = true;
     job(flexible, 1, 0);
-    const auto plan = sched::capacity(p);
-    ASSERT_EQ(plan.rent.size(), 1U);
-    EXPECT_TRUE(plan.rent[0].spot);
+    const auto plan = scheduling::plan_autoscaling(p);
+    ASSERT_EQ(plan.scale_out.size(), 1U);
+    EXPECT_TRUE(plan.scale_out[0].spot);
     for (auto& pool : p.pools) pool.refused = pool.spot;
-    ASSERT_EQ(sched::capacity(p).rent.size(), 1U);
-    EXPECT_FALSE(sched::capacity(p).rent[0].spot);
+    ASSERT_EQ(scheduling::plan_autoscaling(p).scale_out.size(), 1U);
+    EXPECT_FALSE(scheduling::plan_autoscaling(p).scale_out[0].spot);
 }
 
 TEST_F(Scheduler, MachinesOnTheirWayCount) {
@@ -252,26 +252,26 @@
     auto& m = machine("m-1");
     m.ready = false;
     m.booting = true;
-    EXPECT_TRUE(sched::capacity(p).rent.empty());
+    EXPECT_TRUE(scheduling::plan_autoscaling(p).scale_out.empty());
 }
 
 TEST_F(Scheduler, IdleMachinesGoBackButNotTheReserve) {
     tuning.headroom = 1;
     machine("m-1").idle_s = 500;
     machine("m-2").idle_s = 500;
-    EXPECT_EQ(sched::capacity(p).give_back.size(), 2U);
-    sched::ClassDemand d;
+    EXPECT_EQ(scheduling::plan_autoscaling(p).scale_in.size(), 2U);
+    scheduling::ClassDemand d;
     d.sample = gang_job("j-0", 1);
     d.arrivals_per_s = 0.03;
     d.start_within_s = 20;
     p.demand["wide"] = d;
-    EXPECT_EQ(sched::capacity(p).give_back.size(), 1U);
+    EXPECT_EQ(scheduling::plan_autoscaling(p).scale_in.size(), 1U);
 }
 
 TEST(Slowdown, XfactorIsWaitOverEstimate) {
-    EXPECT_DOUBLE_EQ(sched::xfactor(60, 60), 2.0);
-    EXPECT_DOUBLE_EQ(sched::xfactor(-5, 60), 1.0);
-    EXPECT_DOUBLE_EQ(sched::xfactor(9, 0), 10.0);
+    EXPECT_DOUBLE_EQ(scheduling::xfactor(60, 60), 2.0);
+    EXPECT_DOUBLE_EQ(scheduling::xfactor(-5, 60), 1.0);
+    EXPECT_DOUBLE_EQ(scheduling::xfactor(9, 0), 10.0);
 }
 
 }  // namespace
--- a/tests/simulated_machine.hpp
+++ b/tests/simulated_machine.hpp
@@ -26,11 +26,11 @@
     model::TaskState state = model::TaskState::fetching;
     model::ExitCause cause = model::ExitCause::none;
     bool saved = false;
-    double fetched_at = 0, ran_s = 0, saves_until = 0;
+    double fetched_at = 0, checkpointed_run_s = 0, saves_until = 0;
 
     /// It occupies its machine's resources: it has its image and has not ended.
     [[nodiscard]] bool executes() const {
-        return state == model::TaskState::running || state == model::TaskState::saving;
+        return state == model::TaskState::running || state == model::TaskState::checkpointing;
     }
 };
 
@@ -39,7 +39,7 @@
     bool spot = false;
     MachineFault fault;
     double provisioned_at = 0;
-    std::uint64_t session = 1, tick = 0, token = 0;
+    std::uint64_t agent_epoch = 1, sequence = 0, fencing_token = 0;
     std::vector<SimulatedTask> tasks;
     int controller = 0;  ///< that its heartbeats go to
     double lease_from = 0, next_heartbeat = 0;
--- a/tests/store_simulator.cpp
+++ b/tests/store_simulator.cpp
@@ -59,7 +59,7 @@
 
 void StoreSimulator::end_lease(std::uint64_t id) {
     if (!leases_.erase(id)) return;
-    ++epoch_;
+    ++revision_;
     for (auto next = rows_.begin(); next != rows_.end();) {
         const auto row = next++;
         if (row->second.lease == id) drop(std::string(row->first));
@@ -81,7 +81,7 @@
 
 bool StoreSimulator::within_limits(const wire::Json& transaction) const {
     const auto& changes = transaction.at("Apply").as_array();
-    return changes.size() <= txn_ops && std::all_of(changes.begin(), changes.end(), [&](const auto& change) {
+    return changes.size() <= max_transaction_changes && std::all_of(changes.begin(), changes.end(), [&](const auto& change) {
                const auto* value = change.as_object().if_contains("Value");
                return !value || json::serialize(*value).size() <= value_bytes;
            });
@@ -100,7 +100,7 @@
     for (const auto& condition : transaction.at("When").as_array()) {
         const std::string key(condition.at("Key").as_string());
         const auto row = rows_.find(key);
-        const auto revision = row == rows_.end() ? 0 : row->second.stamp;
+        const auto revision = row == rows_.end() ? 0 : row->second.mod_revision;
         if (revision != condition.at("Stamp").to_number<std::uint64_t>()) failed.push_back(key);
     }
     return failed;
@@ -113,8 +113,8 @@
     }
     const std::string key(change.at("Write").as_string());
     const auto* lease = change.as_object().if_contains("Permit");
-    rows_[key] = {change.at("Value"), epoch_, lease ? lease->to_number<std::uint64_t>() : 0};
-    log_.push_back({{"Write", key}, {"Value", change.at("Value")}, {"Stamp", epoch_}});
+    rows_[key] = {change.at("Value"), revision_, lease ? lease->to_number<std::uint64_t>() : 0};
+    log_.push_back({{"Write", key}, {"Value", change.at("Value")}, {"Stamp", revision_}});
 }
 
 Reply StoreSimulator::commit(const std::string& body) {
@@ -125,14 +125,14 @@
     }
     const auto failed = failed_conditions(transaction);
     if (names_ended_lease(transaction)) return reply(400, {{"error", "no such lease"}});
-    if (!failed.empty()) return reply(409, {{"failed", json::value_from(failed)}, {"Epoch", epoch_}});
-    ++epoch_;
+    if (!failed.empty()) return reply(409, {{"failed", json::value_from(failed)}, {"Epoch", revision_}});
+    ++revision_;
     for (const auto& change : transaction.at("Apply").as_array()) apply(change);
-    return reply(200, {{"Epoch", epoch_}});
+    return reply(200, {{"Epoch", revision_}});
 }
 
 void StoreSimulator::drop(const std::string& key) {
-    if (rows_.erase(key)) log_.push_back({{"Drop", key}, {"Stamp", epoch_}});
+    if (rows_.erase(key)) log_.push_back({{"Drop", key}, {"Stamp", revision_}});
 }
 
 // --- reads -------------------------------------------------------------------------------------------------
@@ -141,21 +141,21 @@
     json::array events;
     for (const auto& change : log_)
         if (change.at("Stamp").to_number<std::uint64_t>() > revision) events.push_back(change);
-    return reply(200, {{"Epoch", epoch_}, {"Events", events}});
+    return reply(200, {{"Epoch", revision_}, {"Events", events}});
 }
 
 Reply StoreSimulator::list(const std::string& prefix, const std::string& after) const {
     json::array rows;
     for (const auto& [key, row] : rows_)
         if (key.starts_with(prefix) && key > after)
-            rows.push_back(json::object{{"Key", key}, {"Value", row.value}, {"Stamp", row.stamp}});
-    return reply(200, {{"Rows", rows}, {"Truncated", false}, {"Epoch", epoch_}});
+            rows.push_back(json::object{{"Key", key}, {"Value", row.value}, {"Stamp", row.mod_revision}});
+    return reply(200, {{"Rows", rows}, {"Truncated", false}, {"Epoch", revision_}});
 }
 
 Reply StoreSimulator::read(const std::string& key) const {
     const auto row = rows_.find(key);
-    if (row == rows_.end()) return reply(404, {{"Epoch", epoch_}});
-    return reply(200, {{"Key", key}, {"Value", row->second.value}, {"Stamp", row->second.stamp}});
+    if (row == rows_.end()) return reply(404, {{"Epoch", revision_}});
+    return reply(200, {{"Key", key}, {"Value", row->second.value}, {"Stamp", row->second.mod_revision}});
 }
 
 std::size_t StoreSimulator::rows_under(std::string_view prefix) const {
@@ -172,7 +172,7 @@
     return row == rows_.end() ? "" : records::parse_leader(row->second.value)->node;
 }
 
-std::uint64_t StoreSimulator::token() const {
+std::uint64_t StoreSimulator::fencing_token() const {
     const auto row = rows_.find(std::string(records::term_key));
     return row == rows_.end() ? 0 : *records::parse_term(row->second.value);
 }
@@ -180,8 +180,8 @@
 // --- writes of the tests -----------------------------------------------------------------------------------
 
 void StoreSimulator::put(const std::string& key, wire::Json value) {
-    rows_[key] = {value, ++epoch_, 0};
-    log_.push_back({{"Write", key}, {"Value", std::move(value)}, {"Stamp", epoch_}});
+    rows_[key] = {value, ++revision_, 0};
+    log_.push_back({{"Write", key}, {"Value", std::move(value)}, {"Stamp", revision_}});
 }
 
 void StoreSimulator::put_job(model::JobSpec spec, double now) {
--- a/tests/store_simulator.hpp
+++ b/tests/store_simulator.hpp
@@ -19,14 +19,14 @@
    public:
     struct Row {
         wire::Json value;
-        std::uint64_t stamp = 0, lease = 0;
+        std::uint64_t mod_revision = 0, lease = 0;
     };
 
     net::Reply answer(const std::string& method, const std::string& target, const std::string& body,
                       double now);
     /// The parameter of a request's target; empty if it is missing.
     static std::string parameter(const std::string& target, const std::string& name);
-    [[nodiscard]] bool changed_since(std::uint64_t revision) const { return epoch_ > revision; }
+    [[nodiscard]] bool changed_since(std::uint64_t revision) const { return revision_ > revision; }
     /// Leases that ran out end, and their keys are dropped.
     void expire(double now);
     /// After an outage: every lease counts anew.
@@ -35,7 +35,7 @@
     /// The leading controller's name; empty: there is none.
     [[nodiscard]] std::string leader() const;
     /// The fencing token of the newest term.
-    [[nodiscard]] std::uint64_t token() const;
+    [[nodiscard]] std::uint64_t fencing_token() const;
     [[nodiscard]] const std::map<std::string, Row>& rows() const { return rows_; }
     [[nodiscard]] std::size_t rows_under(std::string_view prefix) const;
     [[nodiscard]] std::size_t live_jobs() const;
@@ -45,7 +45,7 @@
     void put(const std::string& key, wire::Json value);
 
     /// Limits of a transaction; beyond, it is answered 400.
-    std::size_t value_bytes = SIZE_MAX, txn_ops = SIZE_MAX;
+    std::size_t value_bytes = SIZE_MAX, max_transaction_changes = SIZE_MAX;
     int refused_commits = 0;  ///< for these limits
 
    private:
@@ -68,7 +68,7 @@
     std::map<std::string, Row> rows_;
     std::map<std::uint64_t, Lease> leases_;
     std::vector<boost::json::object> log_;  // every change, with its revision
-    std::uint64_t epoch_ = 0, next_lease_ = 1;
+    std::uint64_t revision_ = 0, next_lease_ = 1;
 };
 
 }  // namespace pineroad::test
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -5,7 +5,7 @@
 
 #include "cluster_simulator.hpp"
 #include "leader_simulator.hpp"
-#include "wire/gossip.hpp"
+#include "wire/peer_protocol.hpp"
 
 namespace pineroad::test {
 namespace {
@@ -37,20 +37,20 @@
         for (const auto& row : kept.at("rows").as_array()) {
             const std::string key(row.at("key").as_string());
             store.rows[key] = {row.at("value"), row.at("stamp").to_number<std::uint64_t>()};
-            store.epoch = std::max(store.epoch, store.rows[key].stamp);
+            store.revision = std::max(store.revision, store.rows[key].mod_revision);
         }
         for (const auto* id : {"j-000001", "j-000002", "j-000003", "j-000004"})
             specs[id] = array_job(id, id == std::string("j-000001") ? 240 : 4);
-        config.value_kb = 2, config.present_value_kb = 16, config.txn_ops = 4;
+        config.value_kb = 2, config.current_value_kb = 16, config.max_transaction_changes = 4;
     }
     // What a leader would read now: the machine of each task.
     std::map<std::uint32_t, std::string> placements_read(const std::string& job) {
-        control::Mirror mirror;
-        for (const auto& [key, row] : store.rows) mirror.apply_row(key, row.value, row.stamp, now);
-        control::Book reader(config, tuning, 99, 1, now);
-        reader.load(mirror, now);
+        store::WatchCache watch_cache;
+        for (const auto& [key, row] : store.rows) watch_cache.apply_row(key, row.value, row.mod_revision, now);
+        cluster::ClusterState reader(config, tuning, 99, 1, now);
+        reader.load(watch_cache, now);
         std::map<std::uint32_t, std::string> out;
-        for (const auto& [index, slot] : reader.jobs().at(job).slots) out[index] = slot.machine;
+        for (const auto& [index, placement] : reader.jobs().at(job).placements) out[index] = placement.machine;
         return out;
     }
     void add_workers() {
@@ -63,12 +63,12 @@
     simulator.begin_term();
     const auto& wide = simulator.leader_state().jobs().at("j-000001");
     EXPECT_EQ(wide.record.done_count(), 20U);
-    EXPECT_EQ(wide.slots.size(), 197U);
-    EXPECT_FALSE(wide.split);
-    EXPECT_EQ(simulator.leader_state().jobs().at("j-000002").slots.size(), 0U);  // found no room
-    const auto& withdrawn = simulator.leader_state().jobs().at("j-000004");
-    EXPECT_TRUE(withdrawn.cancelled);
-    EXPECT_EQ(withdrawn.slots.size(), 3U);  // still there until proven off
+    EXPECT_EQ(wide.placements.size(), 197U);
+    EXPECT_FALSE(wide.sharded);
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-000002").placements.size(), 0U);  // found no room
+    const auto& cancelled_by_dependency = simulator.leader_state().jobs().at("j-000004");
+    EXPECT_TRUE(cancelled_by_dependency.cancelled);
+    EXPECT_EQ(cancelled_by_dependency.placements.size(), 3U);  // still there until proven off
     EXPECT_FALSE(simulator.leader_state().jobs().contains("j-000003"));
 }
 
@@ -82,26 +82,26 @@
     const auto placed = simulator.placements_read("j-000001");
     const std::string gone = placed.begin()->second;
     simulator.workers.erase(gone);
-    simulator.leader_state().released({gone}, simulator.now);
+    simulator.leader_state().machines_released({gone}, simulator.now);
     std::size_t batches = 0;
-    while (const auto batch = simulator.next_batch()) {
+    while (const auto batch = simulator.next_write_batch()) {
         ASSERT_TRUE(simulator.apply_batch(*batch));  // checked against the limits by the simulator
         ++batches;
-        for (const auto& [index, slot] : simulator.leader_state().jobs().at("j-000001").slots)
-            EXPECT_EQ(simulator.placements_read("j-000001").at(index), slot.machine);
+        for (const auto& [index, placement] : simulator.leader_state().jobs().at("j-000001").placements)
+            EXPECT_EQ(simulator.placements_read("j-000001").at(index), placement.machine);
         for (const auto& [index, machine] : simulator.placements_read("j-000001"))
             EXPECT_EQ(placed.at(index), machine);
         if (batches != 1) continue;
         simulator.begin_term();  // in the middle of it; the new leader learns of the release again
-        simulator.leader_state().released({gone}, simulator.now);
+        simulator.leader_state().machines_released({gone}, simulator.now);
     }
     EXPECT_GE(batches, 3U);
     const auto after = simulator.placements_read("j-000001");
     for (const auto& [index, machine] : after) EXPECT_NE(machine, gone);
     simulator.begin_term();
-    EXPECT_TRUE(simulator.leader_state().jobs().at("j-000001").split);
+    EXPECT_TRUE(simulator.leader_state().jobs().at("j-000001").sharded);
     EXPECT_EQ(simulator.leader_state().jobs().at("j-000001").record.done_count(), 20U);
-    EXPECT_EQ(simulator.leader_state().jobs().at("j-000001").slots.size(), after.size());
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-000001").placements.size(), after.size());
 }
 
 // While another controller may be of the earlier version nothing is split: a record that is too large for the
@@ -111,47 +111,47 @@
     simulator.begin_term();
     simulator.add_workers();
     const auto gone = simulator.placements_read("j-000001").begin()->second;
-    simulator.leader_state().released({gone}, simulator.now);
+    simulator.leader_state().machines_released({gone}, simulator.now);
     bool whole = false;
-    const auto first = simulator.next_batch();
+    const auto first = simulator.next_write_batch();
     ASSERT_TRUE(first);
-    for (const auto& change : first->txn.apply) {
+    for (const auto& change : first->txn.changes) {
         if (!change.value || !records::under(change.key, records::segment_prefix)) continue;
         const auto segment = records::parse_segment(*change.value);
         for (const auto& [entry, progress] : segment->entries) {
-            EXPECT_EQ(entry.part, 0U);
+            EXPECT_EQ(entry.shard, 0U);
             EXPECT_TRUE(!progress || !progress->partial);
             whole |= entry.job == "j-000001";
         }
     }
     EXPECT_TRUE(whole);
-    EXPECT_TRUE(simulator.leader_state().batch_refused());
-    while (const auto batch = simulator.next_batch()) ASSERT_TRUE(simulator.apply_batch(*batch));
-    simulator.leader_state().allow_parts();
-    simulator.leader_state().released({simulator.placements_read("j-000001").begin()->second}, simulator.now);
+    EXPECT_TRUE(simulator.leader_state().reject_write_batch());
+    while (const auto batch = simulator.next_write_batch()) ASSERT_TRUE(simulator.apply_batch(*batch));
+    simulator.leader_state().allow_sharding();
+    simulator.leader_state().machines_released({simulator.placements_read("j-000001").begin()->second}, simulator.now);
     simulator.advance(2);
     simulator.plan();
-    while (const auto batch = simulator.next_batch()) ASSERT_TRUE(simulator.apply_batch(*batch));
+    while (const auto batch = simulator.next_write_batch()) ASSERT_TRUE(simulator.apply_batch(*batch));
     EXPECT_EQ(simulator.placements_read("j-000001").size(),
-              simulator.leader_state().jobs().at("j-000001").slots.size());
+              simulator.leader_state().jobs().at("j-000001").placements.size());
 }
 
 // The earlier version needs its nine fields and skips others; ours are read, and name no format.
 TEST(Upgrade, MessagesOfVersion04AreRead) {
     const auto kept = fixture();
-    const auto earlier = wire::parse_gossip(from_hex(std::string(kept.at("gossip").as_string())));
+    const auto earlier = wire::parse_peer_message(from_hex(std::string(kept.at("gossip").as_string())));
     ASSERT_TRUE(earlier);
     EXPECT_EQ(earlier->node, "c-1");
     EXPECT_EQ(earlier->cancelled.size(), 2U);
     EXPECT_EQ(earlier->format, 1U);
-    EXPECT_FALSE(earlier->asked_to_depend);
+    EXPECT_FALSE(earlier->dependencies_requested);
     auto ours = *earlier;
     ours.format = records::format;
-    ours.asked_to_depend = true;
-    const auto back = wire::parse_gossip(wire::gossip_bytes(ours));
+    ours.dependencies_requested = true;
+    const auto back = wire::parse_peer_message(wire::encode_peer_message(ours));
     ASSERT_TRUE(back);
     EXPECT_EQ(back->format, records::format);
-    EXPECT_TRUE(back->asked_to_depend);
+    EXPECT_TRUE(back->dependencies_requested);
 }
 
 const json::object waits_on_first{{"WaitsOn", json::array{"j-1"}}};
@@ -159,8 +159,8 @@
 ClusterOptions earlier_version() {
     ClusterOptions options;
     options.record_format = 1;
-    options.adjust = [](config::Settings& s) { s.value_kb = s.present_value_kb = 16; };
-    options.on_upgrade = [](config::Settings& s) { s.value_kb = 2, s.txn_ops = 4; };
+    options.adjust = [](config::Settings& s) { s.value_kb = s.current_value_kb = 16; };
+    options.on_upgrade = [](config::Settings& s) { s.value_kb = 2, s.max_transaction_changes = 4; };
     return options;
 }
 
@@ -175,9 +175,9 @@
     cluster.run(6);
     cluster.upgrade(1);
     cluster.run(6);
-    const auto early = cluster.submit(0, "j-2", waits_on_first);
-    EXPECT_EQ(early->status, 503);
-    EXPECT_GT(early->retry_after_s, 0);
+    const auto tasks_under_older_token = cluster.submit(0, "j-2", waits_on_first);
+    EXPECT_EQ(tasks_under_older_token->status, 503);
+    EXPECT_GT(tasks_under_older_token->retry_after_s, 0);
     EXPECT_EQ(cluster.submit(1, "j-3")->status, 201);
     cluster.run(30);  // the one of the earlier version is not silent
     EXPECT_EQ(cluster.submit(0, "j-2", waits_on_first)->status, 503);
@@ -238,7 +238,7 @@
     }
     const int l = cluster.leader();
     cluster.note("limits  of the state service fall");
-    cluster.store.value_bytes = 2048, cluster.store.txn_ops = 4;
+    cluster.store.value_bytes = 2048, cluster.store.max_transaction_changes = 4;
     cluster.workers.task_run_s["j-1/7"] = cluster.workers.task_run_s["j-1/70"] =
         1;  // something is to be written
     cluster.kill(l);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -5,7 +5,7 @@
 
 #include "named_case.hpp"
 #include "sample_jobs.hpp"
-#include "wire/gossip.hpp"
+#include "wire/peer_protocol.hpp"
 #include "wire/protocol.hpp"
 #include "wire/records.hpp"
 
@@ -33,7 +33,7 @@
     ASSERT_TRUE(accepted(good));
     const auto s = std::get<model::JobSpec>(wire::parse_submission(good));
     EXPECT_EQ(s.shape, model::Shape::gang);
-    EXPECT_EQ(s.tasks, 16U);
+    EXPECT_EQ(s.task_count, 16U);
     EXPECT_FALSE(s.zone);
 }
 
@@ -103,12 +103,12 @@
     case_name<FieldCase>);
 
 TEST(Wire, HeartbeatIsRead) {
-    const auto r = wire::parse_report(
+    const auto r = wire::parse_heartbeat(
         R"({"Host":"m-1","Address":"10.1.0.2:9000","Breed":"g4","Yard":"a","Loaners":true,"Stint":1,"Tick":88,"Baton":41,"WarningS":null,)"
         R"("Pieces":[{"Piece":"j-000412/3","Try":2,"Status":"running"},{"Piece":"j-000398/0","Try":1,"Status":"ended","Cause":"done"}]})");
-    ASSERT_TRUE(std::holds_alternative<model::Report>(r));
-    const auto& report = std::get<model::Report>(r);
-    EXPECT_EQ(report.token, 41U);
+    ASSERT_TRUE(std::holds_alternative<model::Heartbeat>(r));
+    const auto& report = std::get<model::Heartbeat>(r);
+    EXPECT_EQ(report.fencing_token, 41U);
     ASSERT_EQ(report.tasks.size(), 2U);
     EXPECT_EQ(report.tasks[0].task.index, 3U);
     EXPECT_EQ(report.tasks[1].cause, model::ExitCause::done);
@@ -118,7 +118,7 @@
 
 TEST_P(MalformedHeartbeat, IsRefused) {
     const auto& body = GetParam().value;
-    EXPECT_TRUE(std::holds_alternative<std::string>(wire::parse_report(body))) << body;
+    EXPECT_TRUE(std::holds_alternative<std::string>(wire::parse_heartbeat(body))) << body;
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -135,32 +135,32 @@
     case_name<NamedCase<std::string>>);
 
 TEST(Wire, AnswersHaveTheProtocolsForm) {
-    using model::Order;
+    using model::Command;
     EXPECT_EQ(
-        wire::orders_answer(41, {{Order::Op::start, {"j-1", 4}, 2, 0},
-                                 {Order::Op::stop, {"j-2", 1}, 1, 10},
-                                 {Order::Op::forget, {"j-3", 0}, 1, 0}}),
+        wire::heartbeat_response(41, {{Command::Kind::start, {"j-1", 4}, 2, 0},
+                                 {Command::Kind::stop, {"j-2", 1}, 1, 10},
+                                 {Command::Kind::forget, {"j-3", 0}, 1, 0}}),
         R"({"Baton":41,"Orders":[{"Verb":"start","Piece":"j-1/4","Try":2},{"Verb":"stop","Piece":"j-2/1","Try":1,"LeewayS":1E1},{"Verb":"reap","Piece":"j-3/0","Try":1}]})");
-    EXPECT_EQ(wire::job_answer("j-1", wire::JobState::cancelled), R"({"NameId":"j-1","Status":"withdrawn"})");
-    EXPECT_EQ(wire::redirect_answer("c-2"), R"({"Foreman":"c-2"})");
-    EXPECT_EQ(wire::follow_target("pr/", 7, 2000), "/follow?Under=pr/&Since=7&BlockMs=2000");
+    EXPECT_EQ(wire::job_status_response("j-1", wire::JobStatus::cancelled), R"({"NameId":"j-1","Status":"withdrawn"})");
+    EXPECT_EQ(wire::redirect_response("c-2"), R"({"Foreman":"c-2"})");
+    EXPECT_EQ(wire::watch_target("pr/", 7, 2000), "/follow?Under=pr/&Since=7&BlockMs=2000");
 }
 
 TEST(Wire, StoreAnswersAreRead) {
-    const auto e = wire::parse_events(
+    const auto e = wire::parse_watch_events(
         R"({"Epoch":433,"Events":[{"Write":"c/9","Value":{"a":1},"Stamp":433},{"Drop":"c/d","Stamp":432}]})");
     ASSERT_TRUE(e);
     EXPECT_EQ(e->events.size(), 2U);
     EXPECT_FALSE(e->events[1].value);
-    EXPECT_FALSE(wire::parse_events(R"({"Events":[]})"));
+    EXPECT_FALSE(wire::parse_watch_events(R"({"Events":[]})"));
     EXPECT_FALSE(wire::parse_rows("<html>"));
-    EXPECT_EQ(wire::parse_failed(R"({"failed":["a/b"],"Epoch":431})"), std::vector<std::string>{"a/b"});
+    EXPECT_EQ(wire::parse_failed_conditions(R"({"failed":["a/b"],"Epoch":431})"), std::vector<std::string>{"a/b"});
 }
 
 TEST(Records, ComeBackAsTheyWere) {
     auto spec = gang_job("j-1", 3);
     spec.accepted_ms = 1234567;
-    spec.types = std::vector<std::string>{"g4"};
+    spec.allowed_machine_types = std::vector<std::string>{"g4"};
     spec.zone = "b";
     spec.deadline_s = 90;
     const auto back = wire::records::parse_job("j-1", wire::records::job_json(spec));
@@ -179,16 +179,16 @@
     EXPECT_EQ(q->next_attempt, 8U);
 }
 
-TEST(Gossip, ComesBackAndGarbageDoesNot) {
-    wire::Gossip g{"c-1", 7, "c-2", 1000, 20, 30, 77, true, {{5, "j-1"}, {6, "j-2"}}};
-    const auto bytes = wire::gossip_bytes(g);
-    const auto back = wire::parse_gossip(bytes);
+TEST(PeerMessage, ComesBackAndGarbageDoesNot) {
+    wire::PeerMessage g{"c-1", 7, "c-2", 1000, 20, 30, 77, true, {{5, "j-1"}, {6, "j-2"}}};
+    const auto bytes = wire::encode_peer_message(g);
+    const auto back = wire::parse_peer_message(bytes);
     ASSERT_TRUE(back);
-    EXPECT_EQ(back->token, 7U);
+    EXPECT_EQ(back->fencing_token, 7U);
     EXPECT_EQ(back->cancelled, g.cancelled);
-    EXPECT_FALSE(wire::parse_gossip(""));
-    EXPECT_FALSE(wire::parse_gossip("not cbor"));
-    for (std::size_t n = 0; n < bytes.size(); ++n) EXPECT_FALSE(wire::parse_gossip(bytes.substr(0, n))) << n;
+    EXPECT_FALSE(wire::parse_peer_message(""));
+    EXPECT_FALSE(wire::parse_peer_message("not cbor"));
+    for (std::size_t n = 0; n < bytes.size(); ++n) EXPECT_FALSE(wire::parse_peer_message(bytes.substr(0, n))) << n;
 }
 
 }  // namespace
--- a/tests/worker_simulator.cpp
+++ b/tests/worker_simulator.cpp
@@ -18,7 +18,7 @@
 constexpr double answer_timeout_s = 4;
 constexpr double next_controller_s = 1;
 constexpr double least_heartbeat_gap_s = 0.5;
-constexpr double checkpoint_s = 2;  // to write one
+constexpr double checkpoint_interval_s = 2;  // to write one
 
 model::TaskId task_id(const std::string& name) {
     const auto slash = name.find('/');
@@ -80,7 +80,7 @@
     for (const auto& [from, body] : std::exchange(machine.held_commands, {}))
         direct_command(from, machine.id, body);
     run_tasks(machine, seconds);
-    if (cluster_.now() - machine.lease_from > lease_s) expire_lease(machine);
+    if (cluster_.now() - machine.lease_from > worker_lease_s) expire_lease(machine);
     receive_answer(machine);
     send_heartbeat(machine);
 }
@@ -98,13 +98,13 @@
             machine.changed = true;
             invariants.check_start(machine, task);
         } else if (task.state == TaskState::running) {
-            task.ran_s += seconds;
-            if (task.ran_s < run_time_of(task.id)) continue;
+            task.checkpointed_run_s += seconds;
+            if (task.checkpointed_run_s < run_time_of(task.id)) continue;
             task.state = TaskState::exited;
             task.cause = ExitCause::done;
             invariants.task_completed(task.id);
             machine.changed = true;
-        } else if (task.state == TaskState::saving && now >= task.saves_until) {
+        } else if (task.state == TaskState::checkpointing && now >= task.saves_until) {
             task.state = TaskState::exited;
             task.cause = ExitCause::stopped;
             task.saved = true;
@@ -117,7 +117,7 @@
 void WorkerSimulator::expire_lease(SimulatedMachine& machine) {
     killed_by_lease += static_cast<int>(machine.executing_tasks());
     machine.tasks.clear();
-    ++machine.session;
+    ++machine.agent_epoch;
     machine.lease_from = cluster_.now();
     machine.answer.reset();
     machine.sent_at = -1;
@@ -150,21 +150,21 @@
                                         {"Breed", machine.type},
                                         {"Yard", machine.zone},
                                         {"Loaners", machine.spot},
-                                        {"Stint", machine.session},
-                                        {"Tick", machine.tick},
-                                        {"Baton", machine.token},
+                                        {"Stint", machine.agent_epoch},
+                                        {"Tick", machine.sequence},
+                                        {"Baton", machine.fencing_token},
                                         {"Pieces", tasks}});
 }
 
 void WorkerSimulator::send_heartbeat(SimulatedMachine& machine) {
     const double now = cluster_.now();
     if (machine.sent_at >= 0) return;
-    const bool early = machine.changed && now >= machine.next_heartbeat - report_s + least_heartbeat_gap_s;
-    if (now < machine.next_heartbeat && !early) return;
+    const bool tasks_under_older_token = machine.changed && now >= machine.next_heartbeat - heartbeat_period_s + least_heartbeat_gap_s;
+    if (now < machine.next_heartbeat && !tasks_under_older_token) return;
     machine.changed = false;
-    ++machine.tick;
+    ++machine.sequence;
     machine.sent_at = now;
-    machine.next_heartbeat = now + report_s;
+    machine.next_heartbeat = now + heartbeat_period_s;
     machine.answer.reset();
     if (machine.fault.outbound_partition || !reaches(machine, machine.controller)) return;
     const auto body = heartbeat_body(machine);
@@ -194,10 +194,10 @@
 }
 
 void WorkerSimulator::accept_answer(SimulatedMachine& machine, const wire::Json& answer) {
-    const auto token = answer.at("Baton").to_number<std::uint64_t>();
-    if (token < machine.token) return;
-    machine.changed |= token > machine.token;
-    machine.token = token;
+    const auto fencing_token = answer.at("Baton").to_number<std::uint64_t>();
+    if (fencing_token < machine.fencing_token) return;
+    machine.changed |= fencing_token > machine.fencing_token;
+    machine.fencing_token = fencing_token;
     machine.lease_from = std::max(machine.lease_from, machine.sent_at);
     execute(machine, answer);
 }
@@ -254,9 +254,9 @@
 void WorkerSimulator::execute_stop(SimulatedTask& task, double grace_s) {
     ++stops;
     if (task.state == TaskState::running && grace_s > 0) {
-        task.state = TaskState::saving;
-        task.saves_until = cluster_.now() + checkpoint_s;
-    } else if (task.state != TaskState::saving || grace_s <= 0) {
+        task.state = TaskState::checkpointing;
+        task.saves_until = cluster_.now() + checkpoint_interval_s;
+    } else if (task.state != TaskState::checkpointing || grace_s <= 0) {
         task.state = TaskState::exited;
         task.cause = ExitCause::stopped;
     }
@@ -273,11 +273,11 @@
         return std::nullopt;
     }
     const auto command = json::parse(body);
-    const auto token = command.at("Baton").to_number<std::uint64_t>();
-    ++machine.tick;
-    if (token < machine.token || command.at("Stint").to_number<std::uint64_t>() != machine.session)
+    const auto fencing_token = command.at("Baton").to_number<std::uint64_t>();
+    ++machine.sequence;
+    if (fencing_token < machine.fencing_token || command.at("Stint").to_number<std::uint64_t>() != machine.agent_epoch)
         return net::Reply{409, heartbeat_body(machine)};
-    machine.token = token;
+    machine.fencing_token = fencing_token;
     execute(machine, command);
     return net::Reply{200, heartbeat_body(machine)};
 }
--- a/tests/worker_simulator.hpp
+++ b/tests/worker_simulator.hpp
@@ -40,7 +40,7 @@
     std::size_t cloud_capacity = 0;            ///< machines that the cloud has; they are up at once
     std::map<std::string, double> task_run_s;  ///< by task (JOB/INDEX); otherwise default_task_run_s
     double default_task_run_s = 1000, fetch_s = 2;
-    double report_s = 3, lease_s = 36;
+    double heartbeat_period_s = 3, worker_lease_s = 36;
     int killed_by_lease = 0, starts = 0, stops = 0;
     int starts_after_confirmed_cancellation = 0;
     /// A copy of every heartbeat arrives so much later; 0: none.
