--- /dev/null
+++ b/tests/durable_writes_test.cpp
@@ -0,0 +1,156 @@
+// Compare-and-swap transactions of the leader: revisions, segments, tombstones, limits and batches.
+#include "leader_simulator.hpp"
+
+namespace pineroad::test {
+namespace {
+
+using model::ExitCause;
+using model::TaskState;
+namespace records = wire::records;
+
+// A job is submitted and planned; the batch that places it, which is not applied yet.
+cluster::WriteBatch placement_batch(LeaderSimulator& simulator, const model::JobSpec& spec) {
+    simulator.submit(spec);
+    simulator.plan();
+    const auto batch = simulator.next_write_batch();
+    EXPECT_TRUE(batch);
+    return batch.value();
+}
+
+// Every write of a leader names the leadership key: applied late, after a newer term, it does nothing.
+TEST(DurableWrites, LateCommitOfAnEarlierTermIsRefused) {
+    StartedLeader simulator("late_commit_old_term", {"m-1"});
+    const auto late = placement_batch(simulator, array_job("j-1", 1));
+    simulator.begin_term();
+    EXPECT_FALSE(simulator.store.commit(late.txn));
+    simulator.note("commit  of term 1 arrives: refused");
+    simulator.synchronize_worker("m-1");
+    simulator.run_placed_tasks("m-1");
+    EXPECT_EQ(simulator.starts, 1);
+}
+
+// Every record names its own revision: a second copy of a commit can't undo what came after it.
+TEST(DurableWrites, LateCopyOfACommitIsRefused) {
+    StartedLeader simulator("late_copy", {"m-1"});
+    const auto batch = placement_batch(simulator, array_job("j-1", 2));
+    simulator.apply_batch(batch);
+    EXPECT_FALSE(simulator.store.commit(batch.txn));
+    simulator.note("commit  the same again: refused");
+}
+
+// 100,000 tasks: the record stays within one value and the scheduling snapshot within memory.
+TEST(DurableWrites, LargeArrayFitsItsRecord) {
+    StartedLeader simulator("large_array");
+    for (int i = 0; i < 60; ++i) {
+        const auto id = "m-" + std::to_string(100 + i);
+        simulator.add_worker(id);
+        simulator.leader_state().apply_heartbeat(simulator.next_heartbeat(simulator.workers.at(id)),
+                                                 simulator.now);
+        simulator.workers.at(id).fencing_token = simulator.leader_state().fencing_token();
+        simulator.leader_state().apply_heartbeat(simulator.next_heartbeat(simulator.workers.at(id)),
+                                                 simulator.now);
+    }
+    auto job = array_job("j-1", 100000);
+    job.task_resources = {0.5, 0, 1};
+    simulator.submit(job);
+    simulator.plan();
+    simulator.commit_all();  // checked against value_kb by the simulator
+    std::size_t placed = 0;
+    for (const auto& [key, row] : simulator.store.rows)
+        if (records::under(key, records::segment_prefix))
+            placed = std::max(placed,
+                              records::parse_segment(row.value)->entries.at({"j-1", 0})->placements.size());
+    EXPECT_GT(placed, 150U);
+}
+
+// Found by a day of bursts: with the write budget spent, every commit was small, filled with placements,
+// and left no room for the end of a job. Users waited minutes for the done of work that had long ended.
+TEST(DurableWrites, CompletionsComeBeforePlacements) {
+    LeaderSimulator simulator("completions_before_placements");
+    simulator.config.value_kb = 1;  // a segment holds few jobs
+    simulator.begin_term();
+    simulator.add_ready_workers({"m-1"});
+    simulator.run_job(array_job("j-1", 1), "m-1");
+    simulator.set_task_state("j-1/0", TaskState::exited, ExitCause::done);
+    simulator.send_heartbeat("m-1");
+    simulator.advance(1);
+    for (int i = 0; i < 12; ++i) {
+        const auto id = std::to_string(10 + i);
+        simulator.add_worker("m-" + id);
+        simulator.synchronize_worker("m-" + id);
+        simulator.submit(array_job("j-" + id, 4));
+    }
+    simulator.plan();
+    const auto batch = simulator.next_write_batch(constants::target_batch_changes);
+    ASSERT_TRUE(batch);
+    EXPECT_GE(batch->segments.size(), 1U);
+    simulator.apply_batch(*batch);
+    EXPECT_EQ(simulator.job_status("j-1"), "done");
+}
+
+// A segment is overwritten when nobody needs it; a second copy of the commit that wrote it first then
+// finds a newer revision, and what was true at that time does not come back.
+TEST(DurableWrites, LateCopyOfAnOverwrittenSegmentIsRefused) {
+    StartedLeader simulator("segment_overwritten", {"m-1"});
+    const auto first = placement_batch(simulator, array_job("j-1", 1));
+    simulator.apply_batch(first);
+    simulator.send_heartbeat("m-1");
+    simulator.set_task_state("j-1/0", TaskState::exited, ExitCause::done);
+    simulator.send_heartbeat("m-1");
+    simulator.commit_all();
+    for (const auto* id : {"j-2", "j-3"}) {
+        simulator.submit(array_job(id, 1));
+        simulator.plan_and_commit();
+    }
+    EXPECT_FALSE(simulator.store.commit(first.txn));
+    simulator.note("commit  the first again: refused");
+    simulator.begin_term();
+    EXPECT_FALSE(simulator.leader_state().jobs().contains("j-1"));  // over: a tombstone in a later segment
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-2").placements.size(), 1U);
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-3").placements.size(), 1U);
+}
+
+// A job that is over still stands in a segment that others need: a later segment holds a tombstone for
+// it, so that a new leader does not take its tasks for unknown ones.
+TEST(DurableWrites, EndedJobGetsATombstone) {
+    StartedLeader simulator("tombstone", {"m-1"});
+    simulator.submit(array_job("j-1", 1));
+    simulator.run_job(array_job("j-2", 1), "m-1");
+    simulator.set_task_state("j-1/0", TaskState::exited, ExitCause::done);
+    simulator.send_heartbeat("m-1");
+    simulator.commit_all();
+    simulator.submit(array_job("j-3", 1));
+    simulator.plan();
+    EXPECT_TRUE(simulator.next_write_batch());  // refused by the store: the next one holds it again
+    simulator.commit_all();
+    simulator.begin_term();
+    EXPECT_FALSE(simulator.leader_state().jobs().contains("j-1"));
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-2").placements.size(), 1U);
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-3").placements.size(), 1U);
+}
+
+// Version 0.1 kept a record a job. A new leader reads it, and moves it into a segment with the next
+// change.
+TEST(DurableWrites, RecordsOfTheEarlierVersionAreRead) {
+    StartedLeader simulator("earlier_records");
+    simulator.add_worker("m-1");
+    simulator.add_worker("m-2");
+    simulator.submit(array_job("j-1", 2));
+    model::Progress p;
+    p.placements = {{0, 1, "m-1"}};
+    p.next_attempt = 2;
+    p.task_resources = array_job("j-1", 2).task_resources, p.team = "team";
+    simulator.store.put(records::progress_key("j-1"), records::progress_json(p));
+    simulator.begin_term();
+    simulator.synchronize_worker("m-2");
+    simulator.plan_and_commit();
+    const auto commands = simulator.send_heartbeat("m-2");
+    ASSERT_EQ(commands.size(), 1U);
+    EXPECT_EQ(commands[0].task.index, 1U);  // the other may run on m-1
+    EXPECT_FALSE(simulator.store.rows.contains(records::progress_key("j-1")));
+    simulator.begin_term();
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-1").placements.size(), 2U);
+}
+
+}  // namespace
+}  // namespace pineroad::test
--- /dev/null
+++ b/tests/failover_test.cpp
@@ -0,0 +1,105 @@
+// A new leader rebuilds its state from the store and from heartbeats; what it does not know yet may still
+// run.
+#include "leader_simulator.hpp"
+
+namespace pineroad::test {
+namespace {
+
+// Unknown means possibly still running: no heartbeat of the machine of an earlier term's placement has
+// arrived, so its task waits for proof.
+TEST(Failover, LeavesUnknownTasksAlone) {
+    StartedLeader simulator("failover_unknown_tasks", {"m-1"});
+    simulator.add_worker("m-2");
+    simulator.run_job(array_job("j-1", 1), "m-1");
+    simulator.note("        m-1 is cut off; its task runs on");
+    simulator.begin_term();
+    simulator.synchronize_worker("m-2");
+    for (int i = 0; i < 4; ++i) {
+        simulator.advance(3);
+        simulator.plan_and_commit();
+        EXPECT_TRUE(simulator.send_heartbeat("m-2").empty());
+    }
+    simulator.advance(10);
+    simulator.send_heartbeat("m-2");
+    simulator.plan();  // silent for long, while m-2 is not
+    simulator.release_machines();
+    simulator.plan_and_commit();
+    EXPECT_EQ(simulator.send_heartbeat("m-2").size(), 1U);
+    EXPECT_EQ(simulator.starts, 2);
+}
+
+// A provisioning request without an answer is repeated under its name by the next leader (an idempotent
+// request): it provisions once, and is not forgotten.
+TEST(Failover, RepeatsAnUnansweredProvisioningRequest) {
+    StartedLeader simulator("provisioning_across_failover");
+    simulator.submit(gang_job("j-1", 1));
+    simulator.plan_and_commit();
+    const auto first = simulator.provision_machines();
+    ASSERT_EQ(first.size(), 1U);
+    simulator.begin_term();  // before the answer was written down
+    simulator.plan_and_commit();
+    const auto again = simulator.provision_machines();
+    ASSERT_EQ(again.size(), 1U);
+    EXPECT_EQ(again[0].name, first[0].name);
+    simulator.submit(gang_job("j-2", 1));
+    simulator.advance(2);
+    simulator.plan_and_commit();
+    for (const auto& r : simulator.provision_machines()) EXPECT_NE(r.name, first[0].name);
+}
+
+// A failover long after provisioning: no machine has sent a heartbeat in the new term, and none is given
+// up for that.
+TEST(Failover, ReleasesNoRunningMachine) {
+    StartedLeader simulator("failover_keeps_machines", {"m-1"});
+    simulator.advance(400);
+    simulator.begin_term();
+    simulator.leader_state().apply_machine_list(
+        {{"m-1", "", "g4", "a", false, model::MachineStatus::running, 400},
+         {"m-2", "", "g4", "a", false, model::MachineStatus::booting, 400}},
+        simulator.now);
+    simulator.plan();
+    EXPECT_TRUE(simulator.leader_state().machines_to_release(simulator.now).empty());
+    simulator.advance(2);
+    simulator.synchronize_worker("m-1");
+    simulator.advance(14);
+    simulator.send_heartbeat("m-1");
+    simulator.plan();
+    EXPECT_EQ(simulator.leader_state().machines_to_release(simulator.now), std::vector<std::string>{"m-2"});
+    simulator.release_machines();
+}
+
+// Spot machines reclaimed between two leaders: their notice never reaches the new one. What the list does
+// not show once its lag has passed is gone, and a release proves it without waiting for silence.
+TEST(Failover, SpotMachineReclaimedBetweenTwoTermsIsReleased) {
+    StartedLeader simulator("reclaimed_between_terms");
+    simulator.add_worker("m-1", "g4", "a", true);
+    simulator.add_worker("m-2");
+    simulator.synchronize_worker("m-1");
+    auto job = array_job("j-1", 1);
+    job.allows_spot = true;
+    simulator.run_job(job, "m-1");
+    simulator.note("        m-1 is taken");
+    simulator.begin_term();
+    simulator.synchronize_worker("m-2");
+    simulator.run_job(array_job("j-2", 1), "m-2");
+    const std::vector<model::ListedMachine> list{
+        {"m-2", "", "g4", "a", false, model::MachineStatus::running, 400}};
+    for (int i = 0; i < 5; ++i) {
+        simulator.leader_state().apply_machine_list(list, simulator.now);
+        simulator.plan();
+        EXPECT_TRUE(simulator.leader_state().machines_to_release(simulator.now).empty())
+            << "the list may be as old as twice its lag";
+        simulator.advance(3);
+        simulator.send_heartbeat("m-2");
+    }
+    simulator.advance(1);
+    simulator.leader_state().apply_machine_list(list, simulator.now);
+    simulator.plan();
+    EXPECT_EQ(simulator.leader_state().machines_to_release(simulator.now), std::vector<std::string>{"m-1"});
+    simulator.release_machines();
+    simulator.plan_and_commit();
+    EXPECT_EQ(simulator.send_heartbeat("m-2").size(), 1U);
+}
+
+}  // namespace
+}  // namespace pineroad::test
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -10,7 +10,8 @@
 #include <cstdlib>
 #include <fstream>
 
-#include "cluster.hpp"
+#include "cluster_simulator.hpp"
+#include "leader_simulator.hpp"
 #include "wire/peer_protocol.hpp"
 
 namespace pineroad::test {
@@ -311,7 +312,7 @@
 }
 
 // The stored rows, without the leader's random number.
-void put_rows(Golden& golden, const std::map<std::string, StateService::Row>& rows) {
+void put_rows(Golden& golden, const std::map<std::string, StoreSimulator::Row>& rows) {
     for (const auto& [key, row] : rows) {
         auto value = row.value;
         if (auto* object = value.if_object(); object && object->contains("nonce"))
@@ -765,9 +766,9 @@
 
 class Asked {
    public:
-    Asked(Cluster& cluster, Golden& golden) : cluster_(cluster), golden_(golden) {}
+    Asked(ClusterSimulator& cluster, Golden& golden) : cluster_(cluster), golden_(golden) {}
     void ask(int node, const std::string& method, const std::string& target, const std::string& body = {}) {
-        const auto reply = cluster_.ask(node, method, target, body);
+        const auto reply = cluster_.request(node, method, target, body);
         golden_.put(method + " " + target + (body.empty() ? "" : " ") + body,
                     reply ? print(*reply) : "no answer");
     }
@@ -780,7 +781,7 @@
     }
 
    private:
-    Cluster& cluster_;
+    ClusterSimulator& cluster_;
     Golden& golden_;
 };
 
@@ -816,10 +817,10 @@
 
 TEST(Golden, AnswersOfAController) {
     Golden g("http");
-    Cluster c("golden_http", 3);
+    ClusterSimulator c("golden_http", 3);
     Asked a(c, g);
-    c.fleet.capacity = 6;
-    c.fleet.run_s["j-done/0"] = 5;
+    c.workers.cloud_capacity = 6;
+    c.workers.task_run_s["j-done/0"] = 5;
     c.run(5);
     g.section("accepted");
     a.put("done", c.submit(0, "j-done"));
@@ -844,14 +845,14 @@
     ask_submissions(a);
     a.put("after a cancelled one", c.submit(0, "j-orphan", {{"WaitsOn", json::array{"j-cancelled"}}}));
     a.put("known by then", c.submit(0, "j-done"));
-    c.state.value_bytes = 10;
+    c.store.value_bytes = 10;
     a.submit("Crew", "\"team\"");
-    c.state.value_bytes = SIZE_MAX;
+    c.store.value_bytes = SIZE_MAX;
     g.section("check-ins");
     model::Heartbeat report;
     report.machine = "m-77", report.agent_epoch = 1, report.sequence = 5;
     const int leader = c.leader(), other = (leader + 1) % 3;
-    const auto body = Cluster::body_of(report);
+    const auto body = ClusterSimulator::heartbeat_body(report);
     a.ask(other, "POST", "/checkin", body);
     a.ask(leader, "POST", "/checkin", body);
     a.ask(leader, "POST", "/checkin", body);
@@ -859,15 +860,15 @@
     a.ask(other, "POST", "/checkin", with(body.c_str(), "Host", ""));
     a.ask(leader, "POST", "/checkin", with(body.c_str(), "Baton", "-1"));
     g.section("outage");
-    c.state_out = true;
+    c.store_outage = true;
     c.run(8);
     a.ask(other, "GET", "/up");
     a.ask(other, "GET", "/submissions/j-done");
     a.ask(other, "GET", "/submissions/j-runs");
     a.ask(other, "POST", "/submissions/j-runs/cancel");
     a.submit("Crew", "\"team\"", other);
-    c.state_out = false;
-    c.state.extend_leases(c.now());
+    c.store_outage = false;
+    c.store.extend_leases(c.now());
     c.run(5);
 }
 
@@ -875,7 +876,7 @@
     Golden g("http_earlier");
     ClusterOptions options;
     options.record_format = 1;
-    Cluster c("golden_http_earlier", 3, options);
+    ClusterSimulator c("golden_http_earlier", 3, options);
     Asked a(c, g);
     a.ask(0, "GET", "/up");
     a.submit("Crew", "\"team\"");
@@ -936,12 +937,12 @@
     Golden g("rows");
     ClusterOptions options;
     options.adjust = [](config::Settings& s) { s.value_kb = s.current_value_kb = 2; };
-    Cluster c("golden_rows", 3, options);
-    c.fleet.capacity = 6;
-    c.fleet.run_s["j-array/0"] = c.fleet.run_s["j-first/0"] = 5;
+    ClusterSimulator c("golden_rows", 3, options);
+    c.workers.cloud_capacity = 6;
+    c.workers.task_run_s["j-array/0"] = c.workers.task_run_s["j-first/0"] = 5;
     c.run(8);
     g.section("at the start");
-    put_rows(g, c.state.rows());
+    put_rows(g, c.store.rows());
     const json::object small{{"Vcpus", 0.5}, {"Accelerators", 0}, {"MemGb", 0.5}};
     auto array = small, large = small, gang = small;
     array["Pieces"] = 3;
@@ -955,52 +956,54 @@
     json::array before;
     for (int i = 0; i < 60; ++i) {
         const std::string id = "j-abcdefghijklmnopqrstuvwxyz" + std::to_string(i);
-        c.fleet.submitted({{"NameId", id}, {"Crew", "team"}, {"Pieces", 1}, {"Accelerators", 1}});
-        c.state.put_job(array_job(id, 1), c.now());
+        c.workers.invariants.job_submitted(
+            {{"NameId", id}, {"Crew", "team"}, {"Pieces", 1}, {"Accelerators", 1}});
+        c.store.put_job(array_job(id, 1), c.now());
         before.emplace_back(id);
     }
     c.run(2);
     c.submit(0, "j-list", {{"WaitsOn", before}});
     c.run(2);
     g.section("accepted");
-    put_rows(g, c.state.rows());
+    put_rows(g, c.store.rows());
     c.run(60);
     g.section("running");
-    put_rows(g, c.state.rows());
+    put_rows(g, c.store.rows());
     c.cancel(0, "j-large");
     c.cancel(1, "j-gang");
     c.cancel(1, "j-list");
     c.run(30);
     g.section("cancelled");
-    put_rows(g, c.state.rows());
+    put_rows(g, c.store.rows());
 }
 
 // --- transactions of a term
 // ----------------------------------------------------------------------------------
 
-class Story : public World {
+class Story : public LeaderSimulator {
    public:
-    Story(const std::string& name, Golden& golden) : World(name), golden_(golden) {}
-    void commit_all() {
+    Story(const std::string& name, Golden& golden) : LeaderSimulator(name), golden_(golden) {}
+    void commit_and_print() {
         for (int i = 0; i < 50; ++i) {
-            const auto batch = take_write_batch();
+            const auto batch = next_write_batch();
             if (!batch) return;
             golden_.put("transaction", wire::commit_request(batch->txn));
-            apply(*batch);
+            apply_batch(*batch);
         }
     }
     void meet_and_start(const std::string& machine) {
         golden_.put("answer to " + machine,
-                    wire::heartbeat_response(cluster_state().fencing_token(), handle_heartbeat(machine)));
+                    wire::heartbeat_response(leader_state().fencing_token(), send_heartbeat(machine)));
     }
     // Two seconds on: a plan, what it writes, rents and tells the workers.
     void step() {
-        pass(2);
+        advance(2);
         plan();
-        for (const auto& rental : rent()) golden_.put("rental", wire::provisioning_request(rental));
-        commit_all();
+        for (const auto& rental : provision_machines())
+            golden_.put("rental", wire::provisioning_request(rental));
+        commit_and_print();
         for (const auto& [id, w] : workers) meet_and_start(id);
-        commit_all();
+        commit_and_print();
     }
     void set_all(model::TaskState state, model::ExitCause cause = model::ExitCause::none) {
         for (auto& [id, w] : workers)
@@ -1015,9 +1018,9 @@
 TEST(Golden, TransactionsOfAStory) {
     Golden g("transactions");
     Story w("golden_transactions", g);
-    w.lead();
-    w.worker("m-a"), w.worker("m-b", "g4", "b"), w.worker("m-c", "g2", "a", true);
-    for (const auto* id : {"m-a", "m-b", "m-c"}) w.meet(id);
+    w.begin_term();
+    w.add_worker("m-a"), w.add_worker("m-b", "g4", "b"), w.add_worker("m-c", "g2", "a", true);
+    for (const auto* id : {"m-a", "m-b", "m-c"}) w.synchronize_worker(id);
     g.section("array, gang and a job that waits");
     w.submit(array_job("j-array", 3));
     w.submit(gang_job("j-gang", 2));
@@ -1029,7 +1032,7 @@
     w.set_all(model::TaskState::running);
     for (int i = 0; i < 2; ++i) w.step();
     g.section("ends");
-    w.set("j-array/0", model::TaskState::exited, model::ExitCause::done);
+    w.set_task_state("j-array/0", model::TaskState::exited, model::ExitCause::done);
     w.step();
     w.set_all(model::TaskState::exited, model::ExitCause::done);
     for (int i = 0; i < 3; ++i) w.step();
@@ -1041,7 +1044,7 @@
     g.section("a new term");
     w.submit(array_job("j-late", 2));
     w.step();
-    w.lead();
+    w.begin_term();
     for (int i = 0; i < 3; ++i) w.step();
 }
 
@@ -1049,16 +1052,16 @@
     Golden g("transactions_large");
     Story w("golden_transactions_large", g);
     w.config.value_kb = w.config.current_value_kb = 2;
-    w.sharding_allowed = true;
-    w.lead();
+    w.record_parts_allowed = true;
+    w.begin_term();
     for (int i = 0; i < 40; ++i)
-        w.meet((w.worker("m-" + std::to_string(10 + i)), "m-" + std::to_string(10 + i)));
+        w.synchronize_worker((w.add_worker("m-" + std::to_string(10 + i)), "m-" + std::to_string(10 + i)));
     w.submit(array_job("j-large", 150));
     for (int i = 0; i < 2; ++i) w.step();
     w.set_all(model::TaskState::running);
     w.step();
     for (const int i : {0, 7, 100})
-        w.set("j-large/" + std::to_string(i), model::TaskState::exited, model::ExitCause::done);
+        w.set_task_state("j-large/" + std::to_string(i), model::TaskState::exited, model::ExitCause::done);
     for (int i = 0; i < 3; ++i) w.step();
     w.set_all(model::TaskState::exited, model::ExitCause::done);
     for (int i = 0; i < 4; ++i) w.step();
--- /dev/null
+++ b/tests/heartbeat_test.cpp
@@ -0,0 +1,130 @@
+// Heartbeats out of order, lost, copied or sent under an older fencing token, and what each proves.
+#include "leader_simulator.hpp"
+
+namespace pineroad::test {
+namespace {
+
+using model::ExitCause;
+using model::TaskState;
+
+// A heartbeat that does not show the new fencing token proves no absence: the old leader's start may
+// still be on its way.
+TEST(Heartbeat, AbsenceUnderAnOlderTokenProvesNothing) {
+    StartedLeader simulator("absence_under_old_token", {"m-1"});
+    simulator.add_worker("m-2");
+    simulator.submit(array_job("j-1", 1));
+    simulator.plan_and_commit();
+    const auto late =
+        simulator.leader_state().commands_for("m-1", true, simulator.now);  // the answer is slow on its way
+    simulator.begin_term();
+    simulator.send_heartbeat("m-2");
+    simulator.send_heartbeat("m-2");
+    auto& m1 = simulator.workers.at("m-1");
+    const auto report = simulator.next_heartbeat(m1);  // sent before the worker learned of the new term
+    simulator.note("report  m-1 without tasks, under the old token");
+    simulator.leader_state().apply_heartbeat(report, simulator.now);
+    simulator.plan_and_commit();
+    EXPECT_TRUE(simulator.send_heartbeat("m-2").empty());
+    simulator.note("answer  of the old term reaches m-1 at last");
+    simulator.execute(m1, late, 1);
+    simulator.synchronize_worker("m-1");
+    EXPECT_EQ(simulator.starts, 1);
+}
+
+// Guards the order by (agent epoch, sequence number): an older heartbeat that arrives late must not undo
+// what a newer one showed.
+TEST(Heartbeat, StaleHeartbeatIsIgnored) {
+    StartedLeader simulator("stale_heartbeat", {"m-1"});
+    const auto tasks_under_older_token = simulator.next_heartbeat(simulator.workers.at("m-1"));
+    simulator.run_job(array_job("j-1", 1), "m-1");
+    simulator.note("report  of before the start arrives late");
+    EXPECT_FALSE(simulator.leader_state().apply_heartbeat(tasks_under_older_token, simulator.now));
+    simulator.plan();
+    EXPECT_FALSE(
+        simulator.leader_state().write_due());  // an older empty heartbeat does not mark the task lost
+}
+
+// A command whose answer was lost is sent again with the next heartbeat, and starts its task once.
+TEST(Heartbeat, LostAnswerIsSentAgain) {
+    StartedLeader simulator("lost_answer", {"m-1"});
+    simulator.submit(array_job("j-1", 1));
+    simulator.plan_and_commit();
+    simulator.send_heartbeat("m-1", true);
+    simulator.advance(4);
+    EXPECT_EQ(simulator.send_heartbeat("m-1").size(), 1U);
+    EXPECT_EQ(simulator.starts, 1);
+}
+
+// A new agent epoch proves that the tasks of the earlier one have ended: they are placed again.
+TEST(Heartbeat, NewAgentEpochFreesTasks) {
+    StartedLeader simulator("new_agent_epoch", {"m-1"});
+    simulator.run_job(array_job("j-1", 1), "m-1");
+    simulator.expire_worker_lease("m-1");
+    simulator.send_heartbeat("m-1");
+    simulator.plan_and_commit();
+    EXPECT_EQ(simulator.send_heartbeat("m-1").size(), 1U);
+    EXPECT_EQ(simulator.starts, 2);
+}
+
+// A task that no placement knows is stopped and then reaped.
+TEST(Heartbeat, UnknownTasksAreStopped) {
+    LeaderSimulator simulator("unknown_tasks");
+    simulator.specs["j-9"] = array_job("j-9", 1);
+    simulator.begin_term();
+    auto& m = simulator.add_worker("m-1");
+    m.tasks.push_back({{"j-9", 0}, 3, TaskState::running, ExitCause::none, false});
+    simulator.synchronize_worker("m-1");
+    EXPECT_EQ(m.tasks[0].state, TaskState::exited);
+    simulator.send_heartbeat("m-1");
+    EXPECT_TRUE(m.tasks.empty());
+}
+
+// Copies of a heartbeat, seconds or minutes late, keep no machine alive, and acknowledge no command.
+TEST(Heartbeat, LateCopiesKeepNoMachineAlive) {
+    StartedLeader simulator("late_copies", {"m-1", "m-2"});
+    simulator.run_job(array_job("j-1", 1), "m-1");
+    const auto copy = simulator.next_heartbeat(simulator.workers.at("m-1"));
+    simulator.leader_state().apply_heartbeat(copy, simulator.now);
+    simulator.note("        m-1 stops with all that is on it");
+    for (int i = 0; i < 6; ++i) {
+        simulator.advance(3);
+        simulator.send_heartbeat("m-2");
+        EXPECT_FALSE(simulator.leader_state().apply_heartbeat(copy, simulator.now));
+        simulator.note("copy    of m-1's last report");
+        simulator.plan();
+    }
+    EXPECT_EQ(simulator.leader_state().machines_to_release(simulator.now), std::vector<std::string>{"m-1"});
+    simulator.release_machines();
+    simulator.commit_all();
+    simulator.advance(120);
+    simulator.note("copy    of m-1's last report, long after its lease");
+    EXPECT_FALSE(simulator.leader_state().apply_heartbeat(copy, simulator.now));
+    EXPECT_FALSE(simulator.leader_state().machines().contains("m-1"));
+    simulator.begin_term();
+    simulator.note("copy    in a later term, under the old token");
+    simulator.leader_state().apply_heartbeat(copy, simulator.now);
+    EXPECT_TRUE(simulator.leader_state().commands_for("m-1", true, simulator.now).empty());
+    simulator.submit(array_job("j-2", 1));
+    simulator.plan_and_commit();
+    EXPECT_TRUE(simulator.leader_state().machines().at("m-1").tasks.empty());  // it gets nothing
+}
+
+// A heartbeat's answer waits for work where there is room for the smallest task that came lately, beside
+// others too: a stage of a pipeline started up to a heartbeat period late on machines in use.
+TEST(Heartbeat, AnswerWaitsWhereThereIsRoom) {
+    StartedLeader simulator("answers_wait_for_room", {"m-1"});
+    simulator.submit(array_job("j-1", 1));
+    simulator.plan_and_commit("m-1");
+    EXPECT_FALSE(
+        simulator.leader_state().has_room("m-1", simulator.now));  // nothing came lately that would fit
+    scheduling::ClassDemand demand;
+    demand.sample = array_job("j-2", 1);
+    simulator.leader_state().plan(simulator.now, simulator.wall_ms(), {{"small", demand}});
+    EXPECT_TRUE(simulator.leader_state().has_room("m-1", simulator.now));
+    demand.sample.task_resources.cpus = 31;
+    simulator.leader_state().plan(simulator.now, simulator.wall_ms(), {{"large", demand}});
+    EXPECT_FALSE(simulator.leader_state().has_room("m-1", simulator.now));
+}
+
+}  // namespace
+}  // namespace pineroad::test
