--- a/lint.sh
+++ b/lint.sh
@@ -45,7 +45,7 @@
     tidy_status=$?
 
 # A finding in a header is in the report of every file that includes it; it is printed once.
-finding='^[^ ]+:[0-9]+:[0-9]+: (warning|error):'
+finding='^([^ ]+:[0-9]+:[0-9]+: )?(warning|error): '
 findings=$(cat "$reports"/*.findings | grep -E "$finding" | sort -u || true)
 if [ -n "$findings" ]; then
     echo "$findings"
