--- a/src/controller/leader_loops.cpp
+++ b/src/controller/leader_loops.cpp
@@ -372,8 +372,8 @@
 
 net::awaitable<Reply> Controller::handle_heartbeat(std::string body) {
     const auto parsed = wire::parse_heartbeat(body);
-    if (const auto* why = std::get_if<std::string>(&parsed)) co_return Reply{400, wire::error_response(*why)};
-    const auto& report = std::get<model::Heartbeat>(parsed);
+    if (!parsed) co_return Reply{400, wire::error_response(parsed.error().text())};
+    const auto& report = *parsed;
     observe_token(report.fencing_token, "");
     const auto term = term_;
     auto redirect = [&] {
--- a/src/controller/user_api.cpp
+++ b/src/controller/user_api.cpp
@@ -75,7 +75,7 @@
     }
     const auto counts = watch_cache_.task_counts(id);
     const auto state = counts.placed > 0 ? wire::JobStatus::running : wire::JobStatus::queued;
-    return {200, wire::job_status_response(id, state, std::pair(counts.done, counts.placed))};
+    return {200, wire::job_status_response(id, state, wire::TaskCounts{counts.done, counts.placed})};
 }
 
 net::awaitable<std::optional<std::optional<model::FinalStatus>>> Controller::find_final(std::string id) {
@@ -191,8 +191,8 @@
 
 net::awaitable<Reply> Controller::submit(std::string body) {
     const auto parsed = wire::parse_submission(body);
-    if (const auto* why = std::get_if<std::string>(&parsed)) co_return Reply{400, wire::error_response(*why)};
-    auto spec = std::get<model::JobSpec>(parsed);
+    if (!parsed) co_return Reply{400, wire::error_response(parsed.error().text())};
+    auto spec = *parsed;
     const std::string id = spec.id;
     if (const auto f = watch_cache_.outcome_of(id)) co_return answer(id, presence_of(*f));
     if (event_loop_lag_s_ > c::lag_rejects_submissions_s || submissions_ >= c::max_user_inflight)
--- /dev/null
+++ b/src/wire/field_reader.cpp
@@ -0,0 +1,48 @@
+#include "wire/field_reader.hpp"
+
+#include <utility>
+
+#include "config/constants.hpp"
+
+namespace pineroad::wire {
+
+void FieldReader::reject(std::string_view key) {
+    if (!problem_) problem_ = InvalidRequest{InvalidRequest::Kind::missing_or_invalid, key};
+}
+
+void FieldReader::read_text(std::string_view key, std::string& into) {
+    auto text = read::text(object_, key);
+    if (!text || text->empty() || text->size() > constants::max_text) return reject(key);
+    into = std::move(*text);
+}
+
+void FieldReader::read_amount(std::string_view key, double& into) {
+    const auto amount = read::number(object_, key);
+    if (!amount || *amount < 0) return reject(key);
+    into = *amount;
+}
+
+void FieldReader::read_flag(std::string_view key, bool& into) {
+    const auto flag = read::flag(object_, key);
+    if (!flag) return reject(key);
+    into = *flag;
+}
+
+void FieldReader::read_count(std::string_view key, std::uint32_t min, std::uint32_t max,
+                             std::uint32_t& into) {
+    const auto count = read::count(object_, key);
+    if (!count || *count < min || *count > max) return reject(key);
+    into = static_cast<std::uint32_t>(*count);
+}
+
+void FieldReader::read_optional_text(std::string_view key, std::optional<std::string>& into) {
+    if (!field(key)) return;
+    read_text(key, into.emplace());
+}
+
+void FieldReader::read_optional_amount(std::string_view key, std::optional<double>& into) {
+    if (!field(key)) return;
+    read_amount(key, into.emplace());
+}
+
+}  // namespace pineroad::wire
--- a/src/wire/json_reader.hpp
+++ b/src/wire/json_reader.hpp
@@ -1,46 +1,42 @@
-// Helpers for strict reading of JSON objects, shared by the protocol and by our own records.
+// Strict reading of JSON: each function gives a value of exactly the asked kind, or nothing. A field that is
+// null counts as missing, and fields that nobody asks for are ignored. Shared by the protocols and by the
+// service's own records.
 #pragma once
 
-#include <boost/json.hpp>
-#include <cmath>
+#include <boost/json/object.hpp>
+#include <boost/json/value.hpp>
 #include <cstdint>
 #include <optional>
 #include <string>
+#include <string_view>
 
-namespace pineroad::wire::read {
+namespace pineroad::wire {
 
-inline const boost::json::value* field(const boost::json::object& o, std::string_view key) {
-    const auto* v = o.if_contains(key);
-    return v && !v->is_null() ? v : nullptr;
-}
-inline std::optional<double> number(const boost::json::value* v) {
-    if (!v || !v->is_number()) return std::nullopt;
-    const double d = v->is_double()  ? v->get_double()
-                     : v->is_int64() ? static_cast<double>(v->get_int64())
-                                     : static_cast<double>(v->get_uint64());
-    return std::isfinite(d) ? std::optional(d) : std::nullopt;
-}
-inline std::optional<double> number(const boost::json::object& o, std::string_view key) {
-    return number(field(o, key));
-}
-inline std::optional<std::uint64_t> count(const boost::json::value* v) {
-    if (!v) return std::nullopt;
-    if (v->is_uint64()) return v->get_uint64();
-    if (v->is_int64() && v->get_int64() >= 0) return static_cast<std::uint64_t>(v->get_int64());
-    return std::nullopt;
-}
-inline std::optional<std::uint64_t> count(const boost::json::object& o, std::string_view key) {
-    return count(field(o, key));
-}
-inline std::optional<std::string> text(const boost::json::object& o, std::string_view key) {
-    const auto* v = field(o, key);
-    if (!v || !v->is_string()) return std::nullopt;
-    return std::string(v->get_string());
-}
-inline std::optional<bool> flag(const boost::json::object& o, std::string_view key) {
-    const auto* v = field(o, key);
-    if (!v || !v->is_bool()) return std::nullopt;
-    return v->get_bool();
-}
+using Json = boost::json::value;
 
-}  // namespace pineroad::wire::read
+// The document; nothing if the text is not JSON.
+std::optional<Json> parse_json(std::string_view text);
+// The document as an object; nothing if the text is not JSON or not an object.
+std::optional<boost::json::object> parse_object(std::string_view text);
+
+namespace read {
+
+// The field's value, or null where the field is missing or JSON's null.
+const Json* field(const boost::json::object& object, std::string_view key);
+// The field's value as an array, or null where the field is missing or something else.
+const boost::json::array* list(const boost::json::object& object, std::string_view key);
+// A finite number of any form.
+std::optional<double> number(const Json* value);
+// The same of a field.
+std::optional<double> number(const boost::json::object& object, std::string_view key);
+// An integer from 0 to 2^64 - 1.
+std::optional<std::uint64_t> count(const Json* value);
+// The same of a field.
+std::optional<std::uint64_t> count(const boost::json::object& object, std::string_view key);
+// A string, which may be empty.
+std::optional<std::string> text(const boost::json::object& object, std::string_view key);
+// True or false.
+std::optional<bool> flag(const boost::json::object& object, std::string_view key);
+
+}  // namespace read
+}  // namespace pineroad::wire
--- a/src/wire/peer_protocol.cpp
+++ b/src/wire/peer_protocol.cpp
@@ -7,120 +7,183 @@
 namespace pineroad::wire {
 namespace {
 
-constexpr int required_fields = 9;  // that every version sends
+// The fields that hold one number each, and whether every version sends them. Names are the wire's.
+struct NumberField {
+    std::string_view name;
+    std::uint64_t PeerMessage::*member;
+    bool required;
+};
+constexpr NumberField token_field{"token", &PeerMessage::fencing_token, true};
+constexpr NumberField uptime_field{"up_ms", &PeerMessage::uptime_ms, true};
+constexpr NumberField store_contact_field{"state_age_ms", &PeerMessage::store_contact_age_ms, true};
+constexpr NumberField heartbeat_field{"report_age_ms", &PeerMessage::heartbeat_age_ms, true};
+constexpr NumberField revision_field{"epoch", &PeerMessage::revision, true};
+constexpr NumberField format_field{"format", &PeerMessage::format, false};
+constexpr const NumberField* number_fields[] = {&token_field,     &uptime_field,   &store_contact_field,
+                                                &heartbeat_field, &revision_field, &format_field};
+
+struct TextField {
+    std::string_view name;
+    std::string PeerMessage::*member;
+};
+constexpr TextField node_field{"node", &PeerMessage::node};
+constexpr TextField leader_field{"leader", &PeerMessage::leader};
+constexpr const TextField* text_fields[] = {&node_field, &leader_field};  // required, all of them
+
+struct FlagField {
+    std::string_view name;
+    bool PeerMessage::*member;
+    bool required;
+};
+constexpr FlagField confirms_field{"vouches", &PeerMessage::confirms_cancellations, true};
+constexpr FlagField dependencies_field{"asked_to_depend", &PeerMessage::dependencies_requested, false};
+constexpr const FlagField* flag_fields[] = {&confirms_field, &dependencies_field};
+
+constexpr std::string_view cancelled_name = "cancelled";  // required
+
+constexpr int required_fields = 9;
+constexpr int optional_fields = 2;
 
 struct Release {
     void operator()(cbor_item_t* item) const { cbor_decref(&item); }
 };
 using Item = std::unique_ptr<cbor_item_t, Release>;
 
-Item text_item(std::string_view s) {
-    return Item(cbor_build_stringn(s.data(), s.size()));
+Item text_item(std::string_view text) {
+    return Item(cbor_build_stringn(text.data(), text.size()));
 }
-Item uint_item(std::uint64_t v) {
-    return Item(cbor_build_uint64(v));
+
+Item number_item(std::uint64_t number) {
+    return Item(cbor_build_uint64(number));
 }
 
-void add(cbor_item_t* map, const char* key, const Item& value) {
-    const Item k(cbor_build_string(key));
-    (void)!cbor_map_add(map, {k.get(), value.get()});  // the map takes its own references
+void add(cbor_item_t* map, std::string_view name, const Item& value) {
+    const Item key = text_item(name);
+    (void)!cbor_map_add(map, {key.get(), value.get()});  // the map takes its own references
 }
 
-std::optional<std::string> as_text(const cbor_item_t* item) {
-    if (!cbor_isa_string(item) || !cbor_string_is_definite(item)) return std::nullopt;
-    return std::string(reinterpret_cast<const char*>(cbor_string_handle(item)), cbor_string_length(item));
+void add(cbor_item_t* map, const NumberField& field, const PeerMessage& message) {
+    add(map, field.name, number_item(message.*field.member));
 }
 
-}  // namespace
+void add(cbor_item_t* map, const TextField& field, const PeerMessage& message) {
+    add(map, field.name, text_item(message.*field.member));
+}
 
-std::string encode_peer_message(const PeerMessage& g) {
-    const Item map(cbor_new_definite_map(required_fields + 2));
-    add(map.get(), "node", text_item(g.node));
-    add(map.get(), "token", uint_item(g.fencing_token));
-    add(map.get(), "leader", text_item(g.leader));
-    add(map.get(), "up_ms", uint_item(g.uptime_ms));
-    add(map.get(), "state_age_ms", uint_item(g.store_contact_age_ms));
-    add(map.get(), "report_age_ms", uint_item(g.heartbeat_age_ms));
-    add(map.get(), "epoch", uint_item(g.revision));
-    add(map.get(), "format", uint_item(g.format));
-    add(map.get(), "asked_to_depend", Item(cbor_build_bool(g.dependencies_requested)));
-    add(map.get(), "vouches", Item(cbor_build_bool(g.confirms_cancellations)));
-    // Revision and job in turn.
-    const Item list(cbor_new_definite_array(2 * g.cancelled.size()));
-    for (const auto& [revision, id] : g.cancelled) {
-        const Item r = uint_item(revision), t = text_item(id);
-        (void)!cbor_array_push(list.get(), r.get());
-        (void)!cbor_array_push(list.get(), t.get());
+void add(cbor_item_t* map, const FlagField& field, const PeerMessage& message) {
+    add(map, field.name, Item(cbor_build_bool(message.*field.member)));
+}
+
+void add_cancelled(cbor_item_t* map, const PeerMessage& message) {
+    const Item list(cbor_new_definite_array(2 * message.cancelled.size()));
+    for (const auto& [revision, job] : message.cancelled) {
+        const Item revision_item = number_item(revision), job_item = text_item(job);
+        (void)!cbor_array_push(list.get(), revision_item.get());
+        (void)!cbor_array_push(list.get(), job_item.get());
     }
-    add(map.get(), "cancelled", list);
+    add(map, cancelled_name, list);
+}
+
+std::string serialize(const cbor_item_t* item) {
     unsigned char* buffer = nullptr;
-    std::size_t size = 0;
-    const std::size_t n = cbor_serialize_alloc(map.get(), &buffer, &size);
-    std::string out(reinterpret_cast<char*>(buffer), n);
+    std::size_t capacity = 0;
+    const std::size_t size = cbor_serialize_alloc(item, &buffer, &capacity);
+    std::string out(reinterpret_cast<char*>(buffer), size);
     free(buffer);  // NOLINT: allocated by the library with malloc
     return out;
 }
 
+std::optional<std::string> text_of(const cbor_item_t* item) {
+    if (!cbor_isa_string(item) || !cbor_string_is_definite(item)) return std::nullopt;
+    return std::string(reinterpret_cast<const char*>(cbor_string_handle(item)), cbor_string_length(item));
+}
+
+bool read_number(const cbor_item_t* item, std::uint64_t& into) {
+    if (!cbor_isa_uint(item)) return false;
+    into = cbor_get_int(item);
+    return true;
+}
+
+bool read_text(const cbor_item_t* item, std::string& into) {
+    auto text = text_of(item);
+    if (!text) return false;
+    into = std::move(*text);
+    return true;
+}
+
+bool read_flag(const cbor_item_t* item, bool& into) {
+    if (!cbor_is_bool(item)) return false;
+    into = cbor_get_bool(item);
+    return true;
+}
+
+bool read_cancelled(const cbor_item_t* item, PeerMessage& message) {
+    if (!cbor_isa_array(item) || cbor_array_size(item) % 2 != 0) return false;
+    cbor_item_t** const entries = cbor_array_handle(item);
+    for (std::size_t i = 0; i < cbor_array_size(item); i += 2) {
+        auto job = text_of(entries[i + 1]);
+        std::uint64_t revision = 0;
+        if (!job || !read_number(entries[i], revision)) return false;
+        message.cancelled.emplace_back(revision, std::move(*job));
+    }
+    return true;
+}
+
+// What one field of a message turned out to be.
+enum class FieldRead { malformed, required, optional, unknown };
+
+FieldRead field_read(bool well_formed, bool required) {
+    if (!well_formed) return FieldRead::malformed;
+    return required ? FieldRead::required : FieldRead::optional;
+}
+
+FieldRead read_field(std::string_view name, const cbor_item_t* item, PeerMessage& message) {
+    for (const auto* field : number_fields)
+        if (field->name == name)
+            return field_read(read_number(item, message.*(field->member)), field->required);
+    for (const auto* field : text_fields)
+        if (field->name == name) return field_read(read_text(item, message.*(field->member)), true);
+    for (const auto* field : flag_fields)
+        if (field->name == name)
+            return field_read(read_flag(item, message.*(field->member)), field->required);
+    if (name == cancelled_name) return field_read(read_cancelled(item, message), true);
+    return FieldRead::unknown;
+}
+
+}  // namespace
+
+std::string encode_peer_message(const PeerMessage& message) {
+    const Item map(cbor_new_definite_map(required_fields + optional_fields));
+    add(map.get(), node_field, message);
+    add(map.get(), token_field, message);
+    add(map.get(), leader_field, message);
+    add(map.get(), uptime_field, message);
+    add(map.get(), store_contact_field, message);
+    add(map.get(), heartbeat_field, message);
+    add(map.get(), revision_field, message);
+    add(map.get(), format_field, message);
+    add(map.get(), dependencies_field, message);
+    add(map.get(), confirms_field, message);
+    add_cancelled(map.get(), message);
+    return serialize(map.get());
+}
+
 std::optional<PeerMessage> parse_peer_message(std::string_view bytes) {
     cbor_load_result result{};
     const Item map(cbor_load(reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size(), &result));
     if (!map || result.error.code != CBOR_ERR_NONE || !cbor_isa_map(map.get())) return std::nullopt;
-    PeerMessage g;
+    PeerMessage message;
     int found = 0;
     const auto* pairs = cbor_map_handle(map.get());
     for (std::size_t i = 0; i < cbor_map_size(map.get()); ++i) {
-        const auto key = as_text(pairs[i].key);
-        const cbor_item_t* v = pairs[i].value;
-        if (!key) return std::nullopt;
-        auto number = [&](std::uint64_t& into) {
-            if (!cbor_isa_uint(v)) return false;
-            into = cbor_get_int(v);
-            return true;
-        };
-        auto text = [&](std::string& into) {
-            auto t = as_text(v);
-            if (t) into = std::move(*t);
-            return t.has_value();
-        };
-        bool ok = true, required = true;
-        if (*key == "node")
-            ok = text(g.node);
-        else if (*key == "leader")
-            ok = text(g.leader);
-        else if (*key == "token")
-            ok = number(g.fencing_token);
-        else if (*key == "up_ms")
-            ok = number(g.uptime_ms);
-        else if (*key == "state_age_ms")
-            ok = number(g.store_contact_age_ms);
-        else if (*key == "report_age_ms")
-            ok = number(g.heartbeat_age_ms);
-        else if (*key == "epoch")
-            ok = number(g.revision);
-        else if (*key == "vouches") {
-            ok = cbor_is_bool(v);
-            g.confirms_cancellations = ok && cbor_get_bool(v);
-        } else if (*key == "cancelled") {
-            ok = cbor_isa_array(v) && cbor_array_size(v) % 2 == 0;
-            for (std::size_t n = 0; ok && n < cbor_array_size(v); n += 2) {
-                const auto* revision = cbor_array_handle(v)[n];
-                auto id = as_text(cbor_array_handle(v)[n + 1]);
-                ok = cbor_isa_uint(revision) && id;
-                if (ok) g.cancelled.emplace_back(cbor_get_int(revision), std::move(*id));
-            }
-        } else {
-            required = false;
-            if (*key == "format") ok = number(g.format);
-            if (*key == "asked_to_depend") {
-                ok = cbor_is_bool(v);
-                g.dependencies_requested = ok && cbor_get_bool(v);
-            }
-        }
-        if (!ok) return std::nullopt;
-        found += required;
+        const auto name = text_of(pairs[i].key);
+        if (!name) return std::nullopt;
+        const auto read = read_field(*name, pairs[i].value, message);
+        if (read == FieldRead::malformed) return std::nullopt;
+        if (read == FieldRead::required) ++found;
     }
     if (found != required_fields) return std::nullopt;
-    return g;
+    return message;
 }
 
 }  // namespace pineroad::wire
--- /dev/null
+++ b/src/wire/store_protocol.cpp
@@ -0,0 +1,145 @@
+#include "wire/store_protocol.hpp"
+
+#include <boost/json/array.hpp>
+#include <boost/json/serialize.hpp>
+#include <utility>
+
+#include "wire/field_names.hpp"
+#include "wire/url.hpp"
+
+namespace pineroad::wire {
+namespace {
+
+namespace json = boost::json;
+
+// The value may be JSON's null, which counts as a value here.
+std::optional<Row> read_row(const json::object& object) {
+    auto key = read::text(object, field_name::key);
+    const auto mod_revision = read::count(object, field_name::mod_revision);
+    const auto* value = object.if_contains(field_name::value);
+    if (!key || !mod_revision || !value) return std::nullopt;
+    return Row{std::move(*key), *value, *mod_revision};
+}
+
+std::optional<WatchEvent> parse_watch_event(const Json& value) {
+    const auto* object = value.if_object();
+    const auto mod_revision = object ? read::count(*object, field_name::mod_revision) : std::nullopt;
+    if (!mod_revision) return std::nullopt;
+    if (auto key = read::text(*object, field_name::put)) {
+        const auto* put = object->if_contains(field_name::value);
+        if (!put) return std::nullopt;
+        return WatchEvent{std::move(*key), *put, *mod_revision};
+    }
+    if (auto key = read::text(*object, field_name::remove))
+        return WatchEvent{std::move(*key), std::nullopt, *mod_revision};
+    return std::nullopt;
+}
+
+Json change_json(const Change& change) {
+    if (!change.value) return json::object{{field_name::remove, change.key}};
+    json::object out{{field_name::put, change.key}, {field_name::value, *change.value}};
+    if (change.lease) out[field_name::lease] = *change.lease;
+    return out;
+}
+
+}  // namespace
+
+std::string store_target(std::string_view key) {
+    return "/store/" + std::string(key);
+}
+
+std::string list_store_target(std::string_view prefix, std::string_view after, int page) {
+    std::string out = "/store?Under=" + escape_query_value(prefix) + "&Page=" + std::to_string(page);
+    if (!after.empty()) out += "&Since=" + escape_query_value(after);
+    return out;
+}
+
+std::string watch_target(std::string_view prefix, std::uint64_t since, int block_ms) {
+    return "/follow?Under=" + escape_query_value(prefix) + "&Since=" + std::to_string(since) +
+           "&BlockMs=" + std::to_string(block_ms);
+}
+
+std::string commit_request(const Transaction& transaction) {
+    json::array conditions, changes;
+    for (const auto& condition : transaction.conditions)
+        conditions.push_back(json::object{{field_name::key, condition.key},
+                                          {field_name::mod_revision, condition.mod_revision}});
+    for (const auto& change : transaction.changes) changes.push_back(change_json(change));
+    return json::serialize(json::object{{field_name::conditions, std::move(conditions)},
+                                        {field_name::changes, std::move(changes)}});
+}
+
+std::optional<std::uint64_t> parse_revision(std::string_view body) {
+    const auto object = parse_object(body);
+    return object ? read::count(*object, field_name::revision) : std::nullopt;
+}
+
+std::vector<std::string> parse_failed_conditions(std::string_view body) {
+    std::vector<std::string> out;
+    const auto object = parse_object(body);
+    const auto* list = object ? read::list(*object, field_name::failed_conditions) : nullptr;
+    if (!list) return out;
+    for (const auto& key : *list)
+        if (key.is_string()) out.emplace_back(key.get_string());
+    return out;
+}
+
+std::optional<Row> parse_row(std::string_view body) {
+    const auto object = parse_object(body);
+    return object ? read_row(*object) : std::nullopt;
+}
+
+std::optional<Rows> parse_rows(std::string_view body) {
+    const auto object = parse_object(body);
+    if (!object) return std::nullopt;
+    const auto* list = read::list(*object, field_name::rows);
+    const auto revision = read::count(*object, field_name::revision);
+    if (!list || !revision) return std::nullopt;
+    Rows out;
+    out.revision = *revision;
+    out.truncated = read::flag(*object, field_name::truncated).value_or(false);
+    for (const auto& item : *list) {
+        const auto* fields = item.if_object();
+        auto row = fields ? read_row(*fields) : std::nullopt;
+        if (!row) return std::nullopt;
+        out.rows.push_back(std::move(*row));
+    }
+    return out;
+}
+
+std::optional<WatchEvents> parse_watch_events(std::string_view body) {
+    const auto object = parse_object(body);
+    const auto revision = object ? read::count(*object, field_name::revision) : std::nullopt;
+    if (!revision) return std::nullopt;
+    WatchEvents out;
+    out.revision = *revision;
+    const auto* value = read::field(*object, field_name::events);
+    if (!value) return out;
+    const auto* list = value->if_array();
+    if (!list) return std::nullopt;
+    for (const auto& item : *list) {
+        auto event = parse_watch_event(item);
+        if (!event) return std::nullopt;
+        out.events.push_back(std::move(*event));
+    }
+    return out;
+}
+
+std::string lease_request(int ttl_ms) {
+    return json::serialize(json::object{{field_name::lease_ttl_ms, ttl_ms}});
+}
+
+std::optional<std::uint64_t> parse_lease(std::string_view body) {
+    const auto object = parse_object(body);
+    return object ? read::count(*object, field_name::lease) : std::nullopt;
+}
+
+std::string renew_lease_target(std::uint64_t lease) {
+    return lease_target(lease) + "/touch";
+}
+
+std::string lease_target(std::uint64_t lease) {
+    return std::string(leases_path) + "/" + std::to_string(lease);
+}
+
+}  // namespace pineroad::wire
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -108,8 +108,8 @@
 
 std::string read_submission(const std::string& body) {
     const auto parsed = wire::parse_submission(body);
-    if (const auto* reason = std::get_if<std::string>(&parsed)) return "refused: " + *reason;
-    return "job " + print(std::get<model::JobSpec>(parsed));
+    if (!parsed) return "refused: " + parsed.error().text();
+    return "job " + print(*parsed);
 }
 
 std::string print(const model::ReportedTask& task) {
@@ -133,8 +133,8 @@
 
 std::string read_report(const std::string& body) {
     const auto parsed = wire::parse_heartbeat(body);
-    if (const auto* reason = std::get_if<std::string>(&parsed)) return "refused: " + *reason;
-    return "report " + print(std::get<model::Heartbeat>(parsed));
+    if (!parsed) return "refused: " + parsed.error().text();
+    return "report " + print(*parsed);
 }
 
 std::vector<model::Command> sample_orders() {
@@ -386,7 +386,7 @@
     for (const auto& [name, state] : states) {
         g.put(name, wire::job_status_response("j-1", state));
         g.put(std::string(name) + " with counts",
-              wire::job_status_response("j-1", state, std::pair{3ULL, 100000ULL}));
+              wire::job_status_response("j-1", state, wire::TaskCounts{3, 100000}));
     }
     for (const auto* reason : {"", "no such job", "a \"quoted\" reason \n\x01 \xc3\xa9"})
         g.put("error", wire::error_response(reason));
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -22,12 +22,12 @@
     return boost::json::serialize(doc);
 }
 bool accepted(const std::string& body) {
-    return std::holds_alternative<model::JobSpec>(wire::parse_submission(body));
+    return wire::parse_submission(body).has_value();
 }
 
 TEST(Wire, SubmissionIsStrictButForUnknownFields) {
     ASSERT_TRUE(accepted(good));
-    const auto s = std::get<model::JobSpec>(wire::parse_submission(good));
+    const auto s = wire::parse_submission(good).value();
     EXPECT_EQ(s.shape, model::Shape::gang);
     EXPECT_EQ(s.task_count, 16U);
     EXPECT_FALSE(s.zone);
@@ -65,8 +65,8 @@
     const auto r = wire::parse_heartbeat(
         R"({"Host":"m-1","Address":"10.1.0.2:9000","Breed":"g4","Yard":"a","Loaners":true,"Stint":1,"Tick":88,"Baton":41,"WarningS":null,)"
         R"("Pieces":[{"Piece":"j-000412/3","Try":2,"Status":"running"},{"Piece":"j-000398/0","Try":1,"Status":"ended","Cause":"done"}]})");
-    ASSERT_TRUE(std::holds_alternative<model::Heartbeat>(r));
-    const auto& report = std::get<model::Heartbeat>(r);
+    ASSERT_TRUE(r.has_value());
+    const auto& report = *r;
     EXPECT_EQ(report.fencing_token, 41U);
     ASSERT_EQ(report.tasks.size(), 2U);
     EXPECT_EQ(report.tasks[0].task.index, 3U);
@@ -76,7 +76,7 @@
         {"", "[]", "{}",
          R"({"Host":"m-1","Address":"a","Breed":"g","Yard":"a","Loaners":true,"Stint":-1,"Tick":1,"Baton":1,"Pieces":[]})",
          R"({"Host":"m-1","Address":"a","Breed":"g","Yard":"a","Loaners":true,"Stint":1,"Tick":1,"Baton":1,"Pieces":[{"Piece":"x","Try":1,"Status":"running"}]})"})
-        EXPECT_TRUE(std::holds_alternative<std::string>(wire::parse_heartbeat(body))) << body;
+        EXPECT_TRUE(wire::parse_heartbeat(body).has_error()) << body;
 }
 
 TEST(Wire, AnswersHaveTheProtocolsForm) {
