--- /dev/null
+++ b/src/wire/category_averages_record.cpp
@@ -0,0 +1,31 @@
+#include "wire/category_averages_record.hpp"
+
+#include <boost/json/array.hpp>
+#include <boost/json/object.hpp>
+#include <string>
+
+namespace pineroad::wire::records {
+
+namespace json = boost::json;
+
+Json category_averages_json(const model::CategoryAverages& averages) {
+    json::object out;
+    for (const auto& [category, average] : averages) out[category] = json::array{average.mean, average.count};
+    return out;
+}
+
+model::CategoryAverages parse_category_averages(const Json& value) {
+    model::CategoryAverages out;
+    const auto* object = value.if_object();
+    if (!object) return out;
+    for (const auto& [category, item] : *object) {
+        const auto* pair = item.if_array();
+        if (!pair || pair->size() != 2) continue;
+        const auto mean = read::number(&(*pair)[0]);
+        const auto count = read::count(&(*pair)[1]);
+        if (mean && count) out[std::string(category)] = {*mean, *count};
+    }
+    return out;
+}
+
+}  // namespace pineroad::wire::records
--- a/src/wire/cloud_protocol.hpp
+++ b/src/wire/cloud_protocol.hpp
@@ -12,11 +12,11 @@
 //   Hire                               name of a provisioning request, which makes it idempotent
 //   Breed, Yard, Loaners, Count        machine type, zone, spot instances, how many
 //   Hosts                              machines
-//   NameId, Address, Status, HeldS     machine, its address, status (booting, running, failed), its age in
-//   seconds Since, Page, Truncated             list after this machine, of at most so many, more follow
+//   NameId, Address                    machine, its address
+//   Status, HeldS                      machine status (booting, running, failed), age in seconds
+//   Since, Page, Truncated             list after this machine, of at most so many, more follow
 //
-// Each reader of an answer gives nothing if the answer is malformed; its caller then asks again, as after no
-// answer.
+// Each reader gives nothing if the answer is malformed; its caller then asks again, as after no answer.
 #pragma once
 
 #include <optional>
--- a/src/wire/field_reader.hpp
+++ b/src/wire/field_reader.hpp
@@ -18,7 +18,7 @@
 // unchanged. Keys are literals: the problem refers to them.
 class FieldReader {
    public:
-    // Of that object.
+    // Reads from that object.
     explicit FieldReader(const boost::json::object& object) : object_(object) {}
 
     // A string of 1 to constants::max_text bytes.
@@ -37,9 +37,10 @@
         else
             reject(key);
     }
-    // The same as read_text and read_amount, but null and missing are valid and leave nothing.
+    // As read_text, but null and missing are valid and leave nothing.
     void read_optional_text(std::string_view key, std::optional<std::string>& into);
-    void read_optional_amount(std::string_view key, std::optional<double>& into);  // see above
+    // As read_amount, but null and missing are valid and leave nothing.
+    void read_optional_amount(std::string_view key, std::optional<double>& into);
 
     // The field's value for a reader of the caller's own; null where the field is missing or JSON's null.
     [[nodiscard]] const Json* field(std::string_view key) const { return read::field(object_, key); }
--- a/src/wire/invalid_request.hpp
+++ b/src/wire/invalid_request.hpp
@@ -9,8 +9,7 @@
 
 // What is wrong with the body of a request, and with which of its fields.
 struct InvalidRequest {
-    // The first three tell of the whole body and name no field. `not_a_json_object` is either of the first
-    // two.
+    // The first three tell of the whole body and name no field; the third is either of the first two.
     enum class Kind { not_json, not_an_object, not_a_json_object, missing, invalid, missing_or_invalid };
 
     Kind kind = Kind::not_json;
--- /dev/null
+++ b/src/wire/job_record.cpp
@@ -0,0 +1,160 @@
+#include "wire/job_record.hpp"
+
+#include <algorithm>
+#include <boost/json/array.hpp>
+#include <boost/json/object.hpp>
+#include <boost/json/serialize.hpp>
+#include <utility>
+
+#include "wire/resources_record.hpp"
+
+namespace pineroad::wire::records {
+namespace {
+
+namespace json = boost::json;
+
+constexpr std::string_view id_prefix = "j-";  // that all ids share, and records leave out
+
+constexpr auto last_shape = static_cast<std::uint64_t>(model::Shape::service);
+constexpr auto last_priority = static_cast<std::uint64_t>(model::Priority::low);
+
+std::string join_ids(const std::vector<std::string>& ids, std::size_t first, std::size_t last) {
+    std::string out;
+    for (std::size_t i = first; i < last; ++i) {
+        if (!out.empty()) out += ' ';
+        out += ids[i].substr(id_prefix.size());
+    }
+    return out;
+}
+
+std::vector<std::string> split_ids(std::string_view text) {
+    std::vector<std::string> out;
+    while (!text.empty()) {
+        const auto end = std::min(text.find(' '), text.size());
+        if (end > 0) out.push_back(std::string(id_prefix).append(text.substr(0, end)));
+        text.remove_prefix(std::min(end + 1, text.size()));
+    }
+    return out;
+}
+
+// The end of the longest run of ids from `first` on whose text fits into so many bytes.
+std::size_t end_of_fitting_ids(const std::vector<std::string>& ids, std::size_t first, std::size_t bytes) {
+    std::size_t last = first, used = 0;
+    while (last < ids.size() && used + ids[last].size() - id_prefix.size() + 1 <= bytes)
+        used += ids[last++].size() - id_prefix.size() + 1;
+    return last;
+}
+
+// What was not given, or is none, stands in no field.
+void add_optional_fields(json::object& out, const model::JobSpec& spec) {
+    if (spec.allowed_machine_types) {
+        json::array types;
+        for (const auto& type : *spec.allowed_machine_types) types.emplace_back(type);
+        out["types"] = std::move(types);
+    }
+    if (spec.zone) out["zone"] = *spec.zone;
+    if (spec.deadline_s) out["due"] = *spec.deadline_s;
+    if (!spec.dependencies.empty()) out["after"] = join_ids(spec.dependencies, 0, spec.dependencies.size());
+    if (spec.dependency_records > 0) out["more"] = spec.dependency_records;
+}
+
+void read_optional_fields(const json::object& object, model::JobSpec& spec) {
+    if (const auto* types = read::list(object, "types")) {
+        spec.allowed_machine_types.emplace();
+        for (const auto& type : *types)
+            if (type.is_string()) spec.allowed_machine_types->emplace_back(type.get_string());
+    }
+    spec.zone = read::text(object, "zone");
+    spec.deadline_s = read::number(object, "due");
+    if (const auto after = read::text(object, "after")) spec.dependencies = split_ids(*after);
+    spec.dependency_records = static_cast<std::uint32_t>(read::count(object, "more").value_or(0));
+}
+
+}  // namespace
+
+Json job_json(const model::JobSpec& spec) {
+    json::object out{{"class", spec.job_class},
+                     {"team", spec.team},
+                     {"image", spec.image},
+                     {"shape", static_cast<int>(spec.shape)},
+                     {"prio", static_cast<int>(spec.priority)},
+                     {"tasks", spec.task_count},
+                     {"need", resources_json(spec.task_resources)},
+                     {"gb", spec.image_gb},
+                     {"one_zone", spec.same_zone},
+                     {"spread", spec.spread},
+                     {"spot", spec.allows_spot},
+                     {"est", spec.estimate_s},
+                     {"ckpt", spec.checkpoint_interval_s},
+                     {"save", spec.checkpoint_save_s},
+                     {"at", spec.accepted_ms}};
+    add_optional_fields(out, spec);
+    return out;
+}
+
+std::optional<JobRecords> job_records(const model::JobSpec& spec, std::size_t value_bytes,
+                                      std::size_t max_dependency_records) {
+    constexpr std::size_t frame = 16;  // of a list: its key, quotes and separators
+    const auto& ids = spec.dependencies;
+    model::JobSpec first = spec;
+    first.dependencies.clear();
+    first.dependency_records = static_cast<std::uint32_t>(max_dependency_records);
+    const auto own_bytes = json::serialize(job_json(first)).size() + frame;
+    if (own_bytes > value_bytes) return std::nullopt;
+    const auto in_job = end_of_fitting_ids(ids, 0, value_bytes - own_bytes);
+    JobRecords out;
+    for (auto next = in_job; next < ids.size();) {
+        const auto end = end_of_fitting_ids(ids, next, value_bytes - frame);
+        if (end == next || out.dependencies.size() == max_dependency_records) return std::nullopt;
+        out.dependencies.push_back(json::object{{"after", join_ids(ids, next, end)}});
+        next = end;
+    }
+    first.dependencies.assign(ids.begin(), ids.begin() + static_cast<std::ptrdiff_t>(in_job));
+    first.dependency_records = static_cast<std::uint32_t>(out.dependencies.size());
+    out.job = job_json(first);
+    return out;
+}
+
+std::optional<model::JobSpec> parse_job(const std::string& id, const Json& value) {
+    const auto* object = value.if_object();
+    if (!object) return std::nullopt;
+    const auto job_class = read::text(*object, "class");
+    const auto team = read::text(*object, "team");
+    const auto image = read::text(*object, "image");
+    const auto priority = read::count(*object, "prio");
+    const auto task_count = read::count(*object, "tasks");
+    const auto accepted_ms = read::count(*object, "at");
+    const auto task_resources = parse_resources(*object, "need");
+    if (!job_class || !team || !image || !priority || *priority > last_priority || !task_count ||
+        !accepted_ms || !task_resources)
+        return std::nullopt;
+    model::JobSpec spec;
+    spec.id = id;
+    spec.job_class = *job_class;
+    spec.team = *team;
+    spec.image = *image;
+    // Without a shape: an array. A shape that this version doesn't know counts as its last one.
+    spec.shape = static_cast<model::Shape>(std::min(read::count(*object, "shape").value_or(0), last_shape));
+    spec.priority = static_cast<model::Priority>(*priority);
+    spec.task_count = static_cast<std::uint32_t>(*task_count);
+    spec.task_resources = *task_resources;
+    spec.image_gb = read::number(*object, "gb").value_or(0);
+    spec.same_zone = read::flag(*object, "one_zone").value_or(false);
+    spec.spread = read::flag(*object, "spread").value_or(false);
+    spec.allows_spot = read::flag(*object, "spot").value_or(false);
+    spec.estimate_s = read::number(*object, "est").value_or(0);
+    spec.checkpoint_interval_s = read::number(*object, "ckpt").value_or(0);
+    spec.checkpoint_save_s = read::number(*object, "save").value_or(0);
+    spec.accepted_ms = static_cast<std::int64_t>(*accepted_ms);
+    read_optional_fields(*object, spec);
+    return spec;
+}
+
+std::optional<std::vector<std::string>> parse_dependencies(const Json& value) {
+    const auto* object = value.if_object();
+    const auto ids = object ? read::text(*object, "after") : std::nullopt;
+    if (!ids) return std::nullopt;
+    return split_ids(*ids);
+}
+
+}  // namespace pineroad::wire::records
--- /dev/null
+++ b/src/wire/outcome_record.cpp
@@ -0,0 +1,25 @@
+#include "wire/outcome_record.hpp"
+
+#include <boost/json/object.hpp>
+#include <cstdint>
+
+namespace pineroad::wire::records {
+
+namespace json = boost::json;
+
+Json outcome_json(const model::JobOutcome& outcome) {
+    json::object out{{"f", outcome.status == model::FinalStatus::done ? "done" : "cancelled"}};
+    if (outcome.ended_at_ms > 0) out["at"] = outcome.ended_at_ms;
+    return out;
+}
+
+std::optional<model::JobOutcome> parse_outcome(const Json& value) {
+    const auto* object = value.if_object();
+    const auto name = object ? read::text(*object, "f") : std::nullopt;
+    if (!name) return std::nullopt;
+    const auto status = *name == "done" ? model::FinalStatus::done : model::FinalStatus::cancelled;
+    const auto ended_at_ms = static_cast<std::int64_t>(read::count(*object, "at").value_or(0));
+    return model::JobOutcome{status, ended_at_ms};
+}
+
+}  // namespace pineroad::wire::records
--- /dev/null
+++ b/src/wire/progress_record.cpp
@@ -0,0 +1,96 @@
+#include "wire/progress_record.hpp"
+
+#include <boost/json/array.hpp>
+#include <boost/json/object.hpp>
+#include <charconv>
+#include <utility>
+
+#include "wire/resources_record.hpp"
+
+namespace pineroad::wire::records {
+namespace {
+
+namespace json = boost::json;
+
+constexpr char shard_mark = '#';
+
+bool read_done_tasks(const json::array& ranges, model::TaskSet& done) {
+    for (const auto& item : ranges) {
+        const auto* range = item.if_array();
+        if (!range || range->size() != 2) return false;
+        const auto first = read::count(&(*range)[0]);
+        const auto last = read::count(&(*range)[1]);
+        if (!first || !last) return false;
+        done += boost::icl::discrete_interval<std::uint32_t>::closed(static_cast<std::uint32_t>(*first),
+                                                                     static_cast<std::uint32_t>(*last));
+    }
+    return true;
+}
+
+bool read_placements(const json::array& list, std::vector<model::Placement>& placements) {
+    for (const auto& item : list) {
+        const auto* placement = item.if_array();
+        if (!placement || placement->size() != 3 || !(*placement)[2].is_string()) return false;
+        const auto index = read::count(&(*placement)[0]);
+        const auto attempt = read::count(&(*placement)[1]);
+        if (!index || !attempt) return false;
+        placements.push_back(
+            {static_cast<std::uint32_t>(*index), *attempt, std::string((*placement)[2].get_string())});
+    }
+    return true;
+}
+
+}  // namespace
+
+std::string entry_name(const EntryName& entry) {
+    return entry.shard == 0 ? entry.job : entry.job + shard_mark + std::to_string(entry.shard);
+}
+
+std::optional<EntryName> parse_entry_name(std::string_view name) {
+    const auto mark = name.find(shard_mark);
+    if (mark == std::string_view::npos) return EntryName{std::string(name), 0};
+    std::uint32_t shard = 0;
+    const auto digits = name.substr(mark + 1);
+    const auto* const digits_end = digits.data() + digits.size();
+    const auto [end, error] = std::from_chars(digits.data(), digits_end, shard);
+    if (error != std::errc() || end != digits_end || shard == 0) return std::nullopt;
+    return EntryName{std::string(name.substr(0, mark)), shard};
+}
+
+Json progress_json(const model::Progress& progress, std::uint32_t shard) {
+    json::array done, placements;
+    for (const auto& range : progress.done)
+        done.push_back(json::array{boost::icl::first(range), boost::icl::last(range)});
+    for (const auto& placement : progress.placements)
+        placements.push_back(json::array{placement.index, placement.attempt, placement.machine});
+    json::object out{{"d", std::move(done)}, {"r", std::move(placements)}, {"n", progress.next_attempt}};
+    if (progress.partial) out["c"] = true;
+    if (shard > 0) return out;
+    out["s"] = progress.checkpointed_run_s;
+    out["w"] = resources_json(progress.task_resources);
+    out["t"] = progress.team;
+    return out;
+}
+
+std::optional<model::Progress> parse_progress(const Json& value) {
+    const auto* object = value.if_object();
+    if (!object) return std::nullopt;
+    const auto* done = read::list(*object, "d");
+    const auto* placements = read::list(*object, "r");
+    const auto next_attempt = read::count(*object, "n");
+    if (!done || !placements || !next_attempt) return std::nullopt;
+    const auto task_resources = parse_resources(*object, "w");
+    auto team = read::text(*object, "t");
+    model::Progress progress;
+    progress.partial = read::flag(*object, "c").value_or(false);
+    if (!progress.partial && (!task_resources || !team)) return std::nullopt;
+    if (!read_done_tasks(*done, progress.done)) return std::nullopt;
+    if (!read_placements(*placements, progress.placements)) return std::nullopt;
+    progress.next_attempt = *next_attempt;
+    progress.checkpointed_run_s = read::number(*object, "s").value_or(0);
+    progress.task_resources = task_resources.value_or(model::Resources{});
+    if (team) progress.team = std::move(*team);
+    return progress;
+}
+
+}  // namespace pineroad::wire::records
--- /dev/null
+++ b/src/wire/resources_record.hpp
@@ -0,0 +1,18 @@
+// Resources as a part of records: [CPUs, GPUs, memory in GB].
+#pragma once
+
+#include <boost/json/array.hpp>
+#include <boost/json/object.hpp>
+#include <optional>
+#include <string_view>
+
+#include "model/model.hpp"
+
+namespace pineroad::wire::records {
+
+// The array.
+boost::json::array resources_json(const model::Resources& resources);
+// The reverse, of a field; nothing if it is missing or malformed.
+std::optional<model::Resources> parse_resources(const boost::json::object& object, std::string_view key);
+
+}  // namespace pineroad::wire::records
--- a/src/wire/store_protocol.hpp
+++ b/src/wire/store_protocol.hpp
@@ -17,8 +17,7 @@
 //   Under, Since, Page      prefix, after this key or revision, at most so many rows
 //   BlockMs                 how long a watch without events blocks, in milliseconds
 //
-// Each reader of an answer gives nothing if the answer is malformed; its caller then asks again, as after no
-// answer.
+// Each reader gives nothing if the answer is malformed; its caller then asks again, as after no answer.
 #pragma once
 
 #include <cstdint>
--- a/src/wire/worker_protocol.hpp
+++ b/src/wire/worker_protocol.hpp
@@ -11,9 +11,10 @@
 //   WarningS               interruption notice of a spot instance, in seconds
 //   Pieces, Piece, Try     tasks, one of them, its attempt
 //   Status                 task state: fetching, waiting: for its gang, running, saving: checkpointing,
-//   ended: exited Cause                  exit cause: done, stopped, mates_gone: gang member lost, alone: gang
-//   incomplete, error,
-//                          full: insufficient resources, busy: already running, unknown: unknown task
+//                          ended: exited
+//   Cause                  exit cause: done, stopped, mates_gone: gang member lost, alone: gang incomplete,
+//                          error, full: insufficient resources, busy: already running,
+//                          unknown: unknown task
 //   Saved                  its checkpoint was saved
 //   Orders, Verb           commands, kind of a command: start, stop, reap: forget an exited task
 //   LeewayS                grace period of a stop, in seconds
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -260,8 +260,8 @@
 }
 
 std::string print(const records::Segment& segment) {
-    std::string out =
-        "sequence " + print(segment.sequence.first) + "." + print(segment.sequence.second) + " entries";
+    std::string out = "sequence " + print(segment.sequence.fencing_token) + "." +
+                      print(segment.sequence.number) + " entries";
     for (const auto& [name, progress] : segment.entries)
         out +=
             " {" + name.job + " part " + std::to_string(name.shard) + " " + print_or_nothing(progress) + "}";
