--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -41,7 +41,7 @@
 // they are told on ends, so that the balancer can take them to another node.
 net::HttpServer::Limits Controller::public_server_limits() {
     net::HttpServer::Limits l;
-    l.connections = sockets_.front;
+    l.connections = sockets_.public_api;
     l.ordinary = sockets_.users;
     l.first_request_s = c::first_request_s;
     l.ordinary_idle_s = c::user_idle_s;
@@ -58,7 +58,7 @@
 
 net::HttpServer::Limits Controller::peer_server_limits() const {
     net::HttpServer::Limits l;
-    l.connections = sockets_.mesh;
+    l.connections = sockets_.peer_api;
     l.first_request_s = l.prioritized_idle_s = c::first_request_s;
     return l;
 }
--- a/src/controller/leader_loops.cpp
+++ b/src/controller/leader_loops.cpp
@@ -242,7 +242,7 @@
     // A stop needs no lease: it carries the token and the session, and ends only what has to end. Without the
     // state service these are the tasks of cancelled jobs.
     if (term->over) term->stops.clear();
-    while (!term->stops.empty() && term->max_stops_in_flight < sockets_.stops) {
+    while (!term->stops.empty() && term->max_stops_in_flight < sockets_.direct_commands) {
         auto next = std::move(term->stops.front());
         term->stops.pop_front();
         if (now() - next.decided > settings_.gang_failure_detection_s + settings_.heartbeat_period_s)
--- a/src/net/notification.hpp
+++ b/src/net/notification.hpp
@@ -1,25 +1,26 @@
 // Wakes coroutines that wait for something to change. One thread, no locks.
 #pragma once
 
-#include <boost/asio/as_tuple.hpp>
 #include <boost/asio/this_coro.hpp>
-#include <boost/asio/use_awaitable.hpp>
 #include <list>
 
-#include "net/http.hpp"
+#include "net/clock.hpp"
 
 namespace pineroad::net {
 
+// A condition variable for coroutines. It must outlive those that wait for it.
 class Notification {
    public:
+    // Suspends the coroutine until the next notify(), or for at most so many seconds.
     awaitable<void> wait(double at_most_s) {
-        Timer timer(co_await boost::asio::this_coro::executor, seconds(at_most_s));
-        const auto at = waiting_.insert(waiting_.end(), &timer);
-        co_await timer.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
-        waiting_.erase(at);
+        Timer timer(co_await asio::this_coro::executor, seconds(at_most_s));
+        const auto position = waiting_.insert(waiting_.end(), &timer);
+        co_await timer.async_wait(tuple_awaitable);
+        waiting_.erase(position);
     }
+    // Wakes all that wait now; whoever waits later is not woken.
     void notify() {
-        for (auto* t : waiting_) t->cancel();
+        for (auto* timer : waiting_) timer->cancel();
     }
 
    private:
--- a/src/net/socket_budget.hpp
+++ b/src/net/socket_budget.hpp
@@ -2,35 +2,24 @@
 // Machines come first: each of them reports to the leader over a connection of its own.
 #pragma once
 
-#include <algorithm>
 #include <cstddef>
 
-#include "config/constants.hpp"
 #include "config/settings.hpp"
 
 namespace pineroad::net {
 
+// Most connections of each use.
 struct SocketBudget {
-    std::size_t front = 0;  // users and workers together
-    std::size_t users = 0;  // at most so many of them
-    std::size_t mesh = 0;   // from other controllers
-    std::size_t stops = 0;  // stops under way to workers
-    [[nodiscard]] std::size_t workers() const { return front - users; }
+    std::size_t public_api = 0;       // from users and workers together
+    std::size_t users = 0;            // of these, from users
+    std::size_t peer_api = 0;         // from other controllers
+    std::size_t direct_commands = 0;  // to workers
+    // What users leave of the public API.
+    [[nodiscard]] std::size_t workers() const { return public_api - users; }
 };
 
-inline SocketBudget allocate_sockets(const config::Settings& s) {
-    namespace c = constants;
-    const auto all = static_cast<std::size_t>(s.max_sockets);
-    const auto peers = std::max<std::size_t>(1, s.peers.size());
-    SocketBudget out;
-    out.users = std::max<std::size_t>(2, static_cast<std::size_t>(static_cast<double>(all) * c::user_share));
-    // Where there are few, nobody gets more than an eighth beside users and workers.
-    out.mesh = std::clamp<std::size_t>(c::sockets_per_peer * peers, 1, all / 8);
-    out.stops = std::clamp<std::size_t>(c::max_stops_in_flight, 1, all / 8);
-    const auto other = out.mesh + out.stops + std::min(c::sockets_per_peer * peers, all / 8) +
-                       std::min(2 * c::client_connections + c::spare_sockets, all / 4);
-    out.front = all - other;
-    return out;
-}
+// The budget for the settings' number of sockets and of peers. What it leaves serves requests to peers, to
+// the store and to the cloud.
+SocketBudget allocate_sockets(const config::Settings& settings);
 
 }  // namespace pineroad::net
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -103,9 +103,10 @@
             const auto shares = net::allocate_sockets(s);
             EXPECT_GE(shares.workers(), 2U);
             EXPECT_GE(shares.users, 2U);
-            EXPECT_GE(shares.mesh, 1U);
-            EXPECT_GE(shares.stops, 1U);
-            EXPECT_LT(shares.front + shares.mesh + shares.stops, static_cast<std::size_t>(all));
+            EXPECT_GE(shares.peer_api, 1U);
+            EXPECT_GE(shares.direct_commands, 1U);
+            EXPECT_LT(shares.public_api + shares.peer_api + shares.direct_commands,
+                      static_cast<std::size_t>(all));
         }
     config::Settings s;
     s.max_sockets = 3362;
