--- a/src/controller/leader_loops.cpp
+++ b/src/controller/leader_loops.cpp
@@ -242,7 +242,7 @@
     // A stop needs no lease: it carries the token and the session, and ends only what has to end. Without the
     // state service these are the tasks of cancelled jobs.
     if (term->over) term->stops.clear();
-    while (!term->stops.empty() && term->max_stops_in_flight < sockets_.stops) {
+    while (!term->stops.empty() && term->max_stops_in_flight < sockets_.direct_commands) {
         auto next = std::move(term->stops.front());
         term->stops.pop_front();
         if (now() - next.decided > settings_.gang_failure_detection_s + settings_.heartbeat_period_s)
@@ -372,8 +372,8 @@
 
 net::awaitable<Reply> Controller::handle_heartbeat(std::string body) {
     const auto parsed = wire::parse_heartbeat(body);
-    if (const auto* why = std::get_if<std::string>(&parsed)) co_return Reply{400, wire::error_response(*why)};
-    const auto& report = std::get<model::Heartbeat>(parsed);
+    if (!parsed) co_return Reply{400, wire::error_response(parsed.error().text())};
+    const auto& report = *parsed;
     observe_token(report.fencing_token, "");
     const auto term = term_;
     auto redirect = [&] {
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -105,9 +105,9 @@
     const auto shares = net::allocate_sockets(s);
     EXPECT_GE(shares.workers(), 2U);
     EXPECT_GE(shares.users, 2U);
-    EXPECT_GE(shares.mesh, 1U);
-    EXPECT_GE(shares.stops, 1U);
-    EXPECT_LT(shares.front + shares.mesh + shares.stops, static_cast<std::size_t>(all));
+    EXPECT_GE(shares.peer_api, 1U);
+    EXPECT_GE(shares.direct_commands, 1U);
+    EXPECT_LT(shares.public_api + shares.peer_api + shares.direct_commands, static_cast<std::size_t>(all));
 }
 
 INSTANTIATE_TEST_SUITE_P(Limits, SocketBudget,
