--- a/src/cluster/durable_writes.cpp
+++ b/src/cluster/durable_writes.cpp
@@ -8,6 +8,7 @@
 
 #include "cluster/cluster_state.hpp"
 #include "config/constants.hpp"
+#include "scheduling/xfactor.hpp"
 
 namespace pineroad::cluster {
 
--- a/src/cluster/planning.cpp
+++ b/src/cluster/planning.cpp
@@ -7,6 +7,10 @@
 
 #include "cluster/cluster_state.hpp"
 #include "config/constants.hpp"
+#include "scheduling/autoscaling.hpp"
+#include "scheduling/placement.hpp"
+#include "scheduling/preemption.hpp"
+#include "scheduling/xfactor.hpp"
 
 namespace pineroad::cluster {
 
--- a/src/cluster/provisioning_requests.hpp
+++ b/src/cluster/provisioning_requests.hpp
@@ -10,6 +10,7 @@
 #include <vector>
 
 #include "model/model.hpp"
+#include "scheduling/autoscaling.hpp"
 #include "scheduling/snapshot.hpp"
 #include "store/watch_cache.hpp"
 
--- a/src/scheduling/autoscaling.cpp
+++ b/src/scheduling/autoscaling.cpp
@@ -1,8 +1,12 @@
+#include "scheduling/autoscaling.hpp"
+
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "scheduling/snapshot.hpp"
+#include "scheduling/eligibility.hpp"
+#include "scheduling/reservation.hpp"
+#include "scheduling/xfactor.hpp"
 
 namespace pineroad::scheduling {
 namespace {
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -1,3 +1,5 @@
+#include "scheduling/placement.hpp"
+
 #include <algorithm>
 #include <climits>
 #include <cmath>
@@ -6,7 +8,9 @@
 #include <tuple>
 
 #include "config/constants.hpp"
-#include "scheduling/snapshot.hpp"
+#include "scheduling/eligibility.hpp"
+#include "scheduling/reservation.hpp"
+#include "scheduling/xfactor.hpp"
 
 namespace pineroad::scheduling {
 namespace {
@@ -56,150 +60,6 @@
 
 }  // namespace
 
-double xfactor(double waited_s, double estimate_s) {
-    const double e = std::max(estimate_s, 1.0);
-    return (std::max(waited_s, 0.0) + e) / e;
-}
-
-std::vector<PendingJob*> pending_queue(std::vector<PendingJob>& jobs) {
-    std::vector<PendingJob*> line;
-    for (auto& j : jobs)
-        if (!j.pending_tasks.empty()) line.push_back(&j);
-    std::stable_sort(line.begin(), line.end(),
-                     [](const PendingJob* a, const PendingJob* b) { return a->xfactor > b->xfactor; });
-    return line;
-}
-
-double width(const model::JobSpec& spec) {
-    return spec.task_resources.cpus * (spec.shape == model::Shape::gang ? spec.task_count : 1);
-}
-
-std::string category(const model::JobSpec& spec, const config::Tuning& t) {
-    auto band = [](double v, double unit) { return v < unit ? 0 : v < 4 * unit ? 1 : v < 16 * unit ? 2 : 3; };
-    return "w" + std::to_string(band(width(spec), t.category_width_cpus)) + "l" +
-           std::to_string(band(spec.estimate_s, t.category_length_s));
-}
-
-bool allowed_on(const model::JobSpec& spec, const std::string& type, const std::string& zone, bool spot) {
-    return spec.allows_type(type) && (!spec.zone || *spec.zone == zone) && (!spot || spec.allows_spot);
-}
-
-bool zone_allowed(const PendingJob& job, const std::string& zone) {
-    if (job.spec->same_zone)
-        for (const auto& [z, n] : job.tasks_by_zone)
-            if (n > 0 && z != zone) return false;
-    if (job.spec->spread) {
-        const auto it = job.tasks_by_zone.find(zone);
-        if ((it == job.tasks_by_zone.end() ? 0 : it->second) + 1 > (job.spec->task_count + 1) / 2)
-            return false;
-    }
-    return true;
-}
-
-bool within_limit(const Snapshot& p, const model::JobSpec& spec, double n) {
-    const auto* team = p.settings->team(spec.team);
-    if (!team) return false;
-    const auto it = p.usage.find(spec.team);
-    const TeamUsage use = it == p.usage.end() ? TeamUsage{} : it->second;
-    constexpr double slack = 1e-6;
-    return (team->cpus_max <= 0 || use.cpus + n * spec.task_resources.cpus <= team->cpus_max + slack) &&
-           (team->gpus_max <= 0 || use.gpus + n * spec.task_resources.gpus <= team->gpus_max + slack);
-}
-
-int task_capacity(const model::JobSpec& spec, const model::Resources& room) {
-    double n = 1e6;
-    auto limit = [&](double task_resources, double have) {
-        if (task_resources > 0) n = std::min(n, std::floor((have + 1e-6) / task_resources));
-    };
-    limit(spec.task_resources.cpus, room.cpus);
-    limit(spec.task_resources.gpus, room.gpus);
-    limit(spec.task_resources.memory_gb, room.memory_gb);
-    return static_cast<int>(n);
-}
-
-double price_ratio(const Snapshot& p, const model::JobSpec& spec, const std::string& type, bool spot) {
-    double cheapest = 0, own = 0;
-    for (const auto& pool : p.pools) {
-        const int n = task_capacity(spec, pool.type->capacity);
-        if (n < 1 || !allowed_on(spec, pool.type->name, pool.zone, pool.spot)) continue;
-        const double price = pool.price() / n;
-        if (cheapest <= 0 || price < cheapest) cheapest = price;
-        if (pool.type->name == type && pool.spot == spot) own = price;
-    }
-    return cheapest > 0 && own > 0 ? std::max(1.0, own / cheapest) : 1.0;
-}
-
-int headroom(const Snapshot& p, const ClassDemand& d) {
-    if (!d.start_within_s) return 0;
-    double boot = 0;
-    for (const auto& pool : p.pools)
-        if (allowed_on(d.sample, pool.type->name, pool.zone, pool.spot) &&
-            d.sample.task_resources.fits_in(pool.type->capacity))
-            boot = std::max(boot, pool.type->boot_s);
-    // Arrivals of the time by which a boot overshoots the aim: a machine rented for them would come too late.
-    return static_cast<int>(
-        std::lround(p.tuning->headroom * d.arrivals_per_s * std::max(0.0, boot - *d.start_within_s)));
-}
-
-int eligible_pool_count(const Snapshot& p, const model::JobSpec& spec) {
-    int n = 0;
-    for (const auto& pool : p.pools)
-        n += allowed_on(spec, pool.type->name, pool.zone, pool.spot) &&
-             spec.task_resources.fits_in(pool.type->capacity);
-    return n;
-}
-
-std::map<std::string, int> constrained_class_reservations(const Snapshot& p) {
-    std::map<std::string, int> out;
-    if (p.demand.empty()) return out;
-    std::map<std::string_view, double> waiting;
-    for (const auto& j : p.jobs) waiting[j.spec->job_class] += static_cast<double>(j.pending_tasks.size());
-    const auto pools = pools_of(p);
-    for (const auto& [name, d] : p.demand) {
-        double claim = headroom(p, d);
-        if (const auto w = waiting.find(name); w != waiting.end()) claim += w->second;
-        if (claim <= 0) continue;
-        std::vector<bool> suits;
-        int own = 0;
-        for (const auto& pool : p.pools) {
-            suits.push_back(allowed_on(d.sample, pool.type->name, pool.zone, pool.spot) &&
-                            d.sample.task_resources.fits_in(pool.type->capacity));
-            own += suits.back();
-        }
-        suits.push_back(false);  // machines of no known pool
-        // The emptiest first: they are free for the class soonest.
-        std::vector<std::pair<const MachineSnapshot*, std::size_t>> usable;
-        for (std::size_t i = 0; i < p.machines.size(); ++i) {
-            const auto& m = p.machines[i];
-            if ((m.ready || m.booting) && suits[pools[i]] && !m.classes.contains(name))
-                usable.emplace_back(&m, pools[i]);
-        }
-        std::stable_sort(usable.begin(), usable.end(), [](const auto& a, const auto& b) {
-            return a.first->running_tasks < b.first->running_tasks;
-        });
-        for (const auto& [m, pool] : usable) {
-            if (claim <= 0) break;
-            claim -= std::max(1, task_capacity(d.sample, p.pools[pool].type->capacity));
-            auto [at, fresh] = out.try_emplace(m->id, own);
-            at->second = std::min(at->second, own);
-        }
-    }
-    return out;
-}
-
-std::vector<std::size_t> pools_of(const Snapshot& p) {
-    std::map<std::tuple<std::string_view, std::string_view, bool>, std::size_t> index;
-    for (std::size_t i = 0; i < p.pools.size(); ++i)
-        index[{p.pools[i].type->name, p.pools[i].zone, p.pools[i].spot}] = i;
-    std::vector<std::size_t> out;
-    out.reserve(p.machines.size());
-    for (const auto& m : p.machines) {
-        const auto it = index.find({m.type, m.zone, m.spot});
-        out.push_back(it == index.end() ? p.pools.size() : it->second);
-    }
-    return out;
-}
-
 std::vector<PlacementDecision> place_tasks(Snapshot& p) {
     std::vector<PlacementDecision> out;
     const auto held = reserve_machines(p);
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -1,122 +1,121 @@
+#include "scheduling/preemption.hpp"
+
 #include <algorithm>
+#include <cstddef>
+#include <map>
 
-#include "scheduling/snapshot.hpp"
+#include "scheduling/eligibility.hpp"
+#include "scheduling/placement.hpp"
+#include "scheduling/xfactor.hpp"
 
 namespace pineroad::scheduling {
 namespace {
 
-// PROTOCOL "Preemption" on top of the design's three tests: who may stop whom at all.
-bool may_stop(const Snapshot& p, const PendingJob& waiting, const RunningGang& running) {
-    if (waiting.priority < running.priority) return true;
-    const auto &waiter = *waiting.spec, &victim = *running.spec;
-    if (waiter.team == victim.team) return false;
-    const auto *ours = p.settings->team(waiter.team), *theirs = p.settings->team(victim.team);
-    if (!ours || !theirs || (ours->cpus <= 0 && ours->gpus <= 0)) return false;
-    auto use_of = [&](const std::string& team) {
-        const auto it = p.usage.find(team);
-        return it == p.usage.end() ? TeamUsage{} : it->second;
-    };
-    const auto mine = use_of(waiter.team), other = use_of(victim.team);
-    const double n = waiter.shape == model::Shape::gang ? waiter.task_count : 1;
-    const bool owed = mine.cpus + n * waiter.task_resources.cpus <= ours->cpus + 1e-6 &&
-                      mine.gpus + n * waiter.task_resources.gpus <= ours->gpus + 1e-6;
-    const bool beyond = other.cpus > theirs->cpus + 1e-6 || other.gpus > theirs->gpus + 1e-6;
-    return owed && beyond;
+constexpr double amount_slack = 1e-6;  // amounts are decimal numbers; sums of them are not exact
+
+TeamUsage usage_of(const Snapshot& snapshot, const std::string& team) {
+    const auto found = snapshot.usage.find(team);
+    return found == snapshot.usage.end() ? TeamUsage{} : found->second;
+}
+
+// PROTOCOL "Preemption", on top of the design's three tests: work of a lower priority may be stopped, and
+// work of a team beyond its guarantee by a team that stays within its own.
+bool may_preempt(const Snapshot& snapshot, const PendingJob& waiter, const RunningGang& victim) {
+    if (waiter.priority < victim.priority) return true;
+    const auto &waiting = *waiter.spec, &running = *victim.spec;
+    if (waiting.team == running.team) return false;
+    const auto* waiting_team = snapshot.settings->team(waiting.team);
+    const auto* running_team = snapshot.settings->team(running.team);
+    if (!waiting_team || !running_team || (waiting_team->cpus <= 0 && waiting_team->gpus <= 0)) return false;
+    const auto waiting_usage = usage_of(snapshot, waiting.team);
+    const auto running_usage = usage_of(snapshot, running.team);
+    const double tasks = waiting.shape == model::Shape::gang ? waiting.task_count : 1;
+    const auto& task = waiting.task_resources;
+    const bool stays_within = waiting_usage.cpus + tasks * task.cpus <= waiting_team->cpus + amount_slack &&
+                              waiting_usage.gpus + tasks * task.gpus <= waiting_team->gpus + amount_slack;
+    const bool is_beyond = running_usage.cpus > running_team->cpus + amount_slack ||
+                           running_usage.gpus > running_team->gpus + amount_slack;
+    return stays_within && is_beyond;
 }
 
-bool is_victim(const Snapshot& p, const PendingJob& waiter, const RunningGang& victim) {
+// The average slowdown of the job's category. A category nobody has finished in yet counts as one without
+// any.
+double category_average(const Snapshot& snapshot, const model::JobSpec& spec) {
+    const auto found = snapshot.category_averages.find(category(spec, *snapshot.tuning));
+    const bool unknown = found == snapshot.category_averages.end() || found->second.count == 0;
+    return unknown ? 1.0 : found->second.mean;
+}
+
+bool is_victim(const Snapshot& snapshot, const PendingJob& waiter, const RunningGang& victim) {
     if (!victim.stoppable || victim.spec->checkpoint_interval_s <= 0) return false;
-    if (!may_stop(p, waiter, victim)) return false;
-    const auto& t = *p.tuning;
-    if (waiter.xfactor < t.preemption_factor * victim.xfactor) return false;
-    if (width(*victim.spec) > t.width_ratio * width(*waiter.spec)) return false;
-    // The paper's prose bounds the victim, its formula the waiter; the design takes the prose. A category
-    // nobody has finished in yet counts as one without any slowdown.
-    const auto mean = p.category_averages.find(category(*victim.spec, t));
-    const double average =
-        mean == p.category_averages.end() || mean->second.count == 0 ? 1.0 : mean->second.mean;
-    return victim.xfactor <= t.category_multiplier * average;
+    if (!may_preempt(snapshot, waiter, victim)) return false;
+    const auto& tuning = *snapshot.tuning;
+    if (waiter.xfactor < tuning.preemption_factor * victim.xfactor) return false;
+    if (width(*victim.spec) > tuning.width_ratio * width(*waiter.spec)) return false;
+    // The paper's prose (section 4.5) bounds the victim, its formula the waiter; the design takes the prose.
+    return victim.xfactor <= tuning.category_multiplier * category_average(snapshot, *victim.spec);
+}
+
+// All victims that the tests allow for the waiter, the widest first.
+std::vector<const RunningGang*> possible_victims(const Snapshot& snapshot, const PendingJob& waiter) {
+    std::vector<const RunningGang*> victims;
+    for (const auto& gang : snapshot.running_gangs)
+        if (is_victim(snapshot, waiter, gang)) victims.push_back(&gang);
+    std::stable_sort(victims.begin(), victims.end(), [](const RunningGang* a, const RunningGang* b) {
+        return width(*a->spec) > width(*b->spec);
+    });
+    return victims;
 }
 
-// Whether the waiter (a gang whole, an array with one task) fits once the machines have the given extra room.
-bool fits(const Snapshot& p, const PendingJob& waiter, const std::map<std::string, model::Resources>& freed) {
-    Snapshot trial;
-    trial.machines = p.machines;
-    trial.pools = p.pools;
-    trial.usage = p.usage;
-    trial.settings = p.settings;
-    trial.tuning = p.tuning;
-    for (auto& m : trial.machines)
-        if (const auto it = freed.find(m.id); it != freed.end()) m.free += it->second;
+// Whether the waiter (a gang whole, an array with one task) can be placed once the first `count` victims have
+// stopped.
+bool fits_without(const Snapshot& snapshot, const PendingJob& waiter,
+                  const std::vector<const RunningGang*>& victims, std::size_t count) {
+    std::map<std::string, model::Resources> freed;
+    for (std::size_t i = 0; i < count; ++i)
+        for (const auto& machine : victims[i]->machines) freed[machine] += victims[i]->spec->task_resources;
+    Snapshot trial;  // without demand and running gangs: the waiter alone, no machines reserved for classes
+    trial.machines = snapshot.machines;
+    trial.pools = snapshot.pools;
+    trial.usage = snapshot.usage;
+    trial.settings = snapshot.settings;
+    trial.tuning = snapshot.tuning;
+    for (auto& machine : trial.machines)
+        if (const auto found = freed.find(machine.id); found != freed.end()) machine.free += found->second;
     trial.jobs.push_back(waiter);
-    trial.jobs.back().waited_s = 0;  // no holding inside the trial
+    trial.jobs.back().waited_s = 0;  // no reservation inside the trial
     return !place_tasks(trial).empty();
 }
 
-}  // namespace
-
-std::optional<Preemption> select_preemption(const Snapshot& p) {
-    auto jobs = p.jobs;
-    const auto order = pending_queue(jobs);
-    for (const auto* waiter : order) {
-        std::vector<const RunningGang*> candidates;
-        for (const auto& g : p.running_gangs)
-            if (is_victim(p, *waiter, g)) candidates.push_back(&g);
-        if (candidates.empty()) continue;
-        std::stable_sort(
-            candidates.begin(), candidates.end(),
-            [](const RunningGang* a, const RunningGang* b) { return width(*a->spec) > width(*b->spec); });
-        // More victims make more room: the fewest that suffice are found by halving, not by trying each.
-        const auto enough = [&](std::size_t n) {
-            std::map<std::string, model::Resources> freed;
-            for (std::size_t i = 0; i < n; ++i)
-                for (const auto& m : candidates[i]->machines) freed[m] += candidates[i]->spec->task_resources;
-            return fits(p, *waiter, freed);
-        };
-        if (!enough(candidates.size())) continue;  // all of them make no room: no job is stopped
-        std::size_t low = 1, high = candidates.size();
-        while (low < high) {
-            const auto middle = (low + high) / 2;
-            if (enough(middle))
-                high = middle;
-            else
-                low = middle + 1;
-        }
-        Preemption out{waiter->spec->id, {}};
-        for (std::size_t i = 0; i < low; ++i) out.victims.push_back(candidates[i]->spec->id);
-        return out;
+// How many of the victims, from the first on, make room for the waiter; 0 where all together don't. More
+// victims make more room: the fewest are found by halving, not by trying each number.
+std::size_t fewest_sufficient(const Snapshot& snapshot, const PendingJob& waiter,
+                              const std::vector<const RunningGang*>& victims) {
+    if (victims.empty() || !fits_without(snapshot, waiter, victims, victims.size())) return 0;
+    std::size_t low = 1, high = victims.size();
+    while (low < high) {
+        const auto middle = (low + high) / 2;
+        if (fits_without(snapshot, waiter, victims, middle))
+            high = middle;
+        else
+            low = middle + 1;
     }
-    return std::nullopt;
+    return low;
 }
 
-Reservation reserve_machines(const Snapshot& p) {
-    const PendingJob* holder = nullptr;
-    for (const auto& j : p.jobs)
-        if (!j.pending_tasks.empty() && j.spec->shape == model::Shape::gang &&
-            j.waited_s > p.tuning->reservation_wait_s && (!holder || j.waited_s > holder->waited_s) &&
-            within_limit(p, *j.spec, static_cast<double>(j.pending_tasks.size())))
-            holder = &j;
-    if (!holder) return {};
-    const auto& spec = *holder->spec;
-    const auto suits = [&](const MachineSnapshot& m) {
-        return m.ready && spec.task_resources.fits_in(m.free) && allowed_on(spec, m.type, m.zone, m.spot) &&
-               zone_allowed(*holder, m.zone) && !holder->excluded_machines.contains(m.id);
-    };
-    // Machines of two zones are of no use to a gang that must stay together: the zone with most room it is.
-    std::map<std::string, int> room;
-    for (const auto& m : p.machines)
-        if (suits(m)) room[m.zone] += task_capacity(spec, m.free);
-    const auto widest = std::max_element(room.begin(), room.end(),
-                                         [](const auto& a, const auto& b) { return a.second < b.second; });
-    Reservation out{spec.id, {}};
-    auto missing = static_cast<int>(holder->pending_tasks.size());
-    for (const auto& m : p.machines) {
-        if (missing <= 0) break;
-        if (!suits(m) || (spec.same_zone && m.zone != widest->first)) continue;
-        out.machines.insert(m.id);
-        missing -= task_capacity(spec, m.free);
+}  // namespace
+
+std::optional<Preemption> select_preemption(const Snapshot& snapshot) {
+    auto jobs = snapshot.jobs;
+    for (const auto* waiter : pending_queue(jobs)) {
+        const auto victims = possible_victims(snapshot, *waiter);
+        const auto count = fewest_sufficient(snapshot, *waiter, victims);
+        if (count == 0) continue;  // all of them make no room: no job is stopped
+        Preemption preemption{waiter->spec->id, {}};
+        for (std::size_t i = 0; i < count; ++i) preemption.victims.push_back(victims[i]->spec->id);
+        return preemption;
     }
-    return out;
+    return std::nullopt;
 }
 
 }  // namespace pineroad::scheduling
--- /dev/null
+++ b/src/scheduling/reservation.cpp
@@ -0,0 +1,134 @@
+#include "scheduling/reservation.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <cstddef>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "scheduling/eligibility.hpp"
+
+namespace pineroad::scheduling {
+namespace {
+
+// The gang that has waited longest, beyond the time after which a gang gets a reservation.
+const PendingJob* reservation_holder(const Snapshot& snapshot) {
+    const PendingJob* holder = nullptr;
+    for (const auto& job : snapshot.jobs)
+        if (!job.pending_tasks.empty() && job.spec->shape == model::Shape::gang &&
+            job.waited_s > snapshot.tuning->reservation_wait_s &&
+            (!holder || job.waited_s > holder->waited_s) &&
+            within_limit(snapshot, *job.spec, static_cast<double>(job.pending_tasks.size())))
+            holder = &job;
+    return holder;
+}
+
+bool has_room_for(const PendingJob& holder, const MachineSnapshot& machine) {
+    const auto& spec = *holder.spec;
+    return machine.ready && spec.task_resources.fits_in(machine.free) && allowed_on(spec, machine) &&
+           zone_allowed(holder, machine.zone) && !holder.excluded_machines.contains(machine.id);
+}
+
+// The zone with room for most of the holder's tasks; empty where no zone has any.
+std::string zone_with_most_room(const Snapshot& snapshot, const PendingJob& holder) {
+    std::map<std::string, int> tasks_by_zone;
+    for (const auto& machine : snapshot.machines)
+        if (has_room_for(holder, machine))
+            tasks_by_zone[machine.zone] += task_capacity(*holder.spec, machine.free);
+    const auto widest = std::max_element(tasks_by_zone.begin(), tasks_by_zone.end(),
+                                         [](const auto& a, const auto& b) { return a.second < b.second; });
+    return widest == tasks_by_zone.end() ? std::string() : widest->first;
+}
+
+// Which pools can run the class, by index, and how many they are.
+struct EligiblePools {
+    std::vector<bool> eligible;
+    int count = 0;
+};
+
+EligiblePools eligible_pools(const Snapshot& snapshot, const model::JobSpec& spec) {
+    EligiblePools pools;
+    for (const auto& pool : snapshot.pools) {
+        pools.eligible.push_back(can_run_on(spec, pool));
+        pools.count += pools.eligible.back();
+    }
+    pools.eligible.push_back(false);  // machines of no known pool
+    return pools;
+}
+
+struct PooledMachine {
+    const MachineSnapshot* machine;
+    std::size_t pool;  // index into the snapshot's pools
+};
+
+// Machines in these pools that have no task of the class yet, the emptiest first: they are free for it
+// soonest.
+std::vector<PooledMachine> usable_machines(const Snapshot& snapshot, const std::string& job_class,
+                                           const EligiblePools& pools,
+                                           const std::vector<std::size_t>& pool_by_machine) {
+    std::vector<PooledMachine> usable;
+    for (std::size_t i = 0; i < snapshot.machines.size(); ++i) {
+        const auto& machine = snapshot.machines[i];
+        if ((machine.ready || machine.booting) && pools.eligible[pool_by_machine[i]] &&
+            !machine.classes.contains(job_class))
+            usable.push_back({&machine, pool_by_machine[i]});
+    }
+    std::stable_sort(usable.begin(), usable.end(), [](const PooledMachine& a, const PooledMachine& b) {
+        return a.machine->running_tasks < b.machine->running_tasks;
+    });
+    return usable;
+}
+
+}  // namespace
+
+Reservation reserve_machines(const Snapshot& snapshot) {
+    const PendingJob* holder = reservation_holder(snapshot);
+    if (!holder) return {};
+    const auto& spec = *holder->spec;
+    // Machines of two zones are of no use to a gang that must stay together.
+    const auto only_zone = spec.same_zone ? zone_with_most_room(snapshot, *holder) : std::string();
+    Reservation reservation{spec.id, {}};
+    auto missing = static_cast<int>(holder->pending_tasks.size());
+    for (const auto& machine : snapshot.machines) {
+        if (missing <= 0) break;
+        if (!has_room_for(*holder, machine) || (spec.same_zone && machine.zone != only_zone)) continue;
+        reservation.machines.insert(machine.id);
+        missing -= task_capacity(spec, machine.free);
+    }
+    return reservation;
+}
+
+int headroom(const Snapshot& snapshot, const ClassDemand& demand) {
+    if (!demand.start_within_s) return 0;
+    double boot_s = 0;
+    for (const auto& pool : snapshot.pools)
+        if (can_run_on(demand.sample, pool)) boot_s = std::max(boot_s, pool.type->boot_s);
+    return static_cast<int>(std::lround(snapshot.tuning->headroom * demand.arrivals_per_s *
+                                        std::max(0.0, boot_s - *demand.start_within_s)));
+}
+
+std::map<std::string, int> constrained_class_reservations(const Snapshot& snapshot) {
+    std::map<std::string, int> reserved;
+    if (snapshot.demand.empty()) return reserved;
+    std::map<std::string_view, double> waiting_tasks;
+    for (const auto& job : snapshot.jobs)
+        waiting_tasks[job.spec->job_class] += static_cast<double>(job.pending_tasks.size());
+    const auto pool_by_machine = pools_of(snapshot);
+    for (const auto& [job_class, demand] : snapshot.demand) {
+        double missing = headroom(snapshot, demand);
+        if (const auto found = waiting_tasks.find(job_class); found != waiting_tasks.end())
+            missing += found->second;
+        if (missing <= 0) continue;
+        const auto pools = eligible_pools(snapshot, demand.sample);
+        for (const auto& [machine, pool] : usable_machines(snapshot, job_class, pools, pool_by_machine)) {
+            if (missing <= 0) break;
+            missing -= std::max(1, task_capacity(demand.sample, snapshot.pools[pool].type->capacity));
+            auto [entry, added] = reserved.try_emplace(machine->id, pools.count);
+            entry->second = std::min(entry->second, pools.count);
+        }
+    }
+    return reserved;
+}
+
+}  // namespace pineroad::scheduling
--- a/src/scheduling/snapshot.hpp
+++ b/src/scheduling/snapshot.hpp
@@ -1,4 +1,8 @@
-// What the pure scheduler sees and what it answers. No I/O, no clock: everything comes in by value.
+// The scheduling snapshot: what the leader knows of jobs, machines, teams and demand at one instant.
+//
+// The scheduler is a set of pure functions of a snapshot, without I/O and without a clock: time enters as
+// ages and durations. Amounts of CPUs, GPUs and memory are those of model::Resources; durations are seconds;
+// prices are the cloud's, per machine and hour.
 #pragma once
 
 #include <cstdint>
@@ -14,134 +18,80 @@
 
 namespace pineroad::scheduling {
 
+// A machine that tasks may be placed on, now (`ready`) or once it has booted (`booting`).
 struct MachineSnapshot {
+    // Its name, its machine type and its zone.
     std::string id, type, zone;
-    bool spot = false;
-    bool ready = false;    // heard under this term and neither draining, faulty nor going away
-    bool booting = false;  // rented, expected to come up: counts as room to come, gets no starts
-    model::Resources free;
-    std::vector<std::string> images;  // held or being fetched
-    double idle_s = 0;                // since the last task; 0 while busy
-    double running_tasks = 0;         // tasks on it
-    std::set<std::string> classes;    // of those tasks
-    bool busy = false;
+    bool spot = false;                // a spot instance: the cloud may take it back
+    bool ready = false;               // sends heartbeats in this term; not drained, quarantined or going away
+    bool booting = false;             // requested and expected to come up: capacity to come, gets no tasks
+    model::Resources free;            // capacity less what its tasks use
+    std::vector<std::string> images;  // cached, or being fetched
+    double idle_s = 0;                // since its last task; 0 while busy
+    double running_tasks = 0;         // number of tasks on it
+    std::set<std::string> classes;    // job classes of those tasks
+    bool busy = false;                // has tasks
 };
 
+// A job with tasks that wait for a machine.
 struct PendingJob {
-    const model::JobSpec* spec = nullptr;
+    const model::JobSpec* spec = nullptr;                // never null; outlives the snapshot
     model::Priority priority = model::Priority::low;     // its own, or a higher one of a job after it
     std::vector<std::uint32_t> pending_tasks;            // tasks free to be placed, ascending
-    std::map<std::string, std::uint32_t> tasks_by_zone;  // its tasks by zone, unknown ones included
-    double xfactor = 1;
-    double waited_s = 0;    // as a waiter: since it came, or since it last ran
-    double expected_s = 1;  // run time of a task, the guess corrected by what its class was seen to take
-    double slack_s = 0;     // how long its start may still take without missing an aim
+    std::map<std::string, std::uint32_t> tasks_by_zone;  // its placed tasks by zone, unknown tasks included
+    double xfactor = 1;                                  // see xfactor.hpp
+    double waited_s = 0;  // since it was accepted, or since it last ran: decides who gets a reservation
+    double expected_s =
+        1;  // run time of a task: the user's estimate, corrected by what its class was seen to take
+    double slack_s = 0;  // how long its start may still take without missing a service-level objective
     std::set<std::string> excluded_machines;  // machines that failed it
     bool in_pipeline = false;                 // one task lost with its machine is late for all jobs after it
     std::uint32_t max_placements = UINT32_MAX;  // tasks that may be placed now (value size of its record)
 };
 
+// A gang that has its machines: a possible victim of preemption.
 struct RunningGang {
-    const model::JobSpec* spec = nullptr;
-    model::Priority priority = model::Priority::low;  // as of a waiter
-    double xfactor = 1;                               // constant while it runs
-    std::vector<std::string> machines;                // one entry a task
-    bool stoppable = false;                           // running, checkpointing, not being stopped already
+    const model::JobSpec* spec = nullptr;             // never null; outlives the snapshot
+    model::Priority priority = model::Priority::low;  // its own, or a higher one of a job after it
+    double xfactor = 1;                               // as of its start: constant while it runs
+    std::vector<std::string> machines;                // one entry for each task
+    bool stoppable = false;                           // all tasks run, and none is being stopped already
 };
 
-// A kind of machine that could be rented.
+// Machines that could be requested from the cloud: one type in one zone, on demand or spot.
 struct MachinePool {
-    const model::MachineType* type = nullptr;
+    const model::MachineType* type = nullptr;  // never null; outlives the snapshot
     std::string zone;
     bool spot = false;
-    bool refused = false;  // the cloud had none a moment ago
+    bool refused = false;  // the cloud had none of these a moment ago
+    // Price of one machine of the pool.
     [[nodiscard]] double price() const { return spot ? type->spot_price : type->price; }
 };
 
+// What the placed tasks of one team use, against its quota.
 struct TeamUsage {
     double cpus = 0, gpus = 0;
 };
 
-// What a class of jobs has been asking for lately.
+// What users have lately been asking for, by job class.
 struct ClassDemand {
-    model::JobSpec sample;  // a recent job of the class
-    double arrivals_per_s = 0;
-    std::optional<double> start_within_s;  // tightest starting aim
+    model::JobSpec sample;                 // a recent job of the class
+    double arrivals_per_s = 0;             // jobs accepted a second
+    std::optional<double> start_within_s;  // tightest objective for the start of its tasks
     double running_tasks = 0;              // its tasks on machines now
 };
 
+// Everything that one scheduling round decides from.
 struct Snapshot {
     std::vector<MachineSnapshot> machines;
     std::vector<PendingJob> jobs;
     std::vector<RunningGang> running_gangs;
     std::vector<MachinePool> pools;
-    std::map<std::string, TeamUsage> usage;
-    std::map<std::string, ClassDemand> demand;
-    model::CategoryAverages category_averages;
-    const config::Settings* settings = nullptr;
-    const config::Tuning* tuning = nullptr;
-};
-
-struct PlacementDecision {
-    std::string job;
-    std::uint32_t index = 0;
-    std::string machine;
-};
-struct ScaleOut {
-    std::string type, zone;
-    bool spot = false;
-    std::uint32_t count = 1;
-};
-
-// Waiting jobs in falling xfactor, each wherever it fits best. Updates free room and team use in the picture.
-std::vector<PlacementDecision> place_tasks(Snapshot& snapshot);
-
-struct Preemption {
-    std::string waiter;
-    std::vector<std::string> victims;
-};
-// One round of the design's suspension: at most one waiter is served, its victims all or none.
-std::optional<Preemption> select_preemption(const Snapshot& snapshot);
-// A gang that found no victims for the holding wait, and the first machines that free up for it: it is served
-// first, and nobody else starts there meanwhile. One at a time, the longest waiting; empty: none.
-struct Reservation {
-    std::string job;
-    std::set<std::string> machines;
+    std::map<std::string, TeamUsage> usage;      // by team
+    std::map<std::string, ClassDemand> demand;   // by job class
+    model::CategoryAverages category_averages;   // by category (xfactor.hpp)
+    const config::Settings* settings = nullptr;  // never null; outlives the snapshot
+    const config::Tuning* tuning = nullptr;      // never null; outlives the snapshot
 };
-Reservation reserve_machines(const Snapshot& snapshot);
-
-struct AutoscalingPlan {
-    std::vector<ScaleOut> scale_out;
-    std::vector<std::string> scale_in;
-};
-// To be called after place(): what is still waiting decides.
-AutoscalingPlan plan_autoscaling(Snapshot snapshot);
-
-// --- shared by the parts -----------------------------------------------------------------------------------
-// Those that wait for something, in falling xfactor. The argument must outlive the answer.
-std::vector<PendingJob*> pending_queue(std::vector<PendingJob>& jobs);
-// CPUs of an array's task or of a whole gang.
-double width(const model::JobSpec& spec);
-std::string category(const model::JobSpec& spec, const config::Tuning& tuning);
-double xfactor(double waited_s, double estimate_s);
-bool allowed_on(const model::JobSpec& spec, const std::string& type, const std::string& zone, bool spot);
-// True when one more task in the zone keeps the job's Together and Spread.
-bool zone_allowed(const PendingJob& job, const std::string& zone);
-// Whether the team's limit leaves room for n more tasks of the job.
-bool within_limit(const Snapshot& snapshot, const model::JobSpec& spec, double n);
-int task_capacity(const model::JobSpec& spec, const model::Resources& room);
-// Machines to have in reserve for the class, where its starting aim can't wait for one to boot.
-int headroom(const Snapshot& snapshot, const ClassDemand& demand);
-// What a task of the job costs on such a machine, over what it costs on the cheapest kind it may use; at
-// least 1.
-double price_ratio(const Snapshot& snapshot, const model::JobSpec& spec, const std::string& type, bool spot);
-// The pool of every machine, as its place in `pools`; their number for machines of no known pool.
-std::vector<std::size_t> pools_of(const Snapshot& snapshot);
-// Number of pools (type, zone, kind) that can run a task of the job.
-int eligible_pool_count(const Snapshot& snapshot, const model::JobSpec& spec);
-// Machines kept from work that has more places to go: for every class, as many of those it is bound to as it
-// uses, waits for and expects to need before one more could boot. Machine to the number of choices of that
-// class: work with more choices than that may not start there.
-std::map<std::string, int> constrained_class_reservations(const Snapshot& snapshot);
 
 }  // namespace pineroad::scheduling
--- a/tests/sched_test.cpp
+++ b/tests/sched_test.cpp
@@ -1,6 +1,11 @@
 // The pure scheduler: ordering, placement, suspension, capacity.
 #include <gtest/gtest.h>
 
+#include "scheduling/autoscaling.hpp"
+#include "scheduling/placement.hpp"
+#include "scheduling/preemption.hpp"
+#include "scheduling/reservation.hpp"
+#include "scheduling/xfactor.hpp"
 #include "world.hpp"
 
 namespace pineroad::test {
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -7,6 +7,8 @@
 #include <fstream>
 #include <iomanip>
 
+#include "scheduling/eligibility.hpp"
+
 namespace pineroad::test {
 
 namespace records = wire::records;
