--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -159,6 +159,13 @@
 inline constexpr double min_demand_window_s = 60;  // rates are taken over at least this long
 inline constexpr std::size_t demand_classes = 200, demand_arrivals = 2000;  // memory
 inline constexpr double lag_period_s = 0.1;  // how often the event loop's lateness is measured
+// What decides between machines beside image fetches, in seconds of waiting: the common measure of all costs.
+inline constexpr double max_price_ratio = 4.0;    // beyond, a dearer machine counts as no dearer
+inline constexpr double price_cost_busy_s = 2.0;  // for each unit of the price ratio, on a machine in use
+inline constexpr double price_cost_idle_s = 8.0;  // ... and on an idle one, which could be given back instead
+inline constexpr double unused_capacity_cost_s =
+    0.2;                                            // for each GPU that stays free beside the task: best fit
+inline constexpr double gpus_per_cpu_weight = 0.1;  // ... as which so much of a free CPU counts
 
 // --- cloud ------------------------------------------------------------------------------------------------
 inline constexpr double cloud_timeout_s = 5.0;
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -2,10 +2,11 @@
 
 #include <algorithm>
 #include <climits>
-#include <cmath>
+#include <cstddef>
 #include <functional>
-#include <string_view>
-#include <tuple>
+#include <map>
+#include <optional>
+#include <utility>
 
 #include "config/constants.hpp"
 #include "scheduling/eligibility.hpp"
@@ -15,193 +16,296 @@
 namespace pineroad::scheduling {
 namespace {
 
-// What placing a job on each pool comes to; worked out once a job, not once a machine.
-struct Suit {
-    std::vector<double> fetch_s, price;  // by pool
+// What a job's tasks meet in each pool, by pool index; worked out once for a job, not once for a machine.
+struct PoolTerms {
+    std::vector<double> fetch_s;      // time to fetch the job's image
+    std::vector<double> price_ratio;  // as price_ratio(), bounded
     std::vector<bool> allowed;
     int eligible_pool_count = 0;
 };
 
-Suit suit(const Snapshot& p, const model::JobSpec& spec) {
-    Suit out;
-    for (const auto& pool : p.pools) {
-        const auto& t = *pool.type;
-        const bool ok = allowed_on(spec, t.name, pool.zone, pool.spot);
-        out.allowed.push_back(ok);
-        out.eligible_pool_count += ok && spec.task_resources.fits_in(t.capacity);
-        out.fetch_s.push_back(t.fetch_gb_per_s > 0 ? spec.image_gb / t.fetch_gb_per_s : 0);
-        out.price.push_back(ok ? std::min(price_ratio(p, spec, t.name, pool.spot), 4.0) : 4.0);
+PoolTerms pool_terms(const Snapshot& snapshot, const model::JobSpec& spec) {
+    PoolTerms terms;
+    for (const auto& pool : snapshot.pools) {
+        const auto& type = *pool.type;
+        const bool allowed = allowed_on(spec, pool);
+        terms.allowed.push_back(allowed);
+        terms.eligible_pool_count += allowed && spec.task_resources.fits_in(type.capacity);
+        terms.fetch_s.push_back(type.fetch_gb_per_s > 0 ? spec.image_gb / type.fetch_gb_per_s : 0);
+        terms.price_ratio.push_back(
+            allowed ? std::min(price_ratio(snapshot, spec, type.name, pool.spot), constants::max_price_ratio)
+                    : constants::max_price_ratio);
     }
-    return out;
+    return terms;
 }
 
-bool holds(const MachineSnapshot& m, const model::JobSpec& spec) {
-    return std::find(m.images.begin(), m.images.end(), spec.image) != m.images.end();
+bool has_image(const MachineSnapshot& machine, const model::JobSpec& spec) {
+    return std::find(machine.images.begin(), machine.images.end(), spec.image) != machine.images.end();
 }
 
 // Of a hundred small tasks of a stage one or two are lost with spot machines, and all that comes after waits.
-double pipeline_cost(const MachineSnapshot& m) {
-    if (!m.busy) return constants::pipeline_empty_cost_s;
-    return m.spot ? constants::pipeline_spot_cost_s : 0;
+double pipeline_cost_s(const MachineSnapshot& machine) {
+    if (!machine.busy) return constants::pipeline_empty_cost_s;
+    return machine.spot ? constants::pipeline_spot_cost_s : 0;
 }
 
-// Smaller is better; seconds are the common measure.
-double cost(const Suit& suit, const PendingJob& job, const MachineSnapshot& m, std::size_t pool) {
+// What it costs to start a task of the job on the machine, in seconds; the smallest cost wins.
+double placement_cost_s(const PoolTerms& terms, const PendingJob& job, const MachineSnapshot& machine,
+                        std::size_t pool) {
     const auto& spec = *job.spec;
-    double c = job.in_pipeline ? pipeline_cost(m) : 0;
-    if (!holds(m, spec)) c += suit.fetch_s[pool];
-    // Work draws to cheap machines, and to those in use: the dear and empty ones can go back.
-    c += (m.busy ? 2 : 8) * suit.price[pool];
-    const double left =
-        m.free.gpus - spec.task_resources.gpus + 0.1 * (m.free.cpus - spec.task_resources.cpus);
-    c += 0.2 * left;  // best fit
-    return c;
+    double cost_s = job.in_pipeline ? pipeline_cost_s(machine) : 0;
+    if (!has_image(machine, spec)) cost_s += terms.fetch_s[pool];
+    // Work goes to cheap machines and to those in use, so that dear and empty ones can be scaled in.
+    cost_s += (machine.busy ? constants::price_cost_busy_s : constants::price_cost_idle_s) *
+              terms.price_ratio[pool];
+    const double unused = machine.free.gpus - spec.task_resources.gpus +
+                          constants::gpus_per_cpu_weight * (machine.free.cpus - spec.task_resources.cpus);
+    cost_s += constants::unused_capacity_cost_s * unused;  // best fit
+    return cost_s;
 }
 
-}  // namespace
+// The least that any of the jobs takes of each kind of resource.
+model::Resources smallest_task(const std::vector<PendingJob*>& jobs) {
+    model::Resources least = jobs.front()->spec->task_resources;
+    for (const auto* job : jobs) {
+        const auto& task = job->spec->task_resources;
+        least.cpus = std::min(least.cpus, task.cpus);
+        least.gpus = std::min(least.gpus, task.gpus);
+        least.memory_gb = std::min(least.memory_gb, task.memory_gb);
+    }
+    return least;
+}
 
-std::vector<PlacementDecision> place_tasks(Snapshot& p) {
-    std::vector<PlacementDecision> out;
-    const auto held = reserve_machines(p);
-    const auto kept = constrained_class_reservations(p);
-    const auto order = pending_queue(p.jobs);
-    if (order.empty()) return out;
+// One round of placement over a snapshot.
+class PlacementRound {
+   public:
+    explicit PlacementRound(Snapshot& snapshot) : snapshot_(snapshot) {}
+    std::vector<PlacementDecision> run();
 
-    // Machines with room for the smallest task that waits: only these are looked at, and at size most are
-    // full.
-    struct Open {
+   private:
+    // A machine with room for the smallest waiting task.
+    struct OpenMachine {
         MachineSnapshot* machine;
-        std::size_t pool;
-        int reserved_for_pool_count;  // work with more choices may not use it
-        bool held;                    // for the gang that holds
+        std::size_t pool;             // index into the snapshot's pools
+        int reserved_for_pool_count;  // jobs with more eligible pools may not use it
+        bool reserved_for_gang;       // kept for the holder of the reservation
     };
-    model::Resources least = order.front()->spec->task_resources;
-    for (const auto* j : order) {
-        least.cpus = std::min(least.cpus, j->spec->task_resources.cpus);
-        least.gpus = std::min(least.gpus, j->spec->task_resources.gpus);
-        least.memory_gb = std::min(least.memory_gb, j->spec->task_resources.memory_gb);
-    }
-    std::vector<Open> open;
-    const auto pools = pools_of(p);
-    for (std::size_t i = 0; i < p.machines.size(); ++i) {
-        auto& m = p.machines[i];
-        if (!m.ready || pools[i] == p.pools.size() || !least.fits_in(m.free)) continue;
-        const auto r = kept.find(m.id);
-        open.push_back({&m, pools[i], r == kept.end() ? INT_MAX : r->second, held.machines.contains(m.id)});
-    }
-    // A job's tasks are alike: one pass finds its machines, best first; a machine that was given one goes
-    // back into the heap with its new cost.
-    using Candidate = std::pair<double, std::size_t>;  // cost, place in `open`
-    std::vector<Candidate> heap;
-    const auto candidates = [&](const PendingJob& job, const Suit& s, const std::optional<std::string>& only,
-                                bool image_only) {
-        heap.clear();
-        for (std::size_t i = 0; i < open.size(); ++i) {
-            const auto& m = *open[i].machine;
-            if (!job.spec->task_resources.fits_in(m.free) || !s.allowed[open[i].pool] ||
-                s.eligible_pool_count > open[i].reserved_for_pool_count ||
-                (open[i].held && job.spec->id != held.job) || (only && m.zone != *only) ||
-                job.excluded_machines.contains(m.id) || (image_only && !holds(m, *job.spec)))
-                continue;
-            heap.emplace_back(cost(s, job, m, open[i].pool), i);
-        }
-        std::make_heap(heap.begin(), heap.end(), std::greater<>());
+    // A machine that the job at hand may use: its cost in seconds, and its index in `open_`.
+    using Candidate = std::pair<double, std::size_t>;
+    // Whether a job may go to any machine, or only to those that hold its image.
+    enum class ImageRule { any_machine, image_present };
+    struct AssignedTask {
+        std::uint32_t index;
+        MachineSnapshot* machine;
     };
-    const auto best = [&](const PendingJob& job) -> const Open* {
-        while (!heap.empty()) {
-            std::pop_heap(heap.begin(), heap.end(), std::greater<>());
-            const auto at = heap.back().second;
-            heap.pop_back();
-            if (zone_allowed(job, open[at].machine->zone)) return &open[at];
+
+    void find_open_machines(const std::vector<PendingJob*>& queue);
+    void place_reservation_holder(const std::vector<PendingJob*>& queue);
+    void place_in_bands(const std::vector<PendingJob*>& queue);
+    void place_job(PendingJob& job, ImageRule rule);
+    void place_gang(PendingJob& job, const PoolTerms& terms);
+    void place_independent_tasks(PendingJob& job, const PoolTerms& terms, ImageRule rule);
+
+    // Machines for all waiting tasks of a gang, in one zone if one is given. Nothing is assigned, and the
+    // answer is empty, where a task finds none.
+    std::vector<AssignedTask> assign_gang(PendingJob& job, const PoolTerms& terms, const std::string* zone);
+
+    // Candidates: a job's tasks are alike, so that one pass finds its machines, best first, and a machine
+    // that was given a task goes back into the heap with its new cost.
+    void collect_candidates(const PendingJob& job, const PoolTerms& terms, const std::string* zone,
+                            ImageRule rule);
+    [[nodiscard]] bool is_candidate(const OpenMachine& open, const PendingJob& job, const PoolTerms& terms,
+                                    const std::string* zone, ImageRule rule) const;
+    OpenMachine* next_candidate(const PendingJob& job);
+    void return_candidate(const PendingJob& job, const PoolTerms& terms, const OpenMachine& open);
+
+    // Accounts for one task of the job on the machine, and takes that back.
+    void assign(PendingJob& job, MachineSnapshot& machine);
+    void unassign(PendingJob& job, MachineSnapshot& machine);
+    // Decides that the task starts there: what was assigned is final.
+    void decide(const PendingJob& job, std::uint32_t index, MachineSnapshot& machine);
+
+    Snapshot& snapshot_;
+    Reservation reservation_;
+    std::vector<OpenMachine> open_;
+    std::vector<Candidate> candidates_;  // a heap, the smallest cost on top
+    std::vector<PlacementDecision> decisions_;
+};
+
+std::vector<PlacementDecision> PlacementRound::run() {
+    const auto queue = pending_queue(snapshot_.jobs);
+    if (queue.empty()) return {};
+    reservation_ = reserve_machines(snapshot_);
+    find_open_machines(queue);
+    place_reservation_holder(queue);
+    place_in_bands(queue);
+    return std::move(decisions_);
+}
+
+// Only these are looked at for each job: in a large cluster most machines are full.
+void PlacementRound::find_open_machines(const std::vector<PendingJob*>& queue) {
+    const auto reserved = constrained_class_reservations(snapshot_);
+    const auto least = smallest_task(queue);
+    const auto pools = pools_of(snapshot_);
+    for (std::size_t i = 0; i < snapshot_.machines.size(); ++i) {
+        auto& machine = snapshot_.machines[i];
+        if (!machine.ready || pools[i] == snapshot_.pools.size() || !least.fits_in(machine.free)) continue;
+        const auto found = reserved.find(machine.id);
+        open_.push_back({&machine, pools[i], found == reserved.end() ? INT_MAX : found->second,
+                         reservation_.machines.contains(machine.id)});
+    }
+}
+
+// Reserved machines serve nobody until there are enough of them: then the holder goes first, whatever its
+// xfactor.
+void PlacementRound::place_reservation_holder(const std::vector<PendingJob*>& queue) {
+    for (auto* job : queue)
+        if (job->spec->id == reservation_.job) place_job(*job, ImageRule::any_machine);
+}
+
+// Falling xfactor, but among jobs within a band of it those go first whose image is there: a fetch occupies a
+// machine for half as long as a short task does (docs/design.md, exceptions).
+void PlacementRound::place_in_bands(const std::vector<PendingJob*>& queue) {
+    for (std::size_t first = 0, last = 0; first < queue.size(); first = last) {
+        const double floor = queue[first]->xfactor / snapshot_.tuning->image_locality_band;
+        for (last = first + 1; last < queue.size() && queue[last]->xfactor > floor;) ++last;
+        const bool alone = last - first == 1;
+        for (const auto rule : {ImageRule::image_present, ImageRule::any_machine}) {
+            if (alone && rule == ImageRule::image_present) continue;
+            for (std::size_t i = first; i < last; ++i)
+                if (!queue[i]->pending_tasks.empty()) place_job(*queue[i], rule);
         }
-        return nullptr;
-    };
-    const auto again = [&](const PendingJob& job, const Suit& s, const Open& o) {
-        if (!job.spec->task_resources.fits_in(o.machine->free)) return;
-        heap.emplace_back(cost(s, job, *o.machine, o.pool), static_cast<std::size_t>(&o - open.data()));
-        std::push_heap(heap.begin(), heap.end(), std::greater<>());
-    };
-    auto take = [&](PendingJob& job, MachineSnapshot& m, double sign) {
-        m.free -= job.spec->task_resources * sign;
-        auto& n = job.tasks_by_zone[m.zone];
-        n = sign > 0 ? n + 1 : n - 1;
-        auto& use = p.usage[job.spec->team];
-        use.cpus += sign * job.spec->task_resources.cpus;
-        use.gpus += sign * job.spec->task_resources.gpus;
-    };
-    auto settle = [&](const PendingJob& job, MachineSnapshot& m) {
-        m.busy = true;
-        m.idle_s = 0;
-        if (!holds(m, *job.spec)) m.images.push_back(job.spec->image);
-    };
+    }
+}
 
-    const auto serve = [&](PendingJob* job, bool image_only) {
-        const auto& spec = *job->spec;
-        const Suit s = suit(p, spec);
-        if (spec.shape == model::Shape::gang) {
-            // The whole gang or nothing. Together: every zone is tried on its own, the one with most room
-            // first.
-            if (image_only || !within_limit(p, spec, static_cast<double>(job->pending_tasks.size()))) return;
-            std::vector<std::pair<std::uint32_t, MachineSnapshot*>> taken;
-            auto undo = [&] {
-                for (auto& [index, m] : taken) take(*job, *m, -1);
-                taken.clear();
-            };
-            auto attempt = [&](const std::optional<std::string>& only) {
-                candidates(*job, s, only, false);
-                for (const auto index : job->pending_tasks) {
-                    const Open* o = best(*job);
-                    if (!o) {
-                        undo();
-                        return false;
-                    }
-                    take(*job, *o->machine, 1);
-                    taken.emplace_back(index, o->machine);
-                    again(*job, s, *o);
-                }
-                return true;
-            };
-            bool placed = attempt(std::nullopt);
-            if (!placed && spec.same_zone && job->pending_tasks.size() > 1)
-                for (const auto& zone : p.settings->zones)
-                    if ((placed = attempt(zone))) break;
-            if (!placed) return;
-            for (auto& [index, m] : taken) {
-                settle(*job, *m);
-                out.push_back({spec.id, index, m->id});
-            }
-            job->pending_tasks.clear();
-            return;
+void PlacementRound::place_job(PendingJob& job, ImageRule rule) {
+    const bool is_gang = job.spec->shape == model::Shape::gang;
+    if (is_gang && rule == ImageRule::image_present) return;  // a gang is placed whole: it takes any machines
+    const auto terms = pool_terms(snapshot_, *job.spec);
+    if (is_gang)
+        place_gang(job, terms);
+    else
+        place_independent_tasks(job, terms, rule);
+}
+
+// The whole gang or nothing. A gang that must stay in one zone may fail in all zones together, where the best
+// machine decides on the zone: then every zone is tried on its own.
+void PlacementRound::place_gang(PendingJob& job, const PoolTerms& terms) {
+    const auto& spec = *job.spec;
+    if (!within_limit(snapshot_, spec, static_cast<double>(job.pending_tasks.size()))) return;
+    auto assigned = assign_gang(job, terms, nullptr);
+    if (assigned.empty() && spec.same_zone && job.pending_tasks.size() > 1)
+        for (const auto& zone : snapshot_.settings->zones) {
+            assigned = assign_gang(job, terms, &zone);
+            if (!assigned.empty()) break;
         }
-        std::size_t n = 0;
-        candidates(*job, s, std::nullopt, image_only);
-        while (n < job->pending_tasks.size() && n < job->max_placements && within_limit(p, spec, 1)) {
-            const Open* o = best(*job);
-            if (!o) break;
-            take(*job, *o->machine, 1);
-            settle(*job, *o->machine);
-            out.push_back({spec.id, job->pending_tasks[n], o->machine->id});
-            ++n;
-            again(*job, s, *o);
+    if (assigned.empty()) return;
+    for (const auto& [index, machine] : assigned) decide(job, index, *machine);
+    job.pending_tasks.clear();
+}
+
+std::vector<PlacementRound::AssignedTask> PlacementRound::assign_gang(PendingJob& job, const PoolTerms& terms,
+                                                                      const std::string* zone) {
+    std::vector<AssignedTask> assigned;
+    collect_candidates(job, terms, zone, ImageRule::any_machine);
+    for (const auto index : job.pending_tasks) {
+        const auto* open = next_candidate(job);
+        if (!open) {
+            for (const auto& task : assigned) unassign(job, *task.machine);
+            return {};
         }
-        job->pending_tasks.erase(job->pending_tasks.begin(),
-                                 job->pending_tasks.begin() + static_cast<std::ptrdiff_t>(n));
-        job->max_placements -= static_cast<std::uint32_t>(n);
-    };
-    // What is held serves nobody until there is enough of it: then the holder goes first, whatever its
-    // xfactor.
-    for (auto* job : order)
-        if (job->spec->id == held.job) serve(job, false);
-    // Falling xfactor, but among jobs within a band of it those go first whose image is there: a fetch takes
-    // a slot for half as long as a short task does (docs/design.md, exceptions).
-    for (std::size_t first = 0, last = 0; first < order.size(); first = last) {
-        const double floor = order[first]->xfactor / p.tuning->image_locality_band;
-        for (last = first + 1; last < order.size() && order[last]->xfactor > floor;) ++last;
-        for (const bool image_only : {true, false})
-            for (std::size_t i = first; i < last && !(image_only && last - first == 1); ++i)
-                if (!order[i]->pending_tasks.empty()) serve(order[i], image_only);
+        assign(job, *open->machine);
+        assigned.push_back({index, open->machine});
+        return_candidate(job, terms, *open);
+    }
+    return assigned;
+}
+
+// Tasks of an array or service, one by one, as far as machines, the team's limit and the record's size allow.
+void PlacementRound::place_independent_tasks(PendingJob& job, const PoolTerms& terms, ImageRule rule) {
+    std::size_t placed = 0;
+    collect_candidates(job, terms, nullptr, rule);
+    while (placed < job.pending_tasks.size() && placed < job.max_placements &&
+           within_limit(snapshot_, *job.spec, 1)) {
+        const auto* open = next_candidate(job);
+        if (!open) break;
+        assign(job, *open->machine);
+        decide(job, job.pending_tasks[placed], *open->machine);
+        ++placed;
+        return_candidate(job, terms, *open);
     }
-    return out;
+    job.pending_tasks.erase(job.pending_tasks.begin(),
+                            job.pending_tasks.begin() + static_cast<std::ptrdiff_t>(placed));
+    job.max_placements -= static_cast<std::uint32_t>(placed);
+}
+
+void PlacementRound::collect_candidates(const PendingJob& job, const PoolTerms& terms,
+                                        const std::string* zone, ImageRule rule) {
+    candidates_.clear();
+    for (std::size_t i = 0; i < open_.size(); ++i)
+        if (is_candidate(open_[i], job, terms, zone, rule))
+            candidates_.emplace_back(placement_cost_s(terms, job, *open_[i].machine, open_[i].pool), i);
+    std::make_heap(candidates_.begin(), candidates_.end(), std::greater<>());
+}
+
+bool PlacementRound::is_candidate(const OpenMachine& open, const PendingJob& job, const PoolTerms& terms,
+                                  const std::string* zone, ImageRule rule) const {
+    const auto& machine = *open.machine;
+    if (!job.spec->task_resources.fits_in(machine.free) || !terms.allowed[open.pool]) return false;
+    if (terms.eligible_pool_count > open.reserved_for_pool_count) return false;
+    if (open.reserved_for_gang && job.spec->id != reservation_.job) return false;
+    if ((zone && machine.zone != *zone) || job.excluded_machines.contains(machine.id)) return false;
+    return rule == ImageRule::any_machine || has_image(machine, *job.spec);
+}
+
+// The best machine whose zone the job may still use, taken off the heap; null where there is none.
+PlacementRound::OpenMachine* PlacementRound::next_candidate(const PendingJob& job) {
+    while (!candidates_.empty()) {
+        std::pop_heap(candidates_.begin(), candidates_.end(), std::greater<>());
+        auto& open = open_[candidates_.back().second];
+        candidates_.pop_back();
+        if (zone_allowed(job, open.machine->zone)) return &open;
+    }
+    return nullptr;
+}
+
+void PlacementRound::return_candidate(const PendingJob& job, const PoolTerms& terms,
+                                      const OpenMachine& open) {
+    if (!job.spec->task_resources.fits_in(open.machine->free)) return;
+    candidates_.emplace_back(placement_cost_s(terms, job, *open.machine, open.pool),
+                             static_cast<std::size_t>(&open - open_.data()));
+    std::push_heap(candidates_.begin(), candidates_.end(), std::greater<>());
+}
+
+void PlacementRound::assign(PendingJob& job, MachineSnapshot& machine) {
+    const auto& task = job.spec->task_resources;
+    machine.free -= task;
+    ++job.tasks_by_zone[machine.zone];
+    auto& usage = snapshot_.usage[job.spec->team];
+    usage.cpus += task.cpus;
+    usage.gpus += task.gpus;
+}
+
+void PlacementRound::unassign(PendingJob& job, MachineSnapshot& machine) {
+    const auto& task = job.spec->task_resources;
+    machine.free += task;
+    --job.tasks_by_zone[machine.zone];
+    auto& usage = snapshot_.usage[job.spec->team];
+    usage.cpus -= task.cpus;
+    usage.gpus -= task.gpus;
+}
+
+void PlacementRound::decide(const PendingJob& job, std::uint32_t index, MachineSnapshot& machine) {
+    machine.busy = true;
+    machine.idle_s = 0;
+    if (!has_image(machine, *job.spec)) machine.images.push_back(job.spec->image);
+    decisions_.push_back({job.spec->id, index, machine.id});
+}
+
+}  // namespace
+
+std::vector<PlacementDecision> place_tasks(Snapshot& snapshot) {
+    return PlacementRound(snapshot).run();
 }
 
 }  // namespace pineroad::scheduling
