--- a/src/scheduling/autoscaling.cpp
+++ b/src/scheduling/autoscaling.cpp
@@ -1,7 +1,11 @@
 #include "scheduling/autoscaling.hpp"
 
 #include <algorithm>
+#include <climits>
 #include <cmath>
+#include <cstddef>
+#include <map>
+#include <set>
 #include <utility>
 
 #include "scheduling/eligibility.hpp"
@@ -11,202 +15,322 @@
 namespace pineroad::scheduling {
 namespace {
 
-struct Room {
+// A machine that is expected to come up: booting already, or requested by this plan.
+struct ExpectedMachine {
     std::string type, zone;
     bool spot = false;
-    model::Resources free;
-    int reserved_for_pool_count = 1 << 20;  // work with more choices may not use it
+    model::Resources free;                  // capacity less what this plan puts on it
+    int reserved_for_pool_count = INT_MAX;  // jobs with more eligible pools may not use it
 };
 
-}  // namespace
+// A job class, as a queue before the machines that serve it.
+struct ClassQueue {
+    double work_s = 0;   // task-seconds that wait
+    double servers = 0;  // its tasks that run, or that this plan puts on expected machines
+};
 
-AutoscalingPlan plan_autoscaling(Snapshot p) {
-    AutoscalingPlan out;
-    std::vector<Room> rooms;  // machines on their way, then those rented here
-    const auto kept = constrained_class_reservations(p);
-    for (const auto& m : p.machines)
-        if (m.booting) {
-            const auto r = kept.find(m.id);
-            rooms.push_back({m.type, m.zone, m.spot, m.free, r == kept.end() ? 1 << 20 : r->second});
-        }
+// The only zone that the job may still use; empty where it has a choice.
+std::string required_zone(const PendingJob& job) {
+    if (job.spec->zone) return *job.spec->zone;
+    if (job.spec->same_zone)
+        for (const auto& [zone, tasks] : job.tasks_by_zone)
+            if (tasks > 0) return zone;
+    return "";
+}
 
-    // A gang that holds machines needs so many fewer.
-    const auto held = reserve_machines(p);
-    for (auto& j : p.jobs)
-        if (j.spec->id == held.job)
-            j.pending_tasks.resize(j.pending_tasks.size() -
-                                   std::min(j.pending_tasks.size(), held.machines.size()));
-    const auto order = pending_queue(p.jobs);
-
-    struct Queue {
-        double work = 0;   // task-seconds waiting
-        double slots = 0;  // running, on their way, rented here
-    };
-    std::map<std::string, Queue> queues;
-    for (const auto* job : order)
-        queues[job->spec->job_class].work += static_cast<double>(job->pending_tasks.size()) * job->expected_s;
-    for (const auto& [name, d] : p.demand) queues[name].slots = d.running_tasks;
-    double boot = 0;
-    for (const auto& pool : p.pools) boot = std::max(boot, pool.type->boot_s);
-
-    // As many of the job's waiting tasks as fit into the rooms from the given one on.
-    auto put = [&](PendingJob& job, std::size_t first_room) {
-        const auto& spec = *job.spec;
-        std::size_t n = 0;
-        const int own_eligible_pool_count = eligible_pool_count(p, spec);
-        for (std::size_t i = first_room; i < rooms.size() && n < job.pending_tasks.size(); ++i) {
-            auto& r = rooms[i];
-            if (!spec.task_resources.fits_in(r.free) || own_eligible_pool_count > r.reserved_for_pool_count ||
-                !allowed_on(spec, r.type, r.zone, r.spot) || !zone_allowed(job, r.zone))
-                continue;
-            while (n < job.pending_tasks.size() && spec.task_resources.fits_in(r.free) &&
-                   within_limit(p, spec, 1)) {
-                r.free -= spec.task_resources;
-                ++job.tasks_by_zone[r.zone];
-                auto& use = p.usage[spec.team];
-                use.cpus += spec.task_resources.cpus;
-                use.gpus += spec.task_resources.gpus;
-                ++n;
-                ++queues[spec.job_class].slots;
-                if (!zone_allowed(job, r.zone)) break;
-            }
-        }
-        job.pending_tasks.erase(job.pending_tasks.begin(),
-                                job.pending_tasks.begin() + static_cast<std::ptrdiff_t>(n));
-        return job.pending_tasks.empty();
-    };
-    auto rent = [&](const MachinePool& pool) {
-        rooms.push_back({pool.type->name, pool.zone, pool.spot, pool.type->capacity});
-        for (auto& r : out.scale_out)
-            if (r.type == pool.type->name && r.zone == pool.zone && r.spot == pool.spot) {
-                ++r.count;
-                return;
-            }
-        out.scale_out.push_back({pool.type->name, pool.zone, pool.spot, 1});
-    };
-    // Cheapest per task, counting only slots that the waiting tasks would fill.
-    auto cheapest = [&](const PendingJob& job, double tasks) -> const MachinePool* {
-        const MachinePool* best = nullptr;
-        double best_price = 0;
-        for (const auto& pool : p.pools) {
-            const auto& spec = *job.spec;
-            if (pool.refused || !allowed_on(spec, pool.type->name, pool.zone, pool.spot) ||
-                !zone_allowed(job, pool.zone))
-                continue;
-            const int n = task_capacity(spec, pool.type->capacity);
-            if (n < 1) continue;
-            const double price = pool.price() / std::min<double>(n, std::max(tasks, 1.0));
-            if (!best || price < best_price) best = &pool, best_price = price;
-        }
-        return best;
-    };
-
-    // The only zone that the job may still use, or none in particular.
-    auto required_zone = [](const PendingJob& job) -> std::string {
-        if (job.spec->zone) return *job.spec->zone;
-        if (job.spec->same_zone)
-            for (const auto& [zone, n] : job.tasks_by_zone)
-                if (n > 0) return zone;
-        return "";
-    };
-    // Tasks of the class that run where the job may go: what ends in another zone makes no room for it.
-    // (Found by a test of a lost zone: a job bound to it waited for ever behind tasks of its class in the
-    // other one.)
-    auto running_for = [&](const PendingJob& job, const std::string& zone) {
-        const auto demand = p.demand.find(job.spec->job_class);
-        const double all = demand == p.demand.end() ? 0 : demand->second.running_tasks;
-        if (zone.empty()) return all;
-        double there = 0;
-        for (const auto& m : p.machines)
-            if (m.zone == zone && m.classes.contains(job.spec->job_class)) there += m.running_tasks;
-        return std::min(all, there);
-    };
-    std::map<std::pair<std::string, std::string>, double>
-        served_by_running;  // task-seconds of a class, by zone, that its running tasks make room for in time
-    for (auto* job : order) {
-        const auto& spec = *job->spec;
-        if (spec.shape == model::Shape::array) {
-            // A slot serves several short tasks one after the other while a new machine would boot, or while
-            // the aim can wait: that many slots are needed less.
-            const auto zone = required_zone(*job);
-            const double running = running_for(*job, zone);
-            const double horizon =
-                std::max(p.tuning->queue_patience * job->slack_s, p.tuning->drain_boot_times * boot);
-            const double each = job->expected_s;
-            double work = static_cast<double>(job->pending_tasks.size()) * each;
-            auto& taken = served_by_running[{spec.job_class, zone}];
-            const double soon = std::clamp(running * horizon - taken, 0.0, work);
-            taken += soon;
-            work -= soon;
-            const double needed = std::ceil(work / std::max(horizon, each) - 0.01);
-            job->pending_tasks.resize(static_cast<std::size_t>(
-                std::clamp(needed, 0.0, static_cast<double>(job->pending_tasks.size()))));
-        }
-        if (job->pending_tasks.empty() || put(*job, 0)) continue;
-        double same_class = 0;
-        for (const auto* other : order)
-            if (other->spec->job_class == spec.job_class)
-                same_class += static_cast<double>(other->pending_tasks.size());
-        while (!job->pending_tasks.empty()) {
-            if (!within_limit(p, spec, 1)) break;
-            const MachinePool* pool = cheapest(*job, same_class);
-            if (!pool) break;
-            // A dear machine is worth a longer queue than a cheap one: others may come free before it has
-            // booted.
-            const auto& queue = queues[spec.job_class];
-            const double longer =
-                std::pow(price_ratio(p, spec, pool->type->name, pool->spot), p.tuning->price_patience) - 1;
-            if (spec.shape == model::Shape::array && running_for(*job, required_zone(*job)) > 0 &&
-                queue.work < queue.slots * p.tuning->drain_boot_times * boot * longer)
-                break;
-            rent(*pool);
-            const auto before = job->pending_tasks.size();
-            put(*job, rooms.size() - 1);
-            if (job->pending_tasks.size() == before) break;
-            same_class -= static_cast<double>(before - job->pending_tasks.size());
-        }
+// One round of autoscaling over its own snapshot, in which it accounts for the tasks it finds room for.
+class AutoscalingRound {
+   public:
+    explicit AutoscalingRound(Snapshot snapshot) : snapshot_(std::move(snapshot)) {}
+    AutoscalingPlan run();
+
+   private:
+    void collect_booting_machines();
+    void shrink_reservation_holder(const Reservation& reservation);
+    void measure_queues();
+
+    // Finds room for the job's waiting tasks, or requests machines for them.
+    void provide_for(PendingJob& job);
+    // Drops the tasks of an array that running tasks of its class make room for in time.
+    void drop_tasks_served_in_time(PendingJob& job);
+    // Puts waiting tasks on expected machines from the given index on. True when none is left.
+    bool put_on_expected(PendingJob& job, std::size_t first_machine);
+    std::size_t tasks_put_on(PendingJob& job, ExpectedMachine& machine, std::size_t max_tasks);
+    void request_machines_for(PendingJob& job);
+    [[nodiscard]] bool queue_is_short(const PendingJob& job, const MachinePool& pool) const;
+
+    [[nodiscard]] double running_tasks_for(const PendingJob& job, const std::string& zone) const;
+    [[nodiscard]] double waiting_tasks_of(const std::string& job_class) const;
+    [[nodiscard]] const MachinePool* cheapest_pool(const PendingJob& job, double tasks) const;
+    void request(const MachinePool& pool);
+
+    // Spare machines for classes whose objective for starts is shorter than a boot: idle ones are added to
+    // `kept`, then expected ones are claimed, then machines are requested.
+    void provide_headroom(std::set<std::string>& kept);
+    int keep_idle_machines(const model::JobSpec& sample, int missing, std::set<std::string>& kept) const;
+    int claim_expected_machines(const model::JobSpec& sample, int missing);
+    void request_headroom(const model::JobSpec& sample, int missing);
+
+    void scale_in(const std::set<std::string>& kept);
+    [[nodiscard]] double worth_for_demand(const MachineSnapshot& machine) const;
+
+    Snapshot snapshot_;
+    AutoscalingPlan plan_;
+    std::vector<ExpectedMachine> expected_;  // booting machines, then those requested here
+    std::vector<PendingJob*> queue_;
+    std::map<std::string, ClassQueue> class_queues_;
+    double longest_boot_s_ = 0;
+    // Task-seconds of a class, by zone (empty: any), that its running tasks are already counted on for.
+    std::map<std::pair<std::string, std::string>, double> served_by_running_s_;
+};
+
+AutoscalingPlan AutoscalingRound::run() {
+    collect_booting_machines();
+    // Worked out anew, though place_tasks() had a reservation too: placement may since have served its
+    // holder, filled machines or used up a team's limit, and the reservation that counts now is that of what
+    // is left.
+    const auto reservation = reserve_machines(snapshot_);
+    shrink_reservation_holder(reservation);
+    queue_ = pending_queue(snapshot_.jobs);
+    measure_queues();
+    for (auto* job : queue_) provide_for(*job);
+    auto kept = reservation.machines;
+    provide_headroom(kept);
+    scale_in(kept);
+    return std::move(plan_);
+}
+
+void AutoscalingRound::collect_booting_machines() {
+    const auto reserved = constrained_class_reservations(snapshot_);
+    for (const auto& machine : snapshot_.machines) {
+        if (!machine.booting) continue;
+        const auto found = reserved.find(machine.id);
+        expected_.push_back({machine.type, machine.zone, machine.spot, machine.free,
+                             found == reserved.end() ? INT_MAX : found->second});
     }
+}
 
-    // Reserve for classes whose starting aim is shorter than a boot.
-    std::set<std::string> keep = held.machines;
-    for (const auto& [name, d] : p.demand) {
-        int missing = headroom(p, d);
-        // Spare machines nearest to use first: cheapest to keep.
-        for (const auto& m : p.machines) {
-            if (missing <= 0) break;
-            if (!m.ready || m.busy || keep.contains(m.id)) continue;
-            if (!allowed_on(d.sample, m.type, m.zone, m.spot) || !d.sample.task_resources.fits_in(m.free))
-                continue;
-            keep.insert(m.id);
-            --missing;
-        }
-        for (auto& r : rooms) {
-            if (missing <= 0) break;
-            if (!allowed_on(d.sample, r.type, r.zone, r.spot) || !d.sample.task_resources.fits_in(r.free))
-                continue;
-            r.free -= d.sample.task_resources;
-            --missing;
-        }
-        PendingJob view;
-        view.spec = &d.sample;
-        for (; missing > 0; --missing) {
-            const MachinePool* pool = cheapest(view, 1);
-            if (!pool) break;
-            rent(*pool);
-            rooms.back().free -= d.sample.task_resources;
+// A gang that has machines reserved needs so many fewer.
+void AutoscalingRound::shrink_reservation_holder(const Reservation& reservation) {
+    for (auto& job : snapshot_.jobs)
+        if (job.spec->id == reservation.job)
+            job.pending_tasks.resize(job.pending_tasks.size() -
+                                     std::min(job.pending_tasks.size(), reservation.machines.size()));
+}
+
+void AutoscalingRound::measure_queues() {
+    for (const auto* job : queue_)
+        class_queues_[job->spec->job_class].work_s +=
+            static_cast<double>(job->pending_tasks.size()) * job->expected_s;
+    for (const auto& [job_class, demand] : snapshot_.demand)
+        class_queues_[job_class].servers = demand.running_tasks;
+    for (const auto& pool : snapshot_.pools) longest_boot_s_ = std::max(longest_boot_s_, pool.type->boot_s);
+}
+
+void AutoscalingRound::provide_for(PendingJob& job) {
+    if (job.spec->shape == model::Shape::array) drop_tasks_served_in_time(job);
+    if (job.pending_tasks.empty() || put_on_expected(job, 0)) return;
+    request_machines_for(job);
+}
+
+// A server takes several short tasks one after the other while a new machine would boot, or while the
+// objective can wait: that many machines are needed less.
+void AutoscalingRound::drop_tasks_served_in_time(PendingJob& job) {
+    const auto zone = required_zone(job);
+    const auto& tuning = *snapshot_.tuning;
+    const double running_tasks = running_tasks_for(job, zone);
+    const double horizon_s =
+        std::max(tuning.queue_patience * job.slack_s, tuning.drain_boot_times * longest_boot_s_);
+    const auto waiting_tasks = static_cast<double>(job.pending_tasks.size());
+    double work_s = waiting_tasks * job.expected_s;
+    auto& counted_s = served_by_running_s_[{job.spec->job_class, zone}];
+    const double served_s = std::clamp(running_tasks * horizon_s - counted_s, 0.0, work_s);
+    counted_s += served_s;
+    work_s -= served_s;
+    // Less a hundredth: work that fits but for rounding needs no further task.
+    const double needed = std::ceil(work_s / std::max(horizon_s, job.expected_s) - 0.01);
+    job.pending_tasks.resize(static_cast<std::size_t>(std::clamp(needed, 0.0, waiting_tasks)));
+}
+
+bool AutoscalingRound::put_on_expected(PendingJob& job, std::size_t first_machine) {
+    const auto& spec = *job.spec;
+    std::size_t placed = 0;
+    const int eligible_pools = eligible_pool_count(snapshot_, spec);
+    for (std::size_t i = first_machine; i < expected_.size() && placed < job.pending_tasks.size(); ++i) {
+        auto& machine = expected_[i];
+        if (!spec.task_resources.fits_in(machine.free) || eligible_pools > machine.reserved_for_pool_count ||
+            !allowed_on(spec, machine.type, machine.zone, machine.spot) || !zone_allowed(job, machine.zone))
+            continue;
+        placed += tasks_put_on(job, machine, job.pending_tasks.size() - placed);
+    }
+    job.pending_tasks.erase(job.pending_tasks.begin(),
+                            job.pending_tasks.begin() + static_cast<std::ptrdiff_t>(placed));
+    return job.pending_tasks.empty();
+}
+
+// Accounts for as many tasks as the machine, the team's limit and the job's wishes for zones allow.
+std::size_t AutoscalingRound::tasks_put_on(PendingJob& job, ExpectedMachine& machine, std::size_t max_tasks) {
+    const auto& spec = *job.spec;
+    std::size_t tasks = 0;
+    while (tasks < max_tasks && spec.task_resources.fits_in(machine.free) &&
+           within_limit(snapshot_, spec, 1)) {
+        machine.free -= spec.task_resources;
+        ++job.tasks_by_zone[machine.zone];
+        auto& usage = snapshot_.usage[spec.team];
+        usage.cpus += spec.task_resources.cpus;
+        usage.gpus += spec.task_resources.gpus;
+        ++class_queues_[spec.job_class].servers;
+        ++tasks;
+        if (!zone_allowed(job, machine.zone)) break;
+    }
+    return tasks;
+}
+
+void AutoscalingRound::request_machines_for(PendingJob& job) {
+    double class_tasks = waiting_tasks_of(job.spec->job_class);
+    while (!job.pending_tasks.empty()) {
+        if (!within_limit(snapshot_, *job.spec, 1)) break;
+        const auto* pool = cheapest_pool(job, class_tasks);
+        if (!pool || queue_is_short(job, *pool)) break;
+        request(*pool);
+        const auto before = job.pending_tasks.size();
+        put_on_expected(job, expected_.size() - 1);
+        if (job.pending_tasks.size() == before) break;
+        class_tasks -= static_cast<double>(before - job.pending_tasks.size());
+    }
+}
+
+// Whether the class's queue is too short for a machine of the pool. A dear machine is worth a longer queue
+// than a cheap one: others may come free before it has booted.
+bool AutoscalingRound::queue_is_short(const PendingJob& job, const MachinePool& pool) const {
+    const auto& spec = *job.spec;
+    if (spec.shape != model::Shape::array || running_tasks_for(job, required_zone(job)) <= 0) return false;
+    const auto& tuning = *snapshot_.tuning;
+    const auto& queue = class_queues_.at(spec.job_class);
+    const double longer =
+        std::pow(price_ratio(snapshot_, spec, pool.type->name, pool.spot), tuning.price_patience) - 1;
+    return queue.work_s < queue.servers * tuning.drain_boot_times * longest_boot_s_ * longer;
+}
+
+// Tasks of the job's class that run where the job may go: what ends in another zone makes no room for it.
+// (Found by a test of a lost zone: a job bound to it waited for ever behind tasks of its class in the other
+// one.)
+double AutoscalingRound::running_tasks_for(const PendingJob& job, const std::string& zone) const {
+    const auto& job_class = job.spec->job_class;
+    const auto demand = snapshot_.demand.find(job_class);
+    const double of_class = demand == snapshot_.demand.end() ? 0 : demand->second.running_tasks;
+    if (zone.empty()) return of_class;
+    double in_zone = 0;
+    for (const auto& machine : snapshot_.machines)
+        if (machine.zone == zone && machine.classes.contains(job_class)) in_zone += machine.running_tasks;
+    return std::min(of_class, in_zone);
+}
+
+double AutoscalingRound::waiting_tasks_of(const std::string& job_class) const {
+    double tasks = 0;
+    for (const auto* job : queue_)
+        if (job->spec->job_class == job_class) tasks += static_cast<double>(job->pending_tasks.size());
+    return tasks;
+}
+
+// The pool that costs least for each task, counting only as many tasks on a machine as wait; null where none
+// can be requested.
+const MachinePool* AutoscalingRound::cheapest_pool(const PendingJob& job, double tasks) const {
+    const auto& spec = *job.spec;
+    const MachinePool* best = nullptr;
+    double best_price = 0;
+    for (const auto& pool : snapshot_.pools) {
+        if (pool.refused || !allowed_on(spec, pool) || !zone_allowed(job, pool.zone)) continue;
+        const int capacity = task_capacity(spec, pool.type->capacity);
+        if (capacity < 1) continue;
+        const double price = pool.price() / std::min<double>(capacity, std::max(tasks, 1.0));
+        if (best && price >= best_price) continue;
+        best = &pool;
+        best_price = price;
+    }
+    return best;
+}
+
+void AutoscalingRound::request(const MachinePool& pool) {
+    expected_.push_back({pool.type->name, pool.zone, pool.spot, pool.type->capacity});
+    for (auto& scale_out : plan_.scale_out)
+        if (scale_out.type == pool.type->name && scale_out.zone == pool.zone && scale_out.spot == pool.spot) {
+            ++scale_out.count;
+            return;
         }
+    plan_.scale_out.push_back({pool.type->name, pool.zone, pool.spot, 1});
+}
+
+void AutoscalingRound::provide_headroom(std::set<std::string>& kept) {
+    for (const auto& [job_class, demand] : snapshot_.demand) {
+        int missing = headroom(snapshot_, demand);
+        missing = keep_idle_machines(demand.sample, missing, kept);
+        missing = claim_expected_machines(demand.sample, missing);
+        request_headroom(demand.sample, missing);
     }
-    // The dearer a machine for the work that comes, the less it is worth waiting for some.
-    for (const auto& m : p.machines) {
-        if (!m.ready || m.busy || keep.contains(m.id)) continue;
-        double worth = p.demand.empty() ? 1.0 : 0.0;
-        for (const auto& [name, d] : p.demand)
-            if (d.arrivals_per_s > 0 && allowed_on(d.sample, m.type, m.zone, m.spot) &&
-                d.sample.task_resources.fits_in(m.free))
-                worth = std::max(worth, 1.0 / price_ratio(p, d.sample, m.type, m.spot));
-        if (m.idle_s >= p.tuning->idle_timeout_s * worth) out.scale_in.push_back(m.id);
+}
+
+// Idle machines nearest to use: cheapest to keep. The answer is how many are still missing.
+int AutoscalingRound::keep_idle_machines(const model::JobSpec& sample, int missing,
+                                         std::set<std::string>& kept) const {
+    for (const auto& machine : snapshot_.machines) {
+        if (missing <= 0) break;
+        if (!machine.ready || machine.busy || kept.contains(machine.id)) continue;
+        if (!allowed_on(sample, machine) || !sample.task_resources.fits_in(machine.free)) continue;
+        kept.insert(machine.id);
+        --missing;
+    }
+    return missing;
+}
+
+// One task's room on each expected machine that has it. The answer is how many are still missing.
+int AutoscalingRound::claim_expected_machines(const model::JobSpec& sample, int missing) {
+    for (auto& machine : expected_) {
+        if (missing <= 0) break;
+        if (!allowed_on(sample, machine.type, machine.zone, machine.spot) ||
+            !sample.task_resources.fits_in(machine.free))
+            continue;
+        machine.free -= sample.task_resources;
+        --missing;
+    }
+    return missing;
+}
+
+void AutoscalingRound::request_headroom(const model::JobSpec& sample, int missing) {
+    PendingJob arrival;
+    arrival.spec = &sample;
+    for (; missing > 0; --missing) {
+        const auto* pool = cheapest_pool(arrival, 1);
+        if (!pool) break;
+        request(*pool);
+        expected_.back().free -= sample.task_resources;
+    }
+}
+
+// Idle machines are released after the idle timeout, sooner the less they are worth.
+void AutoscalingRound::scale_in(const std::set<std::string>& kept) {
+    for (const auto& machine : snapshot_.machines) {
+        if (!machine.ready || machine.busy || kept.contains(machine.id)) continue;
+        if (machine.idle_s >= snapshot_.tuning->idle_timeout_s * worth_for_demand(machine))
+            plan_.scale_in.push_back(machine.id);
     }
-    return out;
+}
+
+// The dearer a machine for the work that comes, the less it is worth to wait for some: 1 for the cheapest, 0
+// for a machine that no class can use.
+double AutoscalingRound::worth_for_demand(const MachineSnapshot& machine) const {
+    double worth = snapshot_.demand.empty() ? 1.0 : 0.0;
+    for (const auto& [job_class, demand] : snapshot_.demand)
+        if (demand.arrivals_per_s > 0 && allowed_on(demand.sample, machine) &&
+            demand.sample.task_resources.fits_in(machine.free))
+            worth = std::max(worth, 1.0 / price_ratio(snapshot_, demand.sample, machine.type, machine.spot));
+    return worth;
+}
+
+}  // namespace
+
+AutoscalingPlan plan_autoscaling(Snapshot snapshot) {
+    return AutoscalingRound(std::move(snapshot)).run();
 }
 
 }  // namespace pineroad::scheduling
