--- a/tests/leader_simulator.cpp
+++ b/tests/leader_simulator.cpp
@@ -7,6 +7,8 @@
 #include <sstream>
 #include <utility>
 
+#include "scheduling/eligibility.hpp"
+
 namespace pineroad::test {
 
 namespace records = wire::records;
--- a/tests/sched_test.cpp
+++ b/tests/sched_test.cpp
@@ -3,6 +3,11 @@
 
 #include "leader_simulator.hpp"
 #include "named_case.hpp"
+#include "scheduling/autoscaling.hpp"
+#include "scheduling/placement.hpp"
+#include "scheduling/preemption.hpp"
+#include "scheduling/reservation.hpp"
+#include "scheduling/xfactor.hpp"
 
 namespace pineroad::test {
 namespace {
