--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -56,12 +56,12 @@
 }
 
 void ClusterState::load_segments(const store::WatchCache& watch_cache) {
-    for (const auto& [name, s] : watch_cache.segments) {
+    for (const auto& [name, s] : watch_cache.progress.segments()) {
         segments_[name] = {s.mod_revision, s.sequence, s.entries};
         for (const auto& entry : s.entries) {
             ++segment_references_[entry];
             auto& last = latest_segment_[entry];
-            if (last.empty() || watch_cache.segments.at(last).sequence < s.sequence) last = name;
+            if (last.empty() || watch_cache.progress.segments().at(last).sequence < s.sequence) last = name;
         }
     }
 }
--- /dev/null
+++ b/src/store/arrival_tracker.cpp
@@ -0,0 +1,56 @@
+#include "store/arrival_tracker.hpp"
+
+#include <algorithm>
+#include <optional>
+
+#include "config/constants.hpp"
+
+namespace pineroad::store {
+namespace {
+
+// The shortest time, in seconds, within which an objective wants jobs of the class to start.
+std::optional<double> tightest_start_objective(const config::Settings& settings,
+                                               const std::string& job_class) {
+    std::optional<double> tightest;
+    for (const auto& objective : settings.objectives)
+        if (objective.job_class == job_class && objective.kind == "wait" && objective.within_s)
+            tightest = std::min(tightest.value_or(*objective.within_s), *objective.within_s);
+    return tightest;
+}
+
+}  // namespace
+
+void ArrivalTracker::arrived(const model::JobSpec& spec, double now) {
+    if (!classes_.contains(spec.job_class) && classes_.size() >= constants::demand_classes) return;
+    auto& job_class = classes_[spec.job_class];
+    auto& arrivals = job_class.arrivals;
+    if (arrivals.empty() && job_class.first_arrival == 0) job_class.first_arrival = now;
+    job_class.sample = spec;
+    arrivals.push_back(now);
+    const double window_start = now - constants::demand_window_s;
+    while (arrivals.size() > constants::demand_arrivals ||
+           (!arrivals.empty() && arrivals.front() < window_start))
+        arrivals.pop_front();
+}
+
+double ArrivalTracker::arrivals_per_s(const ClassArrivals& job_class, double now) {
+    const double from =
+        std::max(job_class.first_arrival + constants::demand_settle_s, now - constants::demand_window_s);
+    const auto count = std::count_if(job_class.arrivals.begin(), job_class.arrivals.end(),
+                                     [from](double arrival) { return arrival >= from; });
+    return static_cast<double>(count) / std::max(now - from, constants::min_demand_window_s);
+}
+
+std::map<std::string, scheduling::ClassDemand> ArrivalTracker::classes(const config::Settings& settings,
+                                                                       double now) const {
+    std::map<std::string, scheduling::ClassDemand> demand;
+    for (const auto& [name, job_class] : classes_) {
+        auto& of_class = demand[name];
+        of_class.sample = job_class.sample;
+        of_class.arrivals_per_s = arrivals_per_s(job_class, now);
+        of_class.start_within_s = tightest_start_objective(settings, name);
+    }
+    return demand;
+}
+
+}  // namespace pineroad::store
--- a/src/store/watch_cache.cpp
+++ b/src/store/watch_cache.cpp
@@ -3,6 +3,7 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <utility>
 
 #include "config/constants.hpp"
 
@@ -10,34 +11,14 @@
 
 namespace records = wire::records;
 
-void ArrivalTracker::arrived(const model::JobSpec& spec, double now) {
-    if (!classes_.contains(spec.job_class) && classes_.size() >= constants::demand_classes) return;
-    auto& k = classes_[spec.job_class];
-    if (k.arrivals.empty() && k.first == 0) k.first = now;
-    k.sample = spec;
-    k.arrivals.push_back(now);
-    while (k.arrivals.size() > constants::demand_arrivals ||
-           (!k.arrivals.empty() && k.arrivals.front() < now - constants::demand_window_s))
-        k.arrivals.pop_front();
-}
+namespace {
 
-std::map<std::string, scheduling::ClassDemand> ArrivalTracker::classes(const config::Settings& settings,
-                                                                       double now) const {
-    std::map<std::string, scheduling::ClassDemand> out;
-    for (const auto& [name, k] : classes_) {
-        auto& d = out[name];
-        d.sample = k.sample;
-        const double from = std::max(k.first + constants::demand_settle_s, now - constants::demand_window_s);
-        const auto n =
-            std::count_if(k.arrivals.begin(), k.arrivals.end(), [&](double t) { return t >= from; });
-        d.arrivals_per_s = static_cast<double>(n) / std::max(now - from, constants::min_demand_window_s);
-        for (const auto& o : settings.objectives)
-            if (o.job_class == name && o.kind == "wait" && o.within_s)
-                d.start_within_s = std::min(d.start_within_s.value_or(*o.within_s), *o.within_s);
-    }
-    return out;
+void log_unreadable(const std::string& key) {
+    spdlog::error("record {} cannot be read", key);
 }
 
+}  // namespace
+
 WatchCache::WatchCache() : outcomes_(constants::outcome_cache_size) {}
 
 void WatchCache::clear() {
@@ -45,8 +26,6 @@
     revision = 0;
     jobs.clear();
     progress.clear();
-    segments.clear();
-    latest_.clear();
     open_provisioning_requests = {};
     provisioning_records.clear();
     leader.reset();
@@ -55,8 +34,19 @@
     category_averages = {};
     format = {};
     dependencies_.clear();
-    dependency_records_.clear();
-    incomplete_.clear();
+    dependency_assembler_.clear();
+}
+
+void WatchCache::apply(const wire::WatchEvents& events, double now) {
+    for (const auto& event : events.events) {
+        if (event.mod_revision <= revision) continue;
+        if (event.value)
+            apply_row(event.key, *event.value, event.mod_revision, now);
+        else
+            apply_drop(event.key);
+    }
+    revision = std::max(revision, events.revision);
+    now_ = now;
 }
 
 void WatchCache::complete() {
@@ -64,193 +54,188 @@
     dependencies_.forget_unneeded();
 }
 
-std::optional<model::FinalStatus> WatchCache::outcome_of(const std::string& id) {
-    if (const auto ending = outcomes_.get(id)) return ending->status;
-    if (dependencies_.is_cancelled(id)) return model::FinalStatus::cancelled;
-    return std::nullopt;
-}
-
-void WatchCache::record_outcome(const std::string& id, const model::JobOutcome& ending,
-                                std::uint64_t revision) {
-    outcomes_.insert(id, ending);
-    const auto change = dependencies_.end(id, ending);
-    if (ending.status == model::FinalStatus::cancelled) {
-        const bool fresh = cancellations_.add(id, revision);
+void WatchCache::record_outcome(const std::string& id, const model::JobOutcome& outcome,
+                                std::uint64_t mod_revision) {
+    outcomes_.insert(id, outcome);
+    const auto change = dependencies_.end(id, outcome);
+    if (outcome.status == model::FinalStatus::cancelled) {
+        const bool fresh = cancellations_.add(id, mod_revision);
         if (on_cancelled) on_cancelled(id, fresh);
     }
     dependencies_changed(change);
 }
 
+std::optional<model::FinalStatus> WatchCache::outcome_of(const std::string& id) {
+    if (const auto outcome = outcomes_.get(id)) return outcome->status;
+    if (dependencies_.is_cancelled(id)) return model::FinalStatus::cancelled;
+    return std::nullopt;
+}
+
 void WatchCache::dependencies_changed(const model::DependencyGraph::Change& change) {
     for (const auto& id : change.ready)
         if (const auto job = jobs.find(id); job != jobs.end()) demand.arrived(job->second.value, now_);
     if (on_dependencies && !(change.ready.empty() && change.cancelled.empty())) on_dependencies(change);
 }
 
-void WatchCache::add_job(model::JobSpec spec, std::uint64_t mod_revision, double now) {
+void WatchCache::add_job(Versioned<model::JobSpec> added, double now) {
     now_ = now;
-    const std::string id = spec.id;
-    if (!assemble(spec)) {
-        incomplete_[id] = {std::move(spec), mod_revision};
-        return;
-    }
+    const std::string id = added.value.id;
     const bool fresh = !jobs.contains(id);
-    auto& job = jobs[id] = {std::move(spec), mod_revision};
+    auto& job = jobs[id] = std::move(added);
     if (!fresh) return;
-    auto change = dependencies_.add(job.value);
-    if (on_job) on_job(job.value, mod_revision);
-    // Until its dependencies are done a job asks for nothing.
+    const auto change = dependencies_.add(job.value);
+    if (on_job) on_job(job.value, job.mod_revision);
+    // Until its dependencies are done a job adds nothing to the demand.
     if (dependencies_.is_ready(id)) demand.arrived(job.value, now);
     dependencies_changed(change);
     for (const auto& dependency : job.value.dependencies)
-        if (const auto ending = outcomes_.get(dependency))
-            dependencies_changed(dependencies_.end(dependency, *ending));
+        if (const auto outcome = outcomes_.get(dependency))
+            dependencies_changed(dependencies_.end(dependency, *outcome));
 }
 
-// False while a record of the end of its list is missing.
-bool WatchCache::assemble(model::JobSpec& spec) const {
-    const auto at = dependency_records_.find(spec.id);
-    const auto found = at == dependency_records_.end() ? 0 : at->second.size();
-    if (found < spec.dependency_records) return false;
-    if (spec.dependency_records == 0) return true;
-    for (const auto& [number, list] : at->second)
-        spec.dependencies.insert(spec.dependencies.end(), list.begin(), list.end());
-    return true;
-}
+// --- records by kind --------------------------------------------------------------------------------------
 
-void WatchCache::add_dependency_record(const std::string& name, const wire::Json& value, double now) {
-    const auto slash = name.find('/');
-    auto list = records::parse_dependencies(value);
-    if (slash == std::string::npos || !list) {
-        spdlog::error("record {}{} cannot be read", records::dependencies_prefix, name);
-        return;
+struct WatchCache::RecordKind {
+    std::string_view key;
+    bool is_prefix;  // the key is that of many records: what follows it is the name of one
+    void (WatchCache::*put)(const WrittenRecord&);
+    void (WatchCache::*drop)(const std::string& name);  // null: deleting such a record changes nothing here
+
+    [[nodiscard]] std::optional<std::string> name_in(const std::string& record_key) const {
+        if (is_prefix) return records::under(record_key, key);
+        if (record_key == key) return "";
+        return std::nullopt;
     }
-    const auto id = name.substr(0, slash);
-    dependency_records_[id][name.substr(slash + 1)] = std::move(*list);
-    const auto waiting = incomplete_.find(id);
-    if (waiting == incomplete_.end()) return;
-    auto job = std::move(waiting->second);
-    incomplete_.erase(waiting);
-    add_job(std::move(job.value), job.mod_revision, now);
+};
+
+std::span<const WatchCache::RecordKind> WatchCache::record_kinds() {
+    using Cache = WatchCache;
+    static constexpr bool prefix = true, single = false;
+    static constexpr RecordKind kinds[] = {
+        {records::job_prefix, prefix, &Cache::put_job, &Cache::drop_job},
+        {records::dependencies_prefix, prefix, &Cache::put_dependencies, nullptr},
+        {records::progress_prefix, prefix, &Cache::put_job_progress, &Cache::drop_job_progress},
+        {records::segment_prefix, prefix, &Cache::put_segment, nullptr},
+        {records::provisioning_request_prefix, prefix, &Cache::put_provisioning_record,
+         &Cache::drop_provisioning_record},
+        {records::outcome_prefix, prefix, &Cache::put_outcome, nullptr},
+        {records::provisioning_requests_key, single, &Cache::put_provisioning_requests, nullptr},
+        {records::leader_key, single, &Cache::put_leader, &Cache::drop_leader},
+        {records::term_key, single, &Cache::put_term, nullptr},
+        {records::machine_types_key, single, &Cache::put_machine_types, nullptr},
+        {records::format_key, single, &Cache::put_format, nullptr},
+        {records::category_averages_key, single, &Cache::put_category_averages, nullptr},
+    };
+    return kinds;
 }
 
 void WatchCache::apply_row(const std::string& key, const wire::Json& value, std::uint64_t mod_revision,
                            double now) {
-    auto put = [&](auto& map, const std::string& id, auto parsed) {
-        if (parsed)
-            map[id] = {std::move(*parsed), mod_revision};
-        else
-            spdlog::error("record {} cannot be read", key);
-        return map.contains(id);
-    };
-    if (auto id = records::under(key, records::job_prefix)) {
-        if (auto spec = records::parse_job(*id, value))
-            add_job(std::move(*spec), mod_revision, now);
-        else
-            spdlog::error("record {} cannot be read", key);
-    } else if (auto list = records::under(key, records::dependencies_prefix)) {
-        add_dependency_record(*list, value, now);
-    } else if (auto pid = records::under(key, records::progress_prefix)) {
-        auto parsed = records::parse_progress(value);
-        if (!parsed)
-            spdlog::error("record {} cannot be read", key);
-        else if (const auto it = progress.find({*pid, 0}); it == progress.end() || it->second.segment.empty())
-            progress[{*pid, 0}] = {std::move(*parsed), mod_revision, ""};
-    } else if (auto segment = records::under(key, records::segment_prefix)) {
-        apply_segment(*segment, value, mod_revision);
-    } else if (auto name = records::under(key, records::provisioning_request_prefix)) {
-        put(provisioning_records, *name, records::parse_provisioning_request(*name, value));
-    } else if (auto fid = records::under(key, records::outcome_prefix)) {
-        if (const auto f = records::parse_outcome(value)) record_outcome(*fid, *f, mod_revision);
-    } else if (key == records::provisioning_requests_key) {
-        if (auto list = records::parse_provisioning_requests(value))
-            open_provisioning_requests = {std::move(*list), mod_revision};
-        else
-            spdlog::error("record {} cannot be read", key);
-    } else if (key == records::leader_key) {
-        if (auto l = records::parse_leader(value)) leader = {*l, mod_revision};
-    } else if (key == records::term_key) {
-        if (auto t = records::parse_term(value)) term = {*t, mod_revision};
-    } else if (key == records::machine_types_key) {
-        if (auto t = wire::parse_machine_types(value)) machine_types = {*t, mod_revision};
-    } else if (key == records::format_key) {
-        if (auto controllers = records::parse_format(value)) format = {std::move(*controllers), mod_revision};
-    } else if (key == records::category_averages_key) {
-        category_averages = {records::parse_category_averages(value), mod_revision};
+    for (const auto& kind : record_kinds()) {
+        auto name = kind.name_in(key);
+        if (!name) continue;
+        (this->*kind.put)({key, std::move(*name), value, mod_revision, now});
+        return;
     }
 }
 
-void WatchCache::apply_segment(const std::string& name, const wire::Json& value, std::uint64_t mod_revision) {
-    auto entries = records::parse_segment(value);
-    if (!entries) {
-        spdlog::error("segment {} cannot be read", name);
+void WatchCache::apply_drop(const std::string& key) {
+    for (const auto& kind : record_kinds()) {
+        const auto name = kind.name_in(key);
+        if (!name) continue;
+        if (kind.drop) (this->*kind.drop)(*name);
         return;
     }
-    // Written over: what it said before is needed no more.
-    auto& known = segments[name];
-    for (const auto& entry : known.entries)
-        if (const auto at = latest_.find(entry); at != latest_.end() && at->second == known.sequence) {
-            latest_.erase(at);
-            progress.erase(entry);
-        }
-    known = {entries->sequence, {}, mod_revision};
-    for (auto& [entry, p] : entries->entries) {
-        known.entries.push_back(entry);
-        auto& latest = latest_[entry];  // {0, 0} comes before all
-        if (latest > entries->sequence) continue;
-        latest = entries->sequence;
-        if (p)
-            progress[entry] = {std::move(*p), mod_revision, name};
-        else
-            progress.erase(entry);
-    }
 }
 
-bool WatchCache::is_current(const EntryName& entry, const model::Placement& placement) const {
-    const auto shard = placement.index / constants::tasks_per_shard;
-    return shard == entry.shard || !progress.contains({entry.job, shard});
+void WatchCache::put_job(const WrittenRecord& record) {
+    auto spec = records::parse_job(record.name, record.value);
+    if (!spec) return log_unreadable(record.key);
+    now_ = record.now;
+    auto complete = dependency_assembler_.add_job({std::move(*spec), record.mod_revision});
+    if (complete) add_job(std::move(*complete), record.now);
 }
 
-WatchCache::TaskCounts WatchCache::task_counts(const std::string& id) const {
-    model::TaskSet done;
-    TaskCounts out;
-    for (auto at = progress.lower_bound({id, 0}); at != progress.end() && at->first.job == id; ++at) {
-        const auto& entry = at->second.value;
-        done += entry.done;
-        for (const auto& placement : entry.placements) out.placed += is_current(at->first, placement);
-    }
-    out.done = done.size();
-    return out;
+void WatchCache::put_dependencies(const WrittenRecord& record) {
+    const auto slash = record.name.find('/');
+    auto dependencies = records::parse_dependencies(record.value);
+    if (slash == std::string::npos || !dependencies) return log_unreadable(record.key);
+    auto complete = dependency_assembler_.add_dependencies(
+        record.name.substr(0, slash), record.name.substr(slash + 1), std::move(*dependencies));
+    if (complete) add_job(std::move(*complete), record.now);
 }
 
-void WatchCache::apply_drop(const std::string& key) {
-    if (auto id = records::under(key, records::job_prefix)) {
-        jobs.erase(*id);
-        incomplete_.erase(*id);
-        dependency_records_.erase(*id);
-        dependencies_.remove(*id);
-    } else if (auto pid = records::under(key, records::progress_prefix)) {
-        if (const auto at = progress.find({*pid, 0}); at != progress.end() && at->second.segment.empty())
-            progress.erase(at);
-    } else if (auto name = records::under(key, records::provisioning_request_prefix)) {
-        provisioning_records.erase(*name);
-    } else if (key == records::leader_key) {
-        leader.reset();
-    }
+void WatchCache::put_job_progress(const WrittenRecord& record) {
+    auto parsed = records::parse_progress(record.value);
+    if (!parsed) return log_unreadable(record.key);
+    progress.apply_job_record(record.name, std::move(*parsed), record.mod_revision);
 }
 
-void WatchCache::apply(const wire::WatchEvents& e, double now) {
-    // Two watches may answer out of order; each holds all that came after its start, so what is known is
-    // skipped.
-    for (const auto& event : e.events) {
-        if (event.mod_revision <= revision) continue;
-        if (event.value)
-            apply_row(event.key, *event.value, event.mod_revision, now);
-        else
-            apply_drop(event.key);
+void WatchCache::put_segment(const WrittenRecord& record) {
+    auto segment = records::parse_segment(record.value);
+    if (!segment) {
+        spdlog::error("segment {} cannot be read", record.name);
+        return;
     }
-    revision = std::max(revision, e.revision);
-    now_ = now;
+    progress.apply_segment(record.name, std::move(*segment), record.mod_revision);
+}
+
+void WatchCache::put_provisioning_record(const WrittenRecord& record) {
+    auto request = records::parse_provisioning_request(record.name, record.value);
+    if (!request) return log_unreadable(record.key);
+    provisioning_records[record.name] = {std::move(*request), record.mod_revision};
+}
+
+void WatchCache::put_provisioning_requests(const WrittenRecord& record) {
+    auto requests = records::parse_provisioning_requests(record.value);
+    if (!requests) return log_unreadable(record.key);
+    open_provisioning_requests = {std::move(*requests), record.mod_revision};
+}
+
+void WatchCache::put_outcome(const WrittenRecord& record) {
+    if (const auto outcome = records::parse_outcome(record.value))
+        record_outcome(record.name, *outcome, record.mod_revision);
+}
+
+void WatchCache::put_leader(const WrittenRecord& record) {
+    if (auto parsed = records::parse_leader(record.value)) leader = {std::move(*parsed), record.mod_revision};
+}
+
+void WatchCache::put_term(const WrittenRecord& record) {
+    if (const auto token = records::parse_term(record.value)) term = {*token, record.mod_revision};
+}
+
+void WatchCache::put_machine_types(const WrittenRecord& record) {
+    if (auto types = wire::parse_machine_types(record.value))
+        machine_types = {std::move(*types), record.mod_revision};
+}
+
+void WatchCache::put_format(const WrittenRecord& record) {
+    if (auto controllers = records::parse_format(record.value))
+        format = {std::move(*controllers), record.mod_revision};
+}
+
+void WatchCache::put_category_averages(const WrittenRecord& record) {
+    category_averages = {records::parse_category_averages(record.value), record.mod_revision};
+}
+
+// The further records of its dependency list are deleted in the same transaction.
+void WatchCache::drop_job(const std::string& id) {
+    jobs.erase(id);
+    dependency_assembler_.remove(id);
+    dependencies_.remove(id);
+}
+
+void WatchCache::drop_job_progress(const std::string& id) {
+    progress.remove_job_record(id);
+}
+
+void WatchCache::drop_provisioning_record(const std::string& name) {
+    provisioning_records.erase(name);
+}
+
+void WatchCache::drop_leader(const std::string&) {
+    leader.reset();
 }
 
 }  // namespace pineroad::store
--- a/src/store/watch_cache.hpp
+++ b/src/store/watch_cache.hpp
@@ -1,121 +1,134 @@
-// A node's copy of the live rows in the state service, kept up by watches. It may lag: whoever needs an
-// answer that is no older than one already given asks for a barrier first (Node::barrier).
+// This controller's copy of the service's records in the store, kept current by watches. It may lag behind
+// the store: whoever needs an answer no older than one already given makes a linearizable read first.
 #pragma once
 
 #include <boost/compute/detail/lru_cache.hpp>
-#include <deque>
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <optional>
 #include <set>
+#include <span>
 #include <string>
+#include <vector>
 
 #include "model/dependency_graph.hpp"
 #include "model/model.hpp"
-#include "scheduling/snapshot.hpp"
+#include "store/arrival_tracker.hpp"
 #include "store/cancellation_log.hpp"
+#include "store/dependency_assembler.hpp"
+#include "store/progress_view.hpp"
+#include "store/versioned.hpp"
+#include "wire/protocol.hpp"
 #include "wire/records.hpp"
 
 namespace pineroad::store {
 
-template <class T>
-struct Versioned {
-    T value;
-    std::uint64_t mod_revision = 0;
-};
-
-// Arrivals by class, as every node sees them: a new leader knows the demand at once.
-class ArrivalTracker {
-   public:
-    void arrived(const model::JobSpec& spec, double now);
-    [[nodiscard]] std::map<std::string, scheduling::ClassDemand> classes(const config::Settings& settings,
-                                                                         double now) const;
-
-   private:
-    struct Class {
-        model::JobSpec sample;
-        double first = 0;
-        std::deque<double> arrivals;
-    };
-    std::map<std::string, Class> classes_;
-};
-
+// The live records, decoded, and what follows from them: the dependency graph, the outcomes of jobs that
+// ended lately and the demand by class. Times are seconds of the steady clock. A record that cannot be read
+// is logged or skipped, and leaves what was known before.
 class WatchCache {
    public:
     WatchCache();
+
+    // Forgets the live records before they are read anew. Outcomes, cancellations, demand and the hooks stay:
+    // they do not depend on what is live, and an acknowledged cancellation must stay known.
     void clear();
+    // A record was written, with this value and this revision of its key. Keys of other services are ignored.
     void apply_row(const std::string& key, const wire::Json& value, std::uint64_t mod_revision, double now);
+    // A record was deleted.
     void apply_drop(const std::string& key);
-    // Events of one watch answer; those already known are skipped.
+    // The events of one watch answer, in their order. Two watches may overlap and answer out of order, and
+    // each holds everything after its start: events up to `revision` are skipped.
     void apply(const wire::WatchEvents& events, double now);
+    // Every record up to `revision` was applied: the cache is ready for use.
+    void complete();
+    // Makes a job's outcome known: the only way to do so, taken before any user or peer is answered, whether
+    // the outcome comes from a watch, an answer of the store or a peer. `mod_revision` is that of its record.
+    void record_outcome(const std::string& id, const model::JobOutcome& outcome, std::uint64_t mod_revision);
 
-    bool ready = false;
-    std::uint64_t revision = 0;
-    std::map<std::string, Versioned<model::JobSpec>> jobs;
-    struct Progress {
-        model::Progress value;
-        std::uint64_t mod_revision = 0;
-        std::string segment;  // that it was read from; empty: a record of its own
-    };
-    using EntryName = wire::records::EntryName;
-    std::map<EntryName, Progress> progress;
-    struct Segment {
-        wire::records::Sequence sequence;
-        std::vector<EntryName> entries;  // that it holds
-        std::uint64_t mod_revision = 0;
-    };
-    // Whether the placement, which stands in that entry, counts: an entry of a whole job counts for tasks
-    // whose part has no entry of its own, which is later.
-    [[nodiscard]] bool is_current(const EntryName& entry, const model::Placement& placement) const;
-    // Tasks of a job that are done, and that have a machine.
-    struct TaskCounts {
-        std::uint64_t done = 0, placed = 0;
-    };
-    [[nodiscard]] TaskCounts task_counts(const std::string& id) const;
-    std::map<std::string, Segment> segments;
+    // How the job ended, as far as memory has it. A live job counts as cancelled once a job that it depends
+    // on is: it cannot end in any other way, whether or not its own final record is written yet.
+    std::optional<model::FinalStatus> outcome_of(const std::string& id);
+    // Whether a placement that is part of the entry counts: see ProgressView.
+    [[nodiscard]] bool is_current(const wire::records::EntryName& entry,
+                                  const model::Placement& placement) const {
+        return progress.is_current(entry, placement);
+    }
+    // Number of the job's tasks that are done, and that are placed on a machine.
+    [[nodiscard]] ProgressView::TaskCounts task_counts(const std::string& id) const {
+        return progress.task_counts(id);
+    }
+    // The dependencies between live jobs.
+    [[nodiscard]] const model::DependencyGraph& dependencies() const { return dependencies_; }
+    // The cancellations known to this process.
+    [[nodiscard]] const CancellationLog& cancellations() const { return cancellations_; }
+
+    using Progress = ProgressView::Entry;
+
+    bool ready = false;          // every record up to `revision` is applied
+    std::uint64_t revision = 0;  // of the store, up to which events are applied
+    std::map<std::string, Versioned<model::JobSpec>>
+        jobs;  // live jobs with their whole dependency list, by id
+    ProgressView progress;
+    // Provisioning requests without an answer, in the one record that holds them all.
     Versioned<std::vector<model::ProvisioningRequest>> open_provisioning_requests;
-    std::map<std::string, Versioned<model::ProvisioningRequest>>
-        provisioning_records;  // records of their own, from version 0.2
-    std::optional<Versioned<wire::records::Leader>> leader;
-    Versioned<std::uint64_t> term;
+    // The same in records of their own, by name, as version 0.2 wrote them.
+    std::map<std::string, Versioned<model::ProvisioningRequest>> provisioning_records;
+    std::optional<Versioned<wire::records::Leader>> leader;  // who holds the term; nothing: it is vacant
+    Versioned<std::uint64_t> term;                           // the greatest fencing token given out
     std::optional<Versioned<std::vector<model::MachineType>>> machine_types;
     Versioned<model::CategoryAverages> category_averages;
     Versioned<std::set<std::string>> format;  // controllers that read the present record format
-    ArrivalTracker demand;
-    // Hooks of the leader.
-    std::function<void(const model::JobSpec&, std::uint64_t)> on_job;
-    std::function<void(const std::string&, bool fresh)> on_cancelled;
+    ArrivalTracker demand;                    // of jobs since their dependencies are done
+
+    // Hooks of the leader, called while an event is applied; empty ones are not called.
+    // A job became live; with the revision of its record.
+    std::function<void(const model::JobSpec&, std::uint64_t mod_revision)> on_job;
+    // A job is cancelled; `fresh` if this cancellation was not known here before.
+    std::function<void(const std::string& id, bool fresh)> on_cancelled;
+    // Jobs became ready, or cancelled because of a job that they depend on.
     std::function<void(const model::DependencyGraph::Change&)> on_dependencies;
 
-    // Everything up to `epoch` is in it.
-    void complete();
+   private:
+    // A written record whose kind is known.
+    struct WrittenRecord {
+        const std::string& key;
+        std::string name;  // what follows the prefix in its key
+        const wire::Json& value;
+        std::uint64_t mod_revision;
+        double now;
+    };
+    // How the records under a key or key prefix are applied.
+    struct RecordKind;
+    static std::span<const RecordKind> record_kinds();
 
-    // Of two parts that speak of one job the newer counts.
-    void apply_segment(const std::string& name, const wire::Json& value, std::uint64_t mod_revision);
-    // How the job ended, as far as memory tells. That includes a live job that is cancelled because one
-    // before it was: it can't end in any other way, whether or not its own final record is written yet.
-    std::optional<model::FinalStatus> outcome_of(const std::string& id);
-    [[nodiscard]] const model::DependencyGraph& dependencies() const { return dependencies_; }
-    // The one way by which a final state becomes known here, before anybody is told of it: by a watch, an
-    // answer of the state service or a peer.
-    void record_outcome(const std::string& id, const model::JobOutcome& ending, std::uint64_t revision);
-    [[nodiscard]] const CancellationLog& cancellations() const { return cancellations_; }
+    void put_job(const WrittenRecord& record);
+    void put_dependencies(const WrittenRecord& record);
+    void put_job_progress(const WrittenRecord& record);
+    void put_segment(const WrittenRecord& record);
+    void put_provisioning_record(const WrittenRecord& record);
+    void put_provisioning_requests(const WrittenRecord& record);
+    void put_outcome(const WrittenRecord& record);
+    void put_leader(const WrittenRecord& record);
+    void put_term(const WrittenRecord& record);
+    void put_machine_types(const WrittenRecord& record);
+    void put_format(const WrittenRecord& record);
+    void put_category_averages(const WrittenRecord& record);
+    void drop_job(const std::string& id);
+    void drop_job_progress(const std::string& id);
+    void drop_provisioning_record(const std::string& name);
+    void drop_leader(const std::string& name);
 
-   private:
-    void add_job(model::JobSpec spec, std::uint64_t mod_revision, double now);
-    void add_dependency_record(const std::string& name, const wire::Json& value, double now);
-    [[nodiscard]] bool assemble(model::JobSpec& spec) const;
+    void add_job(Versioned<model::JobSpec> job, double now);
     void dependencies_changed(const model::DependencyGraph::Change& change);
 
-    std::map<EntryName, wire::records::Sequence> latest_;  // of the segments that hold an entry
-    boost::compute::detail::lru_cache<std::string, model::JobOutcome> outcomes_;
+    DependencyAssembler dependency_assembler_;
     model::DependencyGraph dependencies_;
-    // Further records of long lists, by job and number, and jobs whose list is not complete yet: pages of a
-    // list are read one after the other.
-    std::map<std::string, std::map<std::string, std::vector<std::string>>> dependency_records_;
-    std::map<std::string, Versioned<model::JobSpec>> incomplete_;
-    double now_ = 0;
-    CancellationLog cancellations_;  // outlives a mirror that is read anew: what was told stays told
+    // Of jobs that ended lately; the least recently used are dropped beyond constants::outcome_cache_size.
+    boost::compute::detail::lru_cache<std::string, model::JobOutcome> outcomes_;
+    CancellationLog cancellations_;
+    double now_ = 0;  // when an event was last applied
 };
 
 }  // namespace pineroad::store
