--- a/src/store/cancellation_log.hpp
+++ b/src/store/cancellation_log.hpp
@@ -1,7 +1,7 @@
-// The cancellations that this process knows of, by the revision of the state service that holds them. A user
-// is told of a cancellation only once it stands here, whoever committed it and whatever the answer belongs to
-// (a cancel, a repeated one, a poll, a repeated submission). That makes it what a node vouches for to its
-// peers: docs/safety.md, "What a peer vouches for".
+// The cancellations that this process knows of, by the revision of the store that holds them. A user gets an
+// answer that says "cancelled" only once the cancellation is recorded here, whoever committed it and whatever
+// the answer belongs to (a cancel, a repeated one, a poll, a repeated submission). That makes this log what a
+// controller confirms to its peers: docs/safety.md, "What a peer confirms".
 #pragma once
 
 #include <algorithm>
@@ -16,31 +16,34 @@
 
 namespace pineroad::store {
 
+// The latest constants::max_cancellations_kept cancellations, by revision.
 class CancellationLog {
    public:
-    using Entry = std::pair<std::uint64_t, std::string>;  // revision, job
+    // A revision of the store, and the id of the job that was cancelled at it.
+    using Entry = std::pair<std::uint64_t, std::string>;
 
-    // True if it was not known.
+    // Records a cancellation, and forgets the oldest where there are too many. True if it was not known.
     bool add(const std::string& job, std::uint64_t revision) {
         if (!entries_.emplace(revision, job).second) return false;
         while (entries_.size() > constants::max_cancellations_kept) {
-            forgotten_ = std::max(forgotten_, entries_.begin()->first);
+            forgotten_up_to_ = std::max(forgotten_up_to_, entries_.begin()->first);
             entries_.erase(entries_.begin());
         }
         return true;
     }
-    // Every cancellation known here above the revision. Nothing, rather than a part, when some of these were
-    // forgotten or they are more than one message holds: the asker would take a part for the whole.
+    // Every cancellation known here after the revision, in ascending order. Nothing, rather than a part of
+    // them, when some were forgotten or they are more than one message holds: the asker would take a part for
+    // all.
     [[nodiscard]] std::optional<std::vector<Entry>> after(std::uint64_t revision) const {
-        if (revision < forgotten_) return std::nullopt;
-        std::vector<Entry> out(entries_.lower_bound({revision + 1, ""}), entries_.end());
-        if (out.size() > constants::max_cancellations_per_message) return std::nullopt;
-        return out;
+        if (revision < forgotten_up_to_) return std::nullopt;
+        std::vector<Entry> known(entries_.lower_bound({revision + 1, ""}), entries_.end());
+        if (known.size() > constants::max_cancellations_per_message) return std::nullopt;
+        return known;
     }
 
    private:
     std::set<Entry> entries_;
-    std::uint64_t forgotten_ = 0;  // the greatest revision that was forgotten
+    std::uint64_t forgotten_up_to_ = 0;  // the greatest revision that was forgotten
 };
 
 }  // namespace pineroad::store
