--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -41,7 +41,7 @@
     category_averages_ = watch_cache.category_averages.value,
     averages_revision_ = watch_cache.category_averages.mod_revision;
     for (const auto& [id, job] : watch_cache.jobs) job_added(job.value, job.mod_revision, now);
-    for (const auto& [name, p] : watch_cache.progress) load_entry(watch_cache, name, p, now);
+    for (const auto& [name, p] : watch_cache.progress) load_entry(watch_cache, name, p);
     load_segments(watch_cache);
     provisioning_.load(watch_cache);
     for (auto& [id, job] : jobs_) {
@@ -67,7 +67,7 @@
 }
 
 void ClusterState::load_entry(const store::WatchCache& watch_cache, const records::EntryName& name,
-                              const store::WatchCache::Progress& progress, double now) {
+                              const store::WatchCache::Progress& progress) {
     Job& job = jobs_[name.job];
     job.id = name.job;
     const auto& entry = progress.value;
@@ -85,10 +85,9 @@
         if (!watch_cache.is_current(name, p)) continue;
         TaskPlacement s;
         s.index = p.index, s.attempt = p.attempt, s.machine = p.machine;
-        s.inherited = true;
-        s.placed_at = now;
+        s.presence = Presence::inherited;
         add_placement(job, std::move(s));
-        job.gang_attempt = std::max(job.gang_attempt, p.attempt);
+        job.latest_attempt = std::max(job.latest_attempt, p.attempt);
     }
 }
 
@@ -109,7 +108,7 @@
     job.id = spec.id;
     job.spec = spec;
     job.mod_revision = mod_revision;
-    job.waiting_since = now;
+    job.waiting_since_s = now;
     job.record.task_resources = spec.task_resources;
     job.record.team = spec.team;
 }
@@ -120,10 +119,10 @@
     Job& job = it->second;
     job.cancelled = true;
     job.finished = false;
-    // Starts not given yet are never given: such slots hold nothing. Inherited ones may have been given.
+    // Starts not sent yet are never sent: nothing runs under such placements.
     for (auto it = job.placements.begin(); it != job.placements.end();) {
         const auto at = it++;
-        if (!at->second.inherited && !at->second.sent) remove_placement(job, at);
+        if (at->second.is_unsent()) remove_placement(job, at);
     }
     stop_job(job, 0);
     mark_changed(job);
@@ -153,9 +152,9 @@
     auto [it, fresh] = machines_.try_emplace(id);
     if (fresh) {
         it->second.id = id;
-        it->second.provisioned_at = now_;
-        it->second.idle_since = now_;
-        it->second.last_heartbeat = now_;
+        it->second.provisioned_at_s = now_;
+        it->second.idle_since_s = now_;
+        it->second.last_heartbeat_s = now_;
     }
     return it->second;
 }
@@ -176,7 +175,7 @@
     TaskPlacement s = std::move(at->second);
     job.placements.erase(at);
     if (const auto m = machines_.find(s.machine); m != machines_.end())
-        std::erase(m->second.tasks, std::pair(&job, s.index));
+        std::erase(m->second.tasks, PlacedTask{&job, s.index});
     return s;
 }
 
@@ -197,7 +196,7 @@
 void ClusterState::machines_provisioned(const std::string& name, const std::vector<std::string>& ids,
                                         double now) {
     now_ = now;
-    const auto r = provisioning_.answered(name, ids.size(), now);
+    const auto r = provisioning_.record_answer(name, ids.size(), now);
     if (!r) return;
     for (const auto& id : ids) {
         if (released_machines_.contains(id)) continue;
@@ -207,7 +206,7 @@
 }
 
 void ClusterState::provisioning_refused(const std::string& name, double now) {
-    provisioning_.reject(name, now);
+    provisioning_.record_refusal(name, now);
     last_capacity_ = 0;  // look at the other pools at once
 }
 
@@ -240,19 +239,17 @@
         const bool fresh = !machines_.contains(l.id);
         Machine& m = machine(l.id);
         if (fresh) spdlog::info("machine {} found in the list (term {})", l.id, fencing_token_);
-        if (!m.reporting) m.type = l.type, m.zone = l.zone, m.spot = l.spot;
+        if (!m.has_reported()) m.type = l.type, m.zone = l.zone, m.spot = l.spot;
         if (m.address.empty()) m.address = l.address;
-        m.provisioned_at = std::min(m.provisioned_at, now - l.age_s);
-        m.listed = true;
-        m.missing_since = -1;
-        m.listed_failed = l.status == model::MachineStatus::failed;
-        m.listed_running = l.status == model::MachineStatus::running;
+        m.provisioned_at_s = std::min(m.provisioned_at_s, now - l.age_s);
+        m.listed_status = l.status;
+        m.missing_since_s.reset();
     }
     // Whatever ran a task in an earlier term is older than the list's lag by now: not listed, it is gone.
     const bool caught_up = now - term_start_ > 2 * settings_.list_lag_s + c::list_period_s;
     for (auto& [id, m] : machines_) {
-        const bool known = m.listed || (caught_up && !m.reporting && !m.tasks.empty());
-        if (known && !seen.contains(id) && m.missing_since < 0) m.missing_since = now;
+        const bool known = m.listed_status || (caught_up && !m.has_reported() && !m.tasks.empty());
+        if (known && !seen.contains(id) && !m.missing_since_s) m.missing_since_s = now;
     }
 }
 
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -12,7 +12,10 @@
 #include <string>
 #include <vector>
 
+#include "cluster/job.hpp"
+#include "cluster/machine.hpp"
 #include "cluster/provisioning_requests.hpp"
+#include "cluster/write_batch.hpp"
 #include "config/settings.hpp"
 #include "config/tuning.hpp"
 #include "model/model.hpp"
@@ -22,115 +25,6 @@
 
 namespace pineroad::cluster {
 
-// A placement, from the decision until the task is proven off its machine.
-struct TaskPlacement {
-    std::uint32_t index = 0;
-    std::uint64_t attempt = 0;
-    std::string machine;
-    std::uint64_t version = 0;  // of the job's part that first holds it; starts wait until that is durable
-    bool inherited = false;  // placed by an earlier term: may be there until a report under this token tells
-    bool sent = false;       // a start was given in an answer of this term
-    bool seen = false;       // a report of this term showed it
-    model::TaskState state = model::TaskState::fetching;
-    double placed_at = 0, running_since = -1;
-    bool stopping = false;
-    double grace_s = 0;
-    bool stop_sent = false;  // by /do
-};
-
-// So many tasks of a job, whose state is one entry of a segment. A job that is not split has one part.
-struct ProgressShard {
-    std::string segment;  // that holds its entry; empty: none does
-    std::uint64_t version = 0, durable = 0;
-    [[nodiscard]] bool is_changed() const { return version > durable; }
-};
-
-struct Job {
-    std::optional<model::JobSpec> spec;  // nothing: only the progress of a withdrawn job is left
-    std::string id;
-    model::Progress record;  // placements are taken from `slots` when it is written
-    std::map<std::uint32_t, TaskPlacement> placements;  // by task
-    std::map<std::uint32_t, ProgressShard> shards;
-    bool sharded = false;
-    // Parts whose tasks stand only in an entry of the whole job. That entry is replaced once they have
-    // entries of their own: before, a new leader would miss their placements.
-    std::set<std::uint32_t> shards_in_unsharded_entry;
-    std::uint64_t mod_revision = 0, progress_revision = 0;
-    std::uint64_t version = 0;  // of its latest change
-    bool cancelled = false;
-    bool cancelled_by_dependency =
-        false;              // one that it depends on was cancelled: it never starts, and ends as cancelled
-    bool finished = false;  // every task done; final once durable
-    bool final_durable = false;
-    double xfactor_at_start = 1;
-    std::uint64_t gang_attempt = 0;
-    bool gang_ran = false;
-    std::set<std::string> failed_machines;  // machines where a task of it ended in an error
-    std::set<std::string> machines_left;    // machines a member of the present gang attempt has left
-    int errors = 0;
-    double retry_at = 0;
-    double waiting_since = 0;  // the last time that nothing of it was placed
-};
-
-struct Machine {
-    std::string id, type, zone, address;
-    bool spot = false;
-    bool reporting = false;        // a worker has reported in this term
-    bool token_confirmed = false;  // ... showing this term's token
-    std::uint64_t agent_epoch = 0, sequence = 0;
-    double last_heartbeat = 0;
-    double provisioned_at = 0;
-    std::optional<double> interruption_notice_s;
-    double interruption_notice_at = 0;
-    bool listed = false, listed_failed = false, listed_running = false;
-    double missing_since = -1;  // was listed, and is no longer
-    bool quarantined = false;
-    std::set<std::string> error_jobs;
-    int errors = 0;
-    bool releasing = false;
-    double idle_since = 0;
-    std::vector<std::pair<Job*, std::uint32_t>> tasks;  // the slots that name it
-    // Orders that its reports ignore: answers to it are lost, while its reports arrive.
-    int unacknowledged_commands = 0;
-    double unacknowledged_at = 0, unconfirmed_since = -1;
-    std::vector<std::pair<model::TaskId, std::uint64_t>> sent_forgets;  // by the last answer
-    std::deque<std::pair<std::string, double>> images;                  // name and GB, latest last
-    struct ExitedTask {
-        model::TaskId task;
-        std::uint64_t attempt = 0, version = 0;
-    };
-    std::vector<ExitedTask> exited_tasks;            // to be reaped once what they told is durable
-    std::vector<model::ReportedTask> unknown_tasks;  // tasks no placement speaks of
-    std::vector<model::ReportedTask>
-        tasks_under_older_token;  // what it ran when it did not show this term's token yet
-};
-
-struct WriteBatch {
-    wire::Transaction txn;
-    // Versions that it makes durable: of one part, or of the whole job.
-    struct WrittenShard {
-        std::string job;
-        std::optional<std::uint32_t> shard;
-        std::uint64_t version = 0;
-    };
-    std::vector<WrittenShard> written_shards;
-    struct FinishedJob {
-        std::string job;
-        model::JobOutcome outcome;
-    };
-    std::vector<FinishedJob> finished_jobs;
-    std::vector<std::string> removed_jobs;
-    std::vector<wire::records::EntryName> tombstones;
-    std::optional<ProvisioningRequests::Record> provisioning_requests;
-    struct Segment {
-        std::string name;
-        wire::records::Sequence sequence;
-        std::vector<wire::records::EntryName> entries;
-    };
-    std::vector<Segment> segments;  // written
-    bool types = false, category_averages = false;
-};
-
 struct DirectCommands {
     std::string address, machine;
     std::uint64_t agent_epoch = 0;
@@ -186,13 +80,13 @@
 
     // --- cloud ---
     bool set_machine_types(const std::vector<model::MachineType>& types);
-    [[nodiscard]] bool has_provisioning_request() const { return provisioning_.waiting(); }
+    [[nodiscard]] bool has_provisioning_request() const { return provisioning_.has_next(); }
     std::optional<model::ProvisioningRequest> next_provisioning_request() {
         return provisioning_.next();
     }  // durable and unanswered
     void machines_provisioned(const std::string& name, const std::vector<std::string>& machines, double now);
     void provisioning_refused(const std::string& name, double now);
-    void provisioning_unanswered(const std::string& name) { provisioning_.unanswered(name); }
+    void provisioning_unanswered(const std::string& name) { provisioning_.record_missing_answer(name); }
     std::vector<std::string> machines_to_release(double now) const;
     void machines_released(const std::vector<std::string>& machines, double now);
     void apply_machine_list(const std::vector<model::ListedMachine>& machines, double now);
@@ -207,10 +101,9 @@
 
    private:
     void load_entry(const store::WatchCache& watch_cache, const wire::records::EntryName& name,
-                    const store::WatchCache::Progress& progress, double now);
+                    const store::WatchCache::Progress& progress);
     void load_segments(const store::WatchCache& watch_cache);
     void load_unsharded_entries(Job& job);
-    using Placements = std::map<std::uint32_t, TaskPlacement>;
     TaskPlacement& add_placement(Job& job, TaskPlacement placement);
     TaskPlacement remove_placement(Job& job, Placements::iterator at);
     void handle_exit(Job& job, Placements::iterator placement, const model::ReportedTask& t, Machine& machine,
@@ -224,8 +117,7 @@
     Job* apply_task_report(Machine& machine, const model::ReportedTask& task,
                            CommandAcknowledgement& acknowledgement, double now);
     void record_completion_elsewhere(Job& job, const model::ReportedTask& task);
-    void handle_missing_placements(Machine& machine,
-                                   const std::vector<std::pair<Job*, std::uint32_t>>& present,
+    void handle_missing_placements(Machine& machine, const std::vector<PlacedTask>& present,
                                    CommandAcknowledgement& acknowledgement);
     void checkpoint_before_interruption(Machine& machine);
     void record_unacknowledged_commands(Machine& machine, double now);
@@ -254,13 +146,12 @@
     // The one test before every start: accepted, not over, and all that it depends on is done.
     [[nodiscard]] bool may_run(const Job& job) const;
     void compact();
-    void shards_committed(const WriteBatch::WrittenShard& written);
-    void segment_committed(const WriteBatch::Segment& written, std::uint64_t revision);
-    void end_committed(const WriteBatch::FinishedJob& ended, std::int64_t wall_ms);
+    void shards_committed(const WrittenShard& written);
+    void segment_committed(const WrittenSegment& written, std::uint64_t revision);
+    void end_committed(const FinishedJob& ended, std::int64_t wall_ms);
     void remove_if_over(const std::string& id);
     void remember_image(Machine& machine, const model::JobSpec& spec);
     [[nodiscard]] bool segment_is_unused(const std::string& name) const;
-    [[nodiscard]] bool ended(const Job& job) const { return job.cancelled || job.final_durable; }
     void drain(Machine& machine);
     [[nodiscard]] const char* reason_to_release(const Machine& m, bool others_report, double now) const;
     [[nodiscard]] const char* reason_to_release_unseen(const Machine& m, bool others_report, double silent,
--- a/src/cluster/durable_writes.cpp
+++ b/src/cluster/durable_writes.cpp
@@ -239,7 +239,7 @@
     else
         spdlog::error("{} machine types do not fit one value of the state service",
                       cluster_state_.machine_types_.size());
-    batch_.types = true;
+    batch_.machine_types = true;
 }
 
 void ClusterState::BatchWriter::add_rentals() {
@@ -274,7 +274,7 @@
 bool ClusterState::BatchWriter::add_changed_shards(bool waiting) {
     for (const auto& id : cluster_state_.changed_jobs_) {
         Job& job = cluster_state_.jobs_.at(id);
-        if (job.finished || job.cancelled_by_dependency || cluster_state_.ended(job)) continue;
+        if (job.finished || job.cancelled_by_dependency || job.is_over()) continue;
         for (const auto& [number, shard] : job.shards) {
             if (!shard.is_changed() || starts_wait(job, number, shard) != waiting) continue;
             // A new leader would miss the placements that stand in that entry alone.
@@ -367,13 +367,13 @@
         for (const auto& id : dirty) {
             Job& job = cluster_state_.jobs_.at(id);
             if (job.cancelled_by_dependency != cancelled_by_dependency) continue;
-            if ((job.finished || job.cancelled_by_dependency) && !cluster_state_.ended(job)) {
+            if ((job.finished || job.cancelled_by_dependency) && !job.is_over()) {
                 if (!add_end(job, cancelled_by_dependency ? model::FinalStatus::cancelled
                                                           : model::FinalStatus::done)) {
                     cluster_state_.urgent_ = true;
                     return;
                 }
-            } else if (!cluster_state_.ended(job) || !job.placements.empty()) {
+            } else if (!job.is_over() || !job.placements.empty()) {
                 continue;  // written above, or nothing to say until the last task is gone
             }
             if (job.placements.empty()) {
@@ -444,14 +444,14 @@
     for (const auto& ended : b.finished_jobs) end_committed(ended, wall_ms);
     for (const auto& id : b.removed_jobs) remove_if_over(id);
     if (b.provisioning_requests) provisioning_.apply_commit(*b.provisioning_requests, revision);
-    if (b.types) machine_types_changed_ = false, machine_types_revision_ = revision;
+    if (b.machine_types) machine_types_changed_ = false, machine_types_revision_ = revision;
     if (b.category_averages)
         averages_changed_ = false, averages_revision_ = revision, averages_written_at_ = now;
     if (!changed_jobs_.empty()) changed_since_ = now;
     compact();
 }
 
-void ClusterState::shards_committed(const WriteBatch::WrittenShard& written) {
+void ClusterState::shards_committed(const WrittenShard& written) {
     const auto it = jobs_.find(written.job);
     if (it == jobs_.end()) return;
     Job& job = it->second;
@@ -468,7 +468,7 @@
         changed_jobs_.erase(job.id);
 }
 
-void ClusterState::segment_committed(const WriteBatch::Segment& written, std::uint64_t revision) {
+void ClusterState::segment_committed(const WrittenSegment& written, std::uint64_t revision) {
     auto& segment = segments_[written.name];
     for (const auto& entry : segment.entries)
         if (--segment_references_[entry] == 0) {
@@ -485,7 +485,7 @@
     }
 }
 
-void ClusterState::end_committed(const WriteBatch::FinishedJob& ended, std::int64_t wall_ms) {
+void ClusterState::end_committed(const FinishedJob& ended, std::int64_t wall_ms) {
     const auto it = jobs_.find(ended.job);
     if (it == jobs_.end()) return;
     Job& job = it->second;
@@ -504,7 +504,7 @@
 
 void ClusterState::remove_if_over(const std::string& id) {
     const auto it = jobs_.find(id);
-    if (it == jobs_.end() || !ended(it->second) || !it->second.placements.empty() ||
+    if (it == jobs_.end() || !it->second.is_over() || !it->second.placements.empty() ||
         it->second.progress_revision != 0)
         return;
     for (auto at = segment_references_.lower_bound({id, 0});
--- a/src/cluster/heartbeat_reconciliation.cpp
+++ b/src/cluster/heartbeat_reconciliation.cpp
@@ -41,10 +41,8 @@
 }
 }  // namespace
 void ClusterState::stop(Job& job, TaskPlacement& placement, double grace_s) {
-    if (placement.stopping && placement.grace_s <= grace_s) return;
-    placement.stopping = true;
-    placement.grace_s = grace_s;
-    placement.stop_sent = false;
+    if (placement.stop && placement.stop->grace_s <= grace_s) return;
+    placement.stop = StopRequest{grace_s};
     unsent_stops_.emplace_back(job.id, placement.index);
 }
 
@@ -57,24 +55,24 @@
     // A machine whose release was answered is gone; a report of it was held back on the way.
     if (released_machines_.contains(r.machine)) return false;
     Machine& m = machine(r.machine);
-    if (m.reporting && std::pair(r.agent_epoch, r.sequence) <= std::pair(m.agent_epoch, m.sequence))
+    if (m.has_reported() && std::pair(r.agent_epoch, r.sequence) <= std::pair(m.agent_epoch, m.sequence))
         return false;
     update_machine_identity(m, r, now);
     // Absence proves nothing unless the worker already refuses the orders of earlier terms.
-    m.token_confirmed = r.fencing_token == fencing_token_;
-    if (!m.token_confirmed) {
-        if (m.unconfirmed_since < 0) m.unconfirmed_since = now;
+    m.contact = r.fencing_token == fencing_token_ ? WorkerContact::current_token : WorkerContact::older_token;
+    if (!m.token_confirmed()) {
+        if (!m.older_token_since_s) m.older_token_since_s = now;
         m.tasks_under_older_token = r.tasks;
         return true;
     }
-    m.unconfirmed_since = -1;
+    m.older_token_since_s.reset();
     m.unknown_tasks.clear();
     m.exited_tasks.clear();
     CommandAcknowledgement acknowledgement;
-    std::vector<std::pair<Job*, std::uint32_t>> present;
+    std::vector<PlacedTask> present;
     for (const auto& t : r.tasks) {
         const auto shown = apply_task_report(m, t, acknowledgement, now);
-        if (shown) present.emplace_back(shown, t.task.index);
+        if (shown) present.push_back({shown, t.task.index});
     }
     handle_missing_placements(m, present, acknowledgement);
     acknowledgement.acknowledged |= !m.sent_forgets.empty() && !acknowledgement.ignored;
@@ -82,34 +80,33 @@
     if (acknowledgement.ignored)
         record_unacknowledged_commands(m, now);
     else if (acknowledgement.acknowledged)
-        m.unacknowledged_commands = 0;
-    if (!m.unknown_tasks.empty() || !m.tasks.empty()) m.idle_since = now;
-    if (m.interruption_notice_s) checkpoint_before_interruption(m);
+        m.unacknowledged.heartbeats = 0;
+    if (!m.unknown_tasks.empty() || !m.tasks.empty()) m.idle_since_s = now;
+    if (m.interruption_notice) checkpoint_before_interruption(m);
     return true;
 }
 
 // Who reports, and from where.
 void ClusterState::update_machine_identity(Machine& m, const model::Heartbeat& r, double now) {
-    if (!m.reporting)
+    if (!m.has_reported())
         spdlog::info("machine {} ({} in {}{}) reports, session {} (term {})", r.machine, r.type, r.zone,
                      r.spot ? ", spot" : "", r.agent_epoch, fencing_token_);
-    if (!m.reporting) m.idle_since = now;
+    if (!m.has_reported()) m.idle_since_s = now;
     // A one-way cut: its reports arrive, and what it is told does not reach it. Its tasks have ended with its
     // lease; kept, it would report for ever and do nothing.
-    if (m.unacknowledged_commands >= c::max_unacknowledged_heartbeats && r.agent_epoch > m.agent_epoch &&
+    if (m.unacknowledged.heartbeats >= c::max_unacknowledged_heartbeats && r.agent_epoch > m.agent_epoch &&
         commands_reach_others_) {
         spdlog::info("machine {} released: reports, but nothing reaches it (term {})", m.id, fencing_token_);
         m.releasing = true;
     }
-    m.reporting = true;
     m.type = r.type, m.zone = r.zone, m.spot = r.spot, m.address = r.address;
     m.agent_epoch = r.agent_epoch, m.sequence = r.sequence;
-    m.last_heartbeat = now;
+    m.last_heartbeat_s = now;
     last_heartbeat_ = now;
-    if (r.interruption_notice_s && !m.interruption_notice_s)
+    if (r.interruption_notice_s && !m.interruption_notice)
         spdlog::info("machine {} will be taken in {:.1f} s", m.id, *r.interruption_notice_s);
-    m.interruption_notice_s = r.interruption_notice_s;
-    m.interruption_notice_at = now;
+    m.interruption_notice.reset();
+    if (r.interruption_notice_s) m.interruption_notice = InterruptionNotice{*r.interruption_notice_s, now};
 }
 
 // What a report says of one task; its job if the task is where it was placed.
@@ -121,9 +118,9 @@
     const bool known = job && (at = job->placements.find(t.task.index)) != job->placements.end() &&
                        at->second.attempt == t.attempt && at->second.machine == m.id;
     if (t.state == TaskState::exited) {
-        const std::pair told(t.task, t.attempt);
+        const SentForget sent{t.task, t.attempt};
         acknowledgement.ignored |=
-            std::find(m.sent_forgets.begin(), m.sent_forgets.end(), told) != m.sent_forgets.end();
+            std::find(m.sent_forgets.begin(), m.sent_forgets.end(), sent) != m.sent_forgets.end();
         if (known)
             handle_exit(*job, at, t, m, now);
         else if (job)
@@ -136,11 +133,10 @@
         return nullptr;
     }
     TaskPlacement& s = at->second;
-    acknowledgement.acknowledged |= !s.seen && s.sent;
-    s.seen = true;
+    acknowledgement.acknowledged |= s.confirm();
     if (t.state == TaskState::running && s.state != TaskState::running) {
-        s.running_since = now;
-        job->gang_ran = true;
+        s.running_since_s = now;
+        job->gang_has_run = true;
         spdlog::debug("task {}/{} attempt {} runs on {} (term {})", t.task.job, t.task.index, t.attempt, m.id,
                       fencing_token_);
     }
@@ -159,20 +155,17 @@
 }
 
 // Placements that a report does not show.
-void ClusterState::handle_missing_placements(Machine& m,
-                                             const std::vector<std::pair<Job*, std::uint32_t>>& present,
+void ClusterState::handle_missing_placements(Machine& m, const std::vector<PlacedTask>& present,
                                              CommandAcknowledgement& acknowledgement) {
     for (const auto& [job, index] : std::vector(m.tasks)) {
-        if (std::find(present.begin(), present.end(), std::pair(job, index)) != present.end()) continue;
+        if (std::find(present.begin(), present.end(), PlacedTask{job, index}) != present.end()) continue;
         TaskPlacement& s = job->placements.at(index);
-        if (s.seen || s.inherited) {
+        if (s.presence == Presence::confirmed || s.presence == Presence::inherited) {
             mark_lost(*job, index, "not on its machine any more");
-        } else if (s.sent) {
-            // The answer with the start was dropped: this report is newer than it, so it can't be executed
-            // any more. It may be given again, here or elsewhere.
+        } else if (s.presence == Presence::start_sent) {
             acknowledgement.ignored = true;
-            s.sent = false;
-            if (s.stopping || job->cancelled || m.unacknowledged_commands > 0)
+            s.start_was_dropped();
+            if (s.is_stopping() || job->cancelled || m.unacknowledged.heartbeats > 0)
                 mark_lost(*job, index, "start never arrived");
         }
     }
@@ -182,10 +175,10 @@
 void ClusterState::checkpoint_before_interruption(Machine& m) {
     for (const auto& [job, index] : m.tasks) {
         if (!job->spec || job->cancelled || job->spec->checkpoint_interval_s <= 0 ||
-            *m.interruption_notice_s < job->spec->checkpoint_save_s)
+            m.interruption_notice->remaining_s < job->spec->checkpoint_save_s)
             continue;
         auto& here = job->placements.at(index);
-        if (here.state != TaskState::running || !here.seen) continue;
+        if (here.state != TaskState::running || !here.is_confirmed()) continue;
         if (job->spec->shape == model::Shape::gang)
             stop_job(*job, job->spec->checkpoint_save_s + 1);
         else
@@ -196,10 +189,10 @@
 // Its reports arrive, and show that what it was told has not reached it. Once happens with every lost packet;
 // again and again means that nothing reaches it: whatever it is given is late by a lease.
 void ClusterState::record_unacknowledged_commands(Machine& m, double now) {
-    ++m.unacknowledged_commands;
-    m.unacknowledged_at = now;
+    ++m.unacknowledged.heartbeats;
+    m.unacknowledged.latest_at_s = now;
     spdlog::info("machine {} reports but did not get its last orders, {} times now (term {})", m.id,
-                 m.unacknowledged_commands, fencing_token_);
+                 m.unacknowledged.heartbeats, fencing_token_);
 }
 
 void ClusterState::handle_exit(Job& job, Placements::iterator at, const model::ReportedTask& t, Machine& m,
@@ -210,14 +203,14 @@
     mark_changed(job, s.index);
     if (!job.spec || job.cancelled) return;
     if (t.cause == ExitCause::done) {
-        m.errors = 0;
-        m.error_jobs.clear();
-        if (s.running_since >= 0 && job.record.checkpointed_run_s <= 0 && job.spec->estimate_s > 0) {
+        m.consecutive_failures = 0;
+        m.failed_jobs.clear();
+        if (s.running_since_s && job.record.checkpointed_run_s <= 0 && job.spec->estimate_s > 0) {
             // What the class takes, over what its owners guess; tasks that resume from a checkpoint say
             // nothing.
             auto& bias = estimate_bias_.try_emplace(job.spec->job_class, 1.0).first->second;
             bias = std::clamp(
-                bias + c::estimate_bias_weight * ((now - s.running_since) / job.spec->estimate_s - bias),
+                bias + c::estimate_bias_weight * ((now - *s.running_since_s) / job.spec->estimate_s - bias),
                 c::min_estimate_bias, c::max_estimate_bias);
         }
         if (job.spec->shape == model::Shape::gang) {
@@ -230,13 +223,13 @@
         if (job.record.done_count() >= job.spec->task_count) job.finished = urgent_ = true;
         return;
     }
-    if (t.cause == ExitCause::stopped && t.saved && s.running_since >= 0)
-        job.record.checkpointed_run_s += now - s.running_since;
+    if (t.cause == ExitCause::stopped && t.saved && s.running_since_s)
+        job.record.checkpointed_run_s += now - *s.running_since_s;
     if (t.cause == ExitCause::error) record_failure(job, m, now);
     if (t.cause == ExitCause::insufficient_resources || t.cause == ExitCause::already_running ||
         t.cause == ExitCause::unknown_task)
-        job.retry_at = std::max(job.retry_at, now + 1);
-    job.machines_left.insert(m.id);
+        job.failures.retry_at_s = std::max(job.failures.retry_at_s, now + 1);
+    job.gang_left_machines.insert(m.id);
     after_loss(job);
 }
 
@@ -244,7 +237,7 @@
     const TaskPlacement s = remove_placement(job, job.placements.find(index));
     spdlog::info("task {}/{} attempt {} on {}: {} (term {})", job.id, s.index, s.attempt, s.machine, why,
                  fencing_token_);
-    job.machines_left.insert(s.machine);
+    job.gang_left_machines.insert(s.machine);
     mark_changed(job, s.index);
     after_loss(job);
 }
@@ -253,15 +246,14 @@
 void ClusterState::after_loss(Job& job) {
     if (!job.spec || job.spec->shape != model::Shape::gang) return;
     if (job.placements.empty()) {
-        job.gang_attempt = 0;
-        job.gang_ran = false;
-        job.machines_left.clear();
-        job.waiting_since = now_;
-    } else if (job.gang_ran) {
+        job.latest_attempt = 0;
+        job.gang_has_run = false;
+        job.gang_left_machines.clear();
+        job.waiting_since_s = now_;
+    } else if (job.gang_has_run) {
         // The others notice by themselves within gang_peer_s; telling them is quicker.
-        const bool saving = std::any_of(job.placements.begin(), job.placements.end(), [](const auto& s) {
-            return s.second.stopping && s.second.grace_s > 0;
-        });
+        const bool saving = std::any_of(job.placements.begin(), job.placements.end(),
+                                        [](const auto& s) { return s.second.is_saving(); });
         if (!saving) stop_job(job, 0);
     }
     // A gang that has not started keeps waiting for a replacement under the same attempt.
@@ -270,21 +262,21 @@
 // An error speaks against the machine or against the job: several jobs failing on one machine, or one job
 // failing on several machines, tells which.
 void ClusterState::record_failure(Job& job, Machine& m, double now) {
-    ++job.errors;
-    job.failed_machines.insert(m.id);
-    const double pause =
-        std::min(c::error_pause_s * std::pow(2.0, std::min(job.errors - 1, 10)), c::error_pause_max_s);
-    const bool job_at_fault =
-        job.record.done.empty() && static_cast<int>(job.failed_machines.size()) >= c::max_job_error_machines;
+    ++job.failures.count;
+    job.failures.machines.insert(m.id);
+    const double pause = std::min(c::error_pause_s * std::pow(2.0, std::min(job.failures.count - 1, 10)),
+                                  c::error_pause_max_s);
+    const bool job_at_fault = job.record.done.empty() &&
+                              static_cast<int>(job.failures.machines.size()) >= c::max_job_error_machines;
     if (job_at_fault) {
-        job.retry_at = now + pause;
-        for (auto& [id, other] : machines_) other.error_jobs.erase(job.id);
+        job.failures.retry_at_s = now + pause;
+        for (auto& [id, other] : machines_) other.failed_jobs.erase(job.id);
         return;
     }
-    ++m.errors;
-    m.error_jobs.insert(job.id);
-    if (static_cast<int>(m.error_jobs.size()) >= c::max_machine_errors ||
-        (m.errors >= c::max_machine_errors && !job.record.done.empty())) {
+    ++m.consecutive_failures;
+    m.failed_jobs.insert(job.id);
+    if (static_cast<int>(m.failed_jobs.size()) >= c::max_machine_errors ||
+        (m.consecutive_failures >= c::max_machine_errors && !job.record.done.empty())) {
         if (!m.quarantined)
             spdlog::info("machine {} fails what it is given: returned (term {})", m.id, fencing_token_);
         m.quarantined = true;
@@ -302,18 +294,18 @@
 bool ClusterState::placements_durable(const std::string& id) const {
     const auto m = machines_.find(id);
     if (m == machines_.end()) return true;
-    return std::none_of(m->second.tasks.begin(), m->second.tasks.end(), [](const auto& t) {
-        const TaskPlacement& s = t.first->placements.at(t.second);
-        return !s.seen && !s.stopping && !is_durable(*t.first, s);
+    return std::none_of(m->second.tasks.begin(), m->second.tasks.end(), [](const PlacedTask& t) {
+        const TaskPlacement& s = t.placement();
+        return !s.is_confirmed() && !s.is_stopping() && !is_durable(*t.job, s);
     });
 }
 
 bool ClusterState::has_pending_commands(const std::string& id) const {
     const auto m = machines_.find(id);
     return m != machines_.end() && placements_durable(id) &&
-           std::any_of(m->second.tasks.begin(), m->second.tasks.end(), [](const auto& t) {
-               const TaskPlacement& s = t.first->placements.at(t.second);
-               return s.stopping || !s.seen;
+           std::any_of(m->second.tasks.begin(), m->second.tasks.end(), [](const PlacedTask& t) {
+               const TaskPlacement& s = t.placement();
+               return s.is_stopping() || !s.is_confirmed();
            });
 }
 
@@ -333,7 +325,7 @@
     const auto it = machines_.find(id);
     if (it == machines_.end()) return out;
     Machine& m = it->second;
-    if (!m.token_confirmed) {
+    if (!m.token_confirmed()) {
         // This answer renews the lease, and the next may not be heard: what must not run goes with this one.
         // Nothing else is said, since the report may be older than what an earlier term did last.
         for (const auto& t : m.tasks_under_older_token) {
@@ -349,7 +341,7 @@
         // Done before reap.
         if (job != jobs_.end() && durable_version(job->second, e.task.index) < e.version) continue;
         out.push_back({Command::Kind::forget, e.task, e.attempt, 0});
-        m.sent_forgets.emplace_back(e.task, e.attempt);
+        m.sent_forgets.push_back({e.task, e.attempt});
         if (out.size() >= c::max_commands) return out;
     }
     for (const auto& t : m.unknown_tasks) out.push_back({Command::Kind::stop, t.task, t.attempt, 0});
@@ -357,12 +349,12 @@
     for (const auto& [job, index] : m.tasks) {
         if (out.size() >= c::max_commands) break;
         TaskPlacement& s = job->placements.at(index);
-        if (s.stopping) {
-            if (s.seen || s.sent || s.inherited)
-                out.push_back({Command::Kind::stop, {job->id, index}, s.attempt, s.grace_s});
-        } else if (!s.seen && use && may_run(*job) && is_durable(*job, s)) {
+        if (s.is_stopping()) {
+            if (!s.is_unsent())
+                out.push_back({Command::Kind::stop, {job->id, index}, s.attempt, s.stop->grace_s});
+        } else if (!s.is_confirmed() && use && may_run(*job) && is_durable(*job, s)) {
             out.push_back({Command::Kind::start, {job->id, index}, s.attempt, 0});
-            s.sent = true;
+            s.start_was_sent();
         }
     }
     return out;
@@ -375,10 +367,12 @@
         const auto job = jobs_.find(id);
         if (job == jobs_.end()) continue;
         const auto at = job->second.placements.find(index);
-        if (at == job->second.placements.end() || !at->second.stopping || at->second.stop_sent) continue;
+        if (at == job->second.placements.end() || !at->second.is_stopping() || at->second.stop->sent_directly)
+            continue;
         TaskPlacement& s = at->second;
         const auto m = machines_.find(s.machine);
-        if (!s.seen || m == machines_.end() || !m->second.token_confirmed || m->second.address.empty()) {
+        if (!s.is_confirmed() || m == machines_.end() || !m->second.token_confirmed() ||
+            m->second.address.empty()) {
             later.emplace_back(id, index);  // once a report shows it
             continue;
         }
@@ -388,8 +382,8 @@
             later.emplace_back(id, index);
             continue;
         }
-        d.commands.push_back({Command::Kind::stop, {id, index}, s.attempt, s.grace_s});
-        s.stop_sent = true;
+        d.commands.push_back({Command::Kind::stop, {id, index}, s.attempt, s.stop->grace_s});
+        s.stop->sent_directly = true;
     }
     unsent_stops_ = std::move(later);
     std::vector<DirectCommands> out;
--- /dev/null
+++ b/src/cluster/job.hpp
@@ -0,0 +1,66 @@
+// A job as the leader knows it: what is wanted, what is done, where its tasks are, and what of it is durable.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+
+#include "cluster/placement.hpp"
+#include "model/model.hpp"
+
+namespace pineroad::cluster {
+
+// Placements of a job, by task.
+using Placements = std::map<std::uint32_t, TaskPlacement>;
+
+// A range of a job's tasks whose state is one entry of a segment. A job that is not sharded has one shard.
+struct ProgressShard {
+    std::string segment;        // that holds its entry; empty: none does
+    std::uint64_t version = 0;  // of the job at the latest change of this shard
+    std::uint64_t durable = 0;  // the latest version that is durable
+    // Whether something of it is not durable yet.
+    [[nodiscard]] bool is_changed() const { return version > durable; }
+};
+
+// Where tasks of the job failed, and when it may be tried again.
+struct FailureHistory {
+    int count = 0;
+    std::set<std::string> machines;  // machines where a task of the job ended in an error
+    double retry_at_s = 0;           // none of its tasks is placed before
+};
+
+// A job from its acceptance until its final state is durable and its last task is off its machine.
+struct Job {
+    std::optional<model::JobSpec> spec;  // nothing: only the progress of a cancelled job is left
+    std::string id;
+    model::Progress record;  // its placements stay empty: they are taken from `placements` when written
+    Placements placements;
+    std::map<std::uint32_t, ProgressShard> shards;
+    bool sharded = false;
+    // Shards whose tasks stand only in an entry of the whole job. That entry is replaced once they have
+    // entries of their own: before, a new leader would miss their placements.
+    std::set<std::uint32_t> shards_in_unsharded_entry;
+    std::uint64_t mod_revision = 0;       // of the job's own record
+    std::uint64_t progress_revision = 0;  // of a progress record of version 0.1; 0: there is none
+    std::uint64_t version = 0;            // of its latest change
+    bool cancelled = false;
+    // A job that it depends on was cancelled: it never starts, and ends as cancelled.
+    bool cancelled_by_dependency = false;
+    bool finished = false;  // every task done; final once durable
+    bool final_durable = false;
+    double xfactor_at_start = 1;
+    std::uint64_t latest_attempt = 0;          // of a gang: the attempt of all its placements
+    bool gang_has_run = false;                 // in the present attempt
+    std::set<std::string> gang_left_machines;  // machines that a member of the present attempt has left
+    FailureHistory failures;
+    double waiting_since_s = 0;  // the last time that none of its tasks was placed
+
+    // It is cancelled, or its final state is durable: nothing of it may start any more.
+    [[nodiscard]] bool is_over() const { return cancelled || final_durable; }
+    // All its tasks run at the same time, or none.
+    [[nodiscard]] bool is_gang() const { return spec && spec->shape == model::Shape::gang; }
+};
+
+}  // namespace pineroad::cluster
--- a/src/cluster/planning.cpp
+++ b/src/cluster/planning.cpp
@@ -14,20 +14,20 @@
 using model::TaskState;
 
 bool ClusterState::usable(const Machine& m, double now) const {
-    return m.reporting && m.token_confirmed && !m.releasing && !m.quarantined && !m.interruption_notice_s &&
-           !m.listed_failed && m.unknown_tasks.empty() &&
-           now - m.last_heartbeat < c::heartbeat_periods_usable * settings_.heartbeat_period_s &&
-           m.unacknowledged_commands < c::max_unacknowledged_heartbeats;
+    return m.token_confirmed() && !m.releasing && !m.quarantined && !m.interruption_notice &&
+           !m.is_listed_as(model::MachineStatus::failed) && m.unknown_tasks.empty() &&
+           now - m.last_heartbeat_s < c::heartbeat_periods_usable * settings_.heartbeat_period_s &&
+           m.unacknowledged.heartbeats < c::max_unacknowledged_heartbeats;
 }
 
 void ClusterState::detect_failures(double now) {
     now_ = now;
     std::size_t up = 0, heard = 0, deaf = 0;
     for (const auto& [id, m] : machines_) {
-        if (!m.reporting) continue;
+        if (!m.has_reported()) continue;
         ++up;
-        if (now - m.last_heartbeat < 2 * settings_.heartbeat_period_s) ++heard;
-        if (m.unacknowledged_commands > 0 || m.unconfirmed_since >= 0) ++deaf;
+        if (now - m.last_heartbeat_s < 2 * settings_.heartbeat_period_s) ++heard;
+        if (m.unacknowledged.heartbeats > 0 || m.older_token_since_s) ++deaf;
     }
     const bool others_report = heard > 0 && 2 * heard >= up;
     // Many machines that hear nothing: the fault is on this side.
@@ -35,9 +35,9 @@
     for (auto& [id, m] : machines_) {
         if (m.releasing) continue;
         // Its own lease must have ended by now; in the same session still, it was renewed: the machine hears.
-        if (m.unacknowledged_commands >= c::max_unacknowledged_heartbeats &&
-            m.last_heartbeat - m.unacknowledged_at > settings_.worker_lease_s)
-            m.unacknowledged_commands = 0;
+        if (m.unacknowledged.heartbeats >= c::max_unacknowledged_heartbeats &&
+            m.last_heartbeat_s - m.unacknowledged.latest_at_s > settings_.worker_lease_s)
+            m.unacknowledged.heartbeats = 0;
         if (const char* why = reason_to_release(m, others_report, now)) {
             spdlog::info("machine {} released: {} (term {})", m.id, why, fencing_token_);
             m.releasing = true;
@@ -53,20 +53,19 @@
 
 // Why a machine is lost, or nothing. `others_fine`: most machines are heard.
 const char* ClusterState::reason_to_release(const Machine& m, bool others_report, double now) const {
-    if (m.listed_failed) return "listed as failed";
-    const double silent = now - std::max(m.last_heartbeat, silence_counts_from_);
-    if (!m.reporting) return reason_to_release_unseen(m, others_report, silent, now);
+    if (m.is_listed_as(model::MachineStatus::failed)) return "listed as failed";
+    const double silent = now - std::max(m.last_heartbeat_s, silence_counts_from_);
+    if (!m.has_reported()) return reason_to_release_unseen(m, others_report, silent, now);
     const double silent_s =
         c::failure_detection_periods * settings_.heartbeat_period_s + c::failure_detection_margin_s;
-    if (m.interruption_notice_s && silent > settings_.heartbeat_period_s &&
-        now - m.interruption_notice_at > *m.interruption_notice_s + 1)
+    if (m.interruption_notice && silent > settings_.heartbeat_period_s &&
+        now - m.interruption_notice->reported_at_s > m.interruption_notice->remaining_s + 1)
         return "its notice has run out";
-    if (m.missing_since >= 0 && silent > 2 * settings_.heartbeat_period_s)
-        return "no longer listed and silent";
+    if (m.missing_since_s && silent > 2 * settings_.heartbeat_period_s) return "no longer listed and silent";
     if (silent > silent_s && others_report) return "silent while others report";
     if (silent > settings_.worker_lease_s + c::failure_detection_margin_s) return "silent past its lease";
-    if (commands_reach_others_ && m.unconfirmed_since >= 0 &&
-        now - m.unconfirmed_since > settings_.worker_lease_s)
+    if (commands_reach_others_ && m.older_token_since_s &&
+        now - *m.older_token_since_s > settings_.worker_lease_s)
         return "reports, but never showed this term's token";
     if (m.quarantined && (m.tasks.empty() || silent > silent_s)) return "faulty";
     return nullptr;
@@ -83,16 +82,17 @@
             others_report ? std::max(settings_.worker_lease_s / 2, silent_s) : past_lease_s;
         if (silent > patience) return "has tasks of an earlier term and is not heard";
         // Found by incident: spot machines taken while nobody led kept their tasks unknown for 28 s.
-        if (m.missing_since >= 0 && silent > 1.5 * settings_.heartbeat_period_s)
+        if (m.missing_since_s && silent > 1.5 * settings_.heartbeat_period_s)
             return "has tasks of an earlier term and is not listed";
         return nullptr;
     }
-    if (m.listed_running) return silent > past_lease_s ? "runs but is not heard" : nullptr;
+    if (m.is_listed_as(model::MachineStatus::running))
+        return silent > past_lease_s ? "runs but is not heard" : nullptr;
     // Old enough is not enough: after a takeover every machine is one that has not been heard yet (found by
     // incident: a new leader returned running machines 0.3 s into its term).
     const auto* t = type(m.type);
     const double boot_s = std::max(c::boot_patience * (t ? t->boot_s : 0), c::boot_patience_min_s);
-    return silent > silent_s && now - m.provisioned_at > boot_s ? "never came up" : nullptr;
+    return silent > silent_s && now - m.provisioned_at_s > boot_s ? "never came up" : nullptr;
 }
 
 // Starts on machines that stopped being usable before they were given.
@@ -102,7 +102,7 @@
         const bool fine = usable(m, now);
         for (const auto& [job, index] : std::vector(m.tasks)) {
             const TaskPlacement& s = job->placements.at(index);
-            if (s.sent || s.seen || s.inherited || (fine && !s.stopping)) continue;
+            if (!s.is_unsent() || (fine && !s.is_stopping())) continue;
             mark_lost(*job, index, "taken back before it was given");
         }
     }
@@ -163,7 +163,7 @@
         for (const auto& zone : t.zones)
             for (const bool spot : {true, false}) {
                 p.pools.push_back({&t, zone, spot});
-                p.pools.back().refused = provisioning_.refused(p.pools.back(), now);
+                p.pools.back().refused = provisioning_.lacks_capacity(p.pools.back(), now);
             }
     std::set<model::TaskId> unknown_tasks;
     for (const auto& [id, m] : machines_)
@@ -195,10 +195,10 @@
     g.spec = &*job.spec;
     g.priority = dependencies_->priority(*job.spec);
     g.xfactor = job.xfactor_at_start;
-    g.stoppable = job.gang_ran;
+    g.stoppable = job.gang_has_run;
     for (const auto& [index, s] : job.placements) {
         g.machines.push_back(s.machine);
-        g.stoppable = g.stoppable && s.seen && s.state == TaskState::running && !s.stopping;
+        g.stoppable = g.stoppable && s.is_confirmed() && s.state == TaskState::running && !s.is_stopping();
     }
     return g;
 }
@@ -211,20 +211,22 @@
     v.priority = dependencies_->priority(spec);
     const double waited = waited_s(job, wall_ms);
     // Lost time counts as wait for the xfactor, but a gang that ran a moment ago has not been passed over.
-    v.waited_s = job.record.next_attempt > 1 ? std::min(waited, now - job.waiting_since) : waited;
+    v.waited_s = job.record.next_attempt > 1 ? std::min(waited, now - job.waiting_since_s) : waited;
     // A job that keeps failing does not climb over others by the time its failures take.
-    v.xfactor =
-        job.errors > 0 && job.record.done.empty() ? 1.0 : scheduling::xfactor(waited, spec.estimate_s);
+    v.xfactor = job.failures.count > 0 && job.record.done.empty()
+                    ? 1.0
+                    : scheduling::xfactor(waited, spec.estimate_s);
     v.slack_s = slack_s(job, wall_ms);
     v.expected_s = expected_s(spec);
     v.in_pipeline = dependencies_->in_pipeline(spec);
-    v.excluded_machines = job.failed_machines;
-    if (job.retry_at <= now) {
+    v.excluded_machines = job.failures.machines;
+    if (job.failures.retry_at_s <= now) {
         const bool gang = spec.shape == model::Shape::gang;
-        if (gang) v.excluded_machines.insert(job.machines_left.begin(), job.machines_left.end());
-        const bool abort = gang && !job.placements.empty() &&
-                           (job.gang_ran || std::any_of(job.placements.begin(), job.placements.end(),
-                                                        [](const auto& s) { return s.second.stopping; }));
+        if (gang) v.excluded_machines.insert(job.gang_left_machines.begin(), job.gang_left_machines.end());
+        const bool abort =
+            gang && !job.placements.empty() &&
+            (job.gang_has_run || std::any_of(job.placements.begin(), job.placements.end(),
+                                             [](const auto& s) { return s.second.is_stopping(); }));
         if (!abort) {
             v.pending_tasks = waiting_tasks(job, unknown_tasks);
             if (!job.sharded && !may_shard(spec)) v.max_placements = free_entry_capacity(job);
@@ -268,15 +270,15 @@
     scheduling::MachineSnapshot v;
     v.id = m.id, v.type = m.type, v.zone = m.zone, v.spot = m.spot;
     v.ready = usable(m, now);
-    v.booting = !m.reporting && !m.listed_failed;
+    v.booting = !m.has_reported() && !m.is_listed_as(model::MachineStatus::failed);
     v.free = type.capacity;
     for (const auto& [job, index] : m.tasks) {
         v.free -= job->record.task_resources;
         if (job->spec) v.classes.insert(job->spec->job_class);
     }
-    for (const auto& [image, gb] : m.images) v.images.push_back(image);
+    for (const auto& image : m.images) v.images.push_back(image.name);
     v.busy = !m.tasks.empty();
-    v.idle_s = v.busy ? 0 : now - m.idle_since;
+    v.idle_s = v.busy ? 0 : now - m.idle_since_s;
     v.running_tasks = static_cast<double>(m.tasks.size());
     return v;
 }
@@ -296,23 +298,22 @@
         Job& job = jobs_.at(start.job);
         const bool gang = job.spec->shape == model::Shape::gang;
         if (!gang) {
-            job.gang_attempt = job.record.next_attempt++;
+            job.latest_attempt = job.record.next_attempt++;
         } else if (job.placements.empty()) {
-            job.gang_attempt = job.record.next_attempt++;
-            job.gang_ran = false;
-            job.machines_left.clear();
+            job.latest_attempt = job.record.next_attempt++;
+            job.gang_has_run = false;
+            job.gang_left_machines.clear();
         }
         if (job.placements.empty()) job.xfactor_at_start = xfactors[start.job];
         mark_changed(job, start.index);
         TaskPlacement s;
-        s.index = start.index, s.attempt = job.gang_attempt, s.machine = start.machine;
+        s.index = start.index, s.attempt = job.latest_attempt, s.machine = start.machine;
         s.version = job.version;
-        s.placed_at = now;
         spdlog::debug("task {}/{} attempt {} placed on {} (term {})", job.id, s.index, s.attempt, s.machine,
                       fencing_token_);
         add_placement(job, std::move(s));
         Machine& m = machine(start.machine);
-        m.idle_since = now;
+        m.idle_since_s = now;
         remember_image(m, *job.spec);
         urgent_ = true;
     }
@@ -330,7 +331,7 @@
     if (now - last_capacity_ < c::capacity_period_s) return;
     last_capacity_ = now;
     // A rental not answered yet is room on its way.
-    for (const auto& rental : provisioning_.open()) {
+    for (const auto& rental : provisioning_.open_requests()) {
         const auto* t = type(rental.type);
         for (std::uint32_t i = 0; t && i < rental.count; ++i) {
             scheduling::MachineSnapshot v;
@@ -342,24 +343,24 @@
         }
     }
     const auto capacity = scheduling::plan_autoscaling(std::move(p));
-    for (const auto& rent : capacity.scale_out) provisioning_.want(rent);
+    for (const auto& rent : capacity.scale_out) provisioning_.scale_out(rent);
     urgent_ |= !capacity.scale_out.empty();
     for (const auto& id : capacity.scale_in) {
         Machine& m = machines_.at(id);
-        if (now - m.provisioned_at < c::minimum_charge_s && now - m.provisioned_at > 0) continue;
+        if (now - m.provisioned_at_s < c::minimum_charge_s && now - m.provisioned_at_s > 0) continue;
         spdlog::info("machine {} returned: idle (term {})", id, fencing_token_);
         m.releasing = true;
     }
 }
 // What a machine's cache still holds, as far as one can tell: the latest images that fit into it.
 void ClusterState::remember_image(Machine& m, const model::JobSpec& spec) {
-    std::erase_if(m.images, [&](const auto& i) { return i.first == spec.image; });
-    m.images.emplace_back(spec.image, spec.image_gb);
+    std::erase_if(m.images, [&](const auto& i) { return i.name == spec.image; });
+    m.images.push_back({spec.image, spec.image_gb});
     const auto* t = type(m.type);
     double gb = 0;
-    for (const auto& i : m.images) gb += i.second;
+    for (const auto& i : m.images) gb += i.size_gb;
     while (m.images.size() > 1 && ((t && gb > t->cache_gb) || m.images.size() > c::max_cached_images)) {
-        gb -= m.images.front().second;
+        gb -= m.images.front().size_gb;
         m.images.pop_front();
     }
 }
--- a/src/cluster/provisioning_requests.cpp
+++ b/src/cluster/provisioning_requests.cpp
@@ -14,76 +14,74 @@
 
 void ProvisioningRequests::load(const store::WatchCache& watch_cache) {
     mod_revision_ = watch_cache.open_provisioning_requests.mod_revision;
-    for (const auto& rental : watch_cache.open_provisioning_requests.value)
-        all_[rental.name] = {rental, 0, true};
+    for (const auto& request : watch_cache.open_provisioning_requests.value)
+        requests_[request.name] = {request, 0, Phase::unanswered};
     for (const auto& [name, single] : watch_cache.provisioning_records)
-        all_[name] = {single.value, single.mod_revision, true};
+        requests_[name] = {single.value, single.mod_revision, Phase::unanswered};
 }
 
-void ProvisioningRequests::want(const scheduling::ScaleOut& rent) {
-    for (std::uint32_t left = rent.count; left > 0;) {
+void ProvisioningRequests::scale_out(const scheduling::ScaleOut& decision) {
+    for (std::uint32_t left = decision.count; left > 0;) {
         const auto count = std::min<std::uint32_t>(left, c::max_machines_per_request);
         left -= count;
-        State r;
         // The token is never given twice, so neither is the name.
-        r.rental = {"r-" + std::to_string(fencing_token_) + "-" + std::to_string(++count_), rent.type,
-                    rent.zone, rent.spot, count};
-        r.sent = false;
-        spdlog::info("rental {}: {} {} in {}{} wanted (term {})", r.rental.name, count, rent.type, rent.zone,
-                     rent.spot ? ", spot" : "", fencing_token_);
-        all_[r.rental.name] = std::move(r);
+        const auto name = "r-" + std::to_string(fencing_token_) + "-" + std::to_string(++count_);
+        spdlog::info("provisioning request {}: {} {} in {}{} wanted (term {})", name, count, decision.type,
+                     decision.zone, decision.spot ? ", spot" : "", fencing_token_);
+        requests_[name] = {{name, decision.type, decision.zone, decision.spot, count}, 0, Phase::wanted};
     }
 }
 
-std::vector<model::ProvisioningRequest> ProvisioningRequests::open() const {
-    std::vector<model::ProvisioningRequest> out;
-    for (const auto& [name, r] : all_)
-        if (!r.answered) out.push_back(r.rental);
-    return out;
+std::vector<model::ProvisioningRequest> ProvisioningRequests::open_requests() const {
+    std::vector<model::ProvisioningRequest> open;
+    for (const auto& [name, request] : requests_)
+        if (request.is_open()) open.push_back(request.request);
+    return open;
 }
 
-bool ProvisioningRequests::refused(const scheduling::MachinePool& pool, double now) const {
-    const auto it = store_refusal_.find({pool.type->name, pool.zone, pool.spot});
-    return it != store_refusal_.end() && it->second.until > now;
+bool ProvisioningRequests::lacks_capacity(const scheduling::MachinePool& pool, double now) const {
+    const auto backoff = backoffs_.find({pool.type->name, pool.zone, pool.spot});
+    return backoff != backoffs_.end() && backoff->second.until_s > now;
 }
 
-bool ProvisioningRequests::waiting() const {
-    return std::any_of(all_.begin(), all_.end(), [](const auto& r) { return r.second.waits(); });
+bool ProvisioningRequests::has_next() const {
+    return std::any_of(requests_.begin(), requests_.end(),
+                       [](const auto& entry) { return entry.second.may_be_sent(); });
 }
 
-// One record for all: a record each took two changes a rental, and in a crowd, when pools are refused one
-// after the other, half of all that the state service accepts.
+// One record for all: a record each took two changes a request, and in a burst, when pools are refused one
+// after the other, half of all that the store accepts.
 std::optional<ProvisioningRequests::Record> ProvisioningRequests::record(double bytes) const {
     Record out;
     out.mod_revision = mod_revision_;
-    std::vector<model::ProvisioningRequest> list;
+    std::vector<model::ProvisioningRequest> open;
     constexpr std::size_t most_single = 2;  // the smallest commit has room for them
     double size = 0;
-    bool news = false;
-    // Those that may have been asked for stay in it, whatever else has room.
-    for (const bool durable : {true, false})
-        for (const auto& [name, r] : all_) {
-            if (r.durable != durable) continue;
-            if (r.answered) {
-                if (r.own_record_revision && out.single.size() == most_single) continue;
-                if (r.own_record_revision)
-                    out.single.emplace_back(records::provisioning_request_key(name), r.own_record_revision);
-                out.answered.push_back(name);
-                news |= durable;
+    bool changed = false;
+    // Those that may have been sent stay in it, whatever else has room.
+    for (const bool in_record : {true, false})
+        for (const auto& [name, request] : requests_) {
+            if (request.is_in_record() != in_record) continue;
+            if (!request.is_open()) {
+                if (request.own_record_revision && out.single.size() == most_single) continue;
+                if (request.own_record_revision)
+                    out.single.emplace_back(records::provisioning_request_key(name),
+                                            request.own_record_revision);
+                out.closed.push_back(name);
+                changed |= in_record;
                 continue;
             }
-            const double own = static_cast<double>(
-                boost::json::serialize(records::provisioning_request_json(r.rental)).size() + name.size() +
-                4);
-            if (!durable && size + own > bytes) continue;
+            const auto value = records::provisioning_request_json(request.request);
+            const auto own = static_cast<double>(boost::json::serialize(value).size() + name.size() + 4);
+            if (!in_record && size + own > bytes) continue;
             size += own;
-            list.push_back(r.rental);
+            open.push_back(request.request);
             out.open.push_back(name);
-            news |= !durable;
+            changed |= !in_record;
         }
     // Under a larger limit more were open than fit now: the record stands until enough of them are answered.
-    if (!news || size > bytes) return std::nullopt;
-    out.value = records::provisioning_requests_json(list);
+    if (!changed || size > bytes) return std::nullopt;
+    out.value = records::provisioning_requests_json(open);
     out.bytes = static_cast<std::size_t>(size);
     return out;
 }
@@ -91,58 +89,61 @@
 void ProvisioningRequests::apply_commit(const Record& record, std::uint64_t revision) {
     mod_revision_ = revision;
     for (const auto& name : record.open)
-        if (const auto it = all_.find(name); it != all_.end()) it->second.durable = true;
-    for (const auto& name : record.answered) all_.erase(name);
+        if (const auto it = requests_.find(name); it != requests_.end()) it->second.became_durable();
+    for (const auto& name : record.closed) requests_.erase(name);
 }
 
 std::optional<model::ProvisioningRequest> ProvisioningRequests::next() {
-    for (auto& [name, r] : all_)
-        if (r.waits()) {
-            r.inflight = r.sent = true;
-            return r.rental;
-        }
+    for (auto& [name, request] : requests_) {
+        if (!request.may_be_sent()) continue;
+        request.phase = Phase::in_flight;
+        return request.request;
+    }
     return std::nullopt;
 }
 
-std::optional<model::ProvisioningRequest> ProvisioningRequests::answered(const std::string& name,
-                                                                         std::size_t machines, double now) {
-    const auto it = all_.find(name);
-    if (it == all_.end()) return std::nullopt;
-    it->second.answered = true;
-    const auto r = it->second.rental;
-    spdlog::info("rental {}: got {} of {} (term {})", name, machines, r.count, fencing_token_);
-    auto& refusal = store_refusal_[pool_of(r)];
-    refusal.pause = 0;
-    if (machines < r.count) {
-        refusal = {now + c::no_capacity_backoff_s, c::no_capacity_backoff_s};
-        withdraw_unsent(r);
+std::optional<model::ProvisioningRequest> ProvisioningRequests::record_answer(const std::string& name,
+                                                                              std::size_t machines,
+                                                                              double now) {
+    const auto it = requests_.find(name);
+    if (it == requests_.end()) return std::nullopt;
+    it->second.close();
+    const auto request = it->second.request;
+    spdlog::info("provisioning request {}: got {} of {} (term {})", name, machines, request.count,
+                 fencing_token_);
+    auto& backoff = backoffs_[pool_of(request)];
+    backoff.pause_s = 0;
+    if (machines < request.count) {
+        backoff = {now + c::no_capacity_backoff_s, c::no_capacity_backoff_s};
+        withdraw_unsent(request);
     }
-    return r;
+    return request;
 }
 
-void ProvisioningRequests::reject(const std::string& name, double now) {
-    const auto it = all_.find(name);
-    if (it == all_.end()) return;
-    it->second.answered = true;
-    const auto& r = it->second.rental;
-    auto& refusal = store_refusal_[pool_of(r)];
-    refusal.pause = refusal.pause <= 0 ? c::no_capacity_backoff_s
-                                       : std::min(2 * refusal.pause, c::no_capacity_backoff_max_s);
-    refusal.until = now + refusal.pause;
-    withdraw_unsent(r);
-    spdlog::info("rental {}: no capacity for {} in {}{} (term {})", name, r.type, r.zone,
-                 r.spot ? ", spot" : "", fencing_token_);
+void ProvisioningRequests::record_refusal(const std::string& name, double now) {
+    const auto it = requests_.find(name);
+    if (it == requests_.end()) return;
+    it->second.close();
+    const auto& request = it->second.request;
+    auto& backoff = backoffs_[pool_of(request)];
+    backoff.pause_s = backoff.pause_s <= 0 ? c::no_capacity_backoff_s
+                                           : std::min(2 * backoff.pause_s, c::no_capacity_backoff_max_s);
+    backoff.until_s = now + backoff.pause_s;
+    withdraw_unsent(request);
+    spdlog::info("provisioning request {}: no capacity for {} in {}{} (term {})", name, request.type,
+                 request.zone, request.spot ? ", spot" : "", fencing_token_);
 }
 
-void ProvisioningRequests::unanswered(const std::string& name) {
-    if (const auto it = all_.find(name); it != all_.end()) it->second.inflight = false;
+void ProvisioningRequests::record_missing_answer(const std::string& name) {
+    const auto it = requests_.find(name);
+    if (it != requests_.end() && it->second.phase == Phase::in_flight) it->second.phase = Phase::unanswered;
 }
 
-// What was wanted of a pool that has just run out, and was not asked for yet: another pool may have it. A
-// name that never left this process names nothing.
+// What was wanted of a pool that has just run out, and was not sent yet: another pool may have it. A name
+// that never left this process names nothing.
 void ProvisioningRequests::withdraw_unsent(const model::ProvisioningRequest& refused) {
-    for (auto& [name, r] : all_)
-        if (!r.sent && pool_of(r.rental) == pool_of(refused)) r.answered = true;
+    for (auto& [name, request] : requests_)
+        if (request.is_unsent() && pool_of(request.request) == pool_of(refused)) request.close();
 }
 
 }  // namespace pineroad::cluster
--- a/src/cluster/provisioning_requests.hpp
+++ b/src/cluster/provisioning_requests.hpp
@@ -1,5 +1,5 @@
-// The rentals of a term: those that are open stand by name in one record of the state service, written before
-// any of them is asked for; and what the cloud lately refused.
+// The provisioning requests of a term. Those that are open stand by name in one record of the store, written
+// before any of them is sent to the cloud; beside them, which machine pools lately had no capacity.
 #pragma once
 
 #include <cstdint>
@@ -7,6 +7,7 @@
 #include <optional>
 #include <string>
 #include <tuple>
+#include <utility>
 #include <vector>
 
 #include "model/model.hpp"
@@ -15,57 +16,92 @@
 
 namespace pineroad::cluster {
 
+// Owns the provisioning requests of one term, from the decision to scale out until their answers are durable.
 class ProvisioningRequests {
    public:
+    // For the term with this fencing token, which makes the names of its requests unique.
     explicit ProvisioningRequests(std::uint64_t fencing_token) : fencing_token_(fencing_token) {}
-    // Of earlier terms, to be asked again under their names: each rents only once.
+    // Takes over the requests of earlier terms, to be sent again under their names: each provisions only
+    // once.
     void load(const store::WatchCache& watch_cache);
 
-    void want(const scheduling::ScaleOut& rent);
-    // Those that are not answered: room on its way.
-    [[nodiscard]] std::vector<model::ProvisioningRequest> open() const;
-    [[nodiscard]] bool refused(const scheduling::MachinePool& pool, double now) const;
+    // Adds requests for as many machines of a pool.
+    void scale_out(const scheduling::ScaleOut& decision);
+    // Requests without an answer: capacity on its way.
+    [[nodiscard]] std::vector<model::ProvisioningRequest> open_requests() const;
+    // Whether the cloud had no capacity in the pool a moment ago.
+    [[nodiscard]] bool lacks_capacity(const scheduling::MachinePool& pool, double now) const;
 
-    // --- the record ---
+    // The record of open requests, as it is to be written.
     struct Record {
         wire::Json value;
         std::uint64_t mod_revision = 0;  // of the record that it replaces
         std::size_t bytes = 0;
-        std::vector<std::string> open, answered;  // by name: those in it, those no longer in it
-        // Records of a rental each, from version 0.2: they go with their answers.
-        std::vector<std::pair<std::string, std::uint64_t>> single;  // key and version
+        std::vector<std::string> open;    // names in it
+        std::vector<std::string> closed;  // names that are no longer in it
+        // Records of a single request each, from version 0.2: removed with their answers. Key and revision.
+        std::vector<std::pair<std::string, std::uint64_t>> single;
     };
-    // As much as fits into so many bytes; nothing when the present one says it all.
+    // As much as fits into so many bytes; nothing when the present record is up to date.
     [[nodiscard]] std::optional<Record> record(double bytes) const;
+    // The record was committed at this revision.
     void apply_commit(const Record& record, std::uint64_t revision);
 
-    // --- the cloud ---
-    [[nodiscard]] bool waiting() const;                // one is durable and not asked for
-    std::optional<model::ProvisioningRequest> next();  // the next of these
-    // What was rented under the name, or nothing if it is not known.
-    std::optional<model::ProvisioningRequest> answered(const std::string& name, std::size_t machines,
-                                                       double now);
-    void reject(const std::string& name, double now);
-    void unanswered(const std::string& name);
+    // Whether a request is durable and not under way.
+    [[nodiscard]] bool has_next() const;
+    // The next request to be sent to the cloud; it counts as under way from here.
+    std::optional<model::ProvisioningRequest> next();
+    // The cloud answered with so many machines. Returns the request, or nothing if the name is not known.
+    std::optional<model::ProvisioningRequest> record_answer(const std::string& name, std::size_t machines,
+                                                            double now);
+    // The cloud had no capacity for the request.
+    void record_refusal(const std::string& name, double now);
+    // No answer came: the request is sent again under its name.
+    void record_missing_answer(const std::string& name);
 
    private:
-    struct State {
-        model::ProvisioningRequest rental;
+    // Where a request stands.
+    //   wanted -> durable -> in_flight -> closed, with in_flight -> unanswered -> in_flight for as long as no
+    //   answer comes. A request that was never sent may be withdrawn: from `wanted`, and then its record may
+    //   still be committed, which makes it `closed`; from `durable` it is `closed` at once.
+    enum class Phase {
+        wanted,      // not in the record yet
+        durable,     // in the record; no call of its name was made
+        in_flight,   // a call is under way
+        unanswered,  // a call may have been made, by this term or an earlier one, without an answer
+        withdrawn,   // not wanted any more, and not in the record
+        closed,      // answered or not wanted any more, and still in the record
+    };
+    struct Request {
+        model::ProvisioningRequest request;
         std::uint64_t own_record_revision = 0;  // of a record of its own
-        bool durable = false, answered = false, inflight = false;
-        bool sent = true;  // a call of its name may have been made
-        [[nodiscard]] bool waits() const { return durable && !answered && !inflight; }
+        Phase phase = Phase::wanted;
+        [[nodiscard]] bool is_open() const { return phase != Phase::withdrawn && phase != Phase::closed; }
+        [[nodiscard]] bool is_in_record() const {
+            return phase != Phase::wanted && phase != Phase::withdrawn;
+        }
+        [[nodiscard]] bool is_unsent() const { return phase == Phase::wanted || phase == Phase::durable; }
+        [[nodiscard]] bool may_be_sent() const {
+            return phase == Phase::durable || phase == Phase::unanswered;
+        }
+        void became_durable() {
+            if (phase == Phase::wanted) phase = Phase::durable;
+            if (phase == Phase::withdrawn) phase = Phase::closed;
+        }
+        void close() { phase = is_in_record() ? Phase::closed : Phase::withdrawn; }
     };
-    struct Refusal {
-        double until = 0, pause = 0;
+    struct Backoff {
+        double until_s = 0, pause_s = 0;
     };
     using PoolKey = std::tuple<std::string, std::string, bool>;  // type, zone, spot
-    static PoolKey pool_of(const model::ProvisioningRequest& r) { return {r.type, r.zone, r.spot}; }
+    static PoolKey pool_of(const model::ProvisioningRequest& request) {
+        return {request.type, request.zone, request.spot};
+    }
     void withdraw_unsent(const model::ProvisioningRequest& refused);
 
     std::uint64_t fencing_token_, count_ = 0, mod_revision_ = 0;
-    std::map<std::string, State> all_;
-    std::map<PoolKey, Refusal> store_refusal_;
+    std::map<std::string, Request> requests_;
+    std::map<PoolKey, Backoff> backoffs_;
 };
 
 }  // namespace pineroad::cluster
--- /dev/null
+++ b/src/cluster/write_batch.hpp
@@ -0,0 +1,47 @@
+// One transaction of the leader, and what its commit makes durable.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "cluster/provisioning_requests.hpp"
+#include "model/model.hpp"
+#include "wire/records.hpp"
+
+namespace pineroad::cluster {
+
+// A version of a job that a commit makes durable: of one shard, or of the whole job.
+struct WrittenShard {
+    std::string job;
+    std::optional<std::uint32_t> shard;  // nothing: every shard
+    std::uint64_t version = 0;
+};
+
+// A job whose final state a commit writes.
+struct FinishedJob {
+    std::string job;
+    model::JobOutcome outcome;
+};
+
+// A segment that a commit writes.
+struct WrittenSegment {
+    std::string name;
+    wire::records::Sequence sequence;
+    std::vector<wire::records::EntryName> entries;
+};
+
+// A compare-and-swap transaction, and what it means for the cluster state once it is applied.
+struct WriteBatch {
+    wire::Transaction txn;
+    std::vector<WrittenShard> written_shards;
+    std::vector<FinishedJob> finished_jobs;
+    std::vector<std::string> removed_jobs;  // nothing of them is left to be written
+    std::vector<wire::records::EntryName> tombstones;
+    std::optional<ProvisioningRequests::Record> provisioning_requests;
+    std::vector<WrittenSegment> segments;
+    bool machine_types = false, category_averages = false;  // whether their records are in it
+};
+
+}  // namespace pineroad::cluster
