--- /dev/null
+++ b/src/cluster/command_delivery.cpp
@@ -0,0 +1,132 @@
+#include "cluster/command_delivery.hpp"
+
+#include <algorithm>
+#include <map>
+#include <utility>
+
+#include "cluster/job_shards.hpp"
+#include "config/constants.hpp"
+
+namespace pineroad::cluster {
+
+namespace c = constants;
+using model::Command;
+
+bool CommandDelivery::placements_durable(const std::string& id) const {
+    const Machine* machine = std::as_const(machines_).find(id);
+    if (!machine) return true;
+    return std::none_of(machine->tasks.begin(), machine->tasks.end(), [](const PlacedTask& task) {
+        const TaskPlacement& placement = task.placement();
+        return !placement.is_confirmed() && !placement.is_stopping() && !is_durable(*task.job, placement);
+    });
+}
+
+bool CommandDelivery::has_pending_commands(const std::string& id) const {
+    const Machine* machine = std::as_const(machines_).find(id);
+    if (!machine || !placements_durable(id)) return false;
+    return std::any_of(machine->tasks.begin(), machine->tasks.end(), [](const PlacedTask& task) {
+        const TaskPlacement& placement = task.placement();
+        return placement.is_stopping() || !placement.is_confirmed();
+    });
+}
+
+std::vector<Command> CommandDelivery::commands_for(const std::string& id, bool may_start, double now) {
+    std::vector<Command> commands;
+    Machine* machine = machines_.find(id);
+    if (!machine) return commands;
+    if (!machine->token_confirmed()) return stops_of_cancelled_jobs(*machine);
+    if (!add_forgets(*machine, commands)) return commands;
+    for (const auto& task : machine->unknown_tasks)
+        commands.push_back({Command::Kind::stop, task.task, task.attempt, 0});
+    add_starts_and_stops(*machine, may_start && machines_.is_usable(*machine, now), commands);
+    return commands;
+}
+
+// For a worker that has not shown this term's token yet. This answer renews its lease, and the next may not
+// reach it: what must not run is stopped with this one. Nothing else is commanded, since the heartbeat may be
+// older than what an earlier term did last.
+std::vector<Command> CommandDelivery::stops_of_cancelled_jobs(const Machine& machine) const {
+    std::vector<Command> commands;
+    for (const auto& task : machine.tasks_under_older_token) {
+        const Job* job = std::as_const(jobs_).find(task.task.job);
+        const bool is_cancelled = !job || !job->spec || job->cancelled;
+        if (is_cancelled && task.state != model::TaskState::exited && commands.size() < c::max_commands)
+            commands.push_back({Command::Kind::stop, task.task, task.attempt, 0});
+    }
+    return commands;
+}
+
+// Exited tasks that the worker may forget: not before what it reported of them is durable. Returns whether
+// there is room for more commands.
+bool CommandDelivery::add_forgets(Machine& machine, std::vector<Command>& commands) const {
+    for (const auto& exited : machine.exited_tasks) {
+        const Job* job = std::as_const(jobs_).find(exited.task.job);
+        if (job && durable_version_of_task(*job, exited.task.index) < exited.version) continue;
+        commands.push_back({Command::Kind::forget, exited.task, exited.attempt, 0});
+        machine.sent_forgets.push_back({exited.task, exited.attempt});
+        if (commands.size() >= c::max_commands) return false;
+    }
+    return true;
+}
+
+void CommandDelivery::add_starts_and_stops(Machine& machine, bool may_start,
+                                           std::vector<Command>& commands) const {
+    for (const auto& task : machine.tasks) {
+        if (commands.size() >= c::max_commands) break;
+        const Job& job = *task.job;
+        TaskPlacement& placement = task.placement();
+        if (placement.is_stopping()) {
+            if (!placement.is_unsent())
+                commands.push_back(
+                    {Command::Kind::stop, {job.id, task.index}, placement.attempt, placement.stop->grace_s});
+        } else if (!placement.is_confirmed() && may_start && jobs_.may_run(job) &&
+                   is_durable(job, placement)) {
+            commands.push_back({Command::Kind::start, {job.id, task.index}, placement.attempt, 0});
+            placement.start_was_sent();
+        }
+    }
+}
+
+// The placement to be stopped, or nullptr if that is settled already.
+TaskPlacement* CommandDelivery::unsent_stop(const UnsentStop& stop) {
+    Job* job = jobs_.find(stop.job);
+    if (!job) return nullptr;
+    const auto at = job->placements.find(stop.task);
+    if (at == job->placements.end()) return nullptr;
+    TaskPlacement& placement = at->second;
+    return placement.is_stopping() && !placement.stop->sent_directly ? &placement : nullptr;
+}
+
+std::vector<DirectCommands> CommandDelivery::take_direct_commands() {
+    std::map<std::string, DirectCommands> by_machine;
+    std::vector<UnsentStop> deferred;
+    for (auto& stop : stop_requests_.take_unsent()) {
+        TaskPlacement* placement = unsent_stop(stop);
+        if (!placement) continue;
+        const Machine* machine = machines_.find(placement->machine);
+        const bool can_be_sent =
+            placement->is_confirmed() && machine && machine->token_confirmed() && !machine->address.empty();
+        if (!can_be_sent) {
+            deferred.push_back(std::move(stop));  // until a heartbeat shows the task
+            continue;
+        }
+        DirectCommands& direct = by_machine[placement->machine];
+        direct.machine = placement->machine;
+        direct.address = machine->address;
+        direct.agent_epoch = machine->agent_epoch;
+        if (direct.commands.size() >= c::max_commands) {
+            deferred.push_back(std::move(stop));
+            continue;
+        }
+        direct.commands.push_back(
+            {Command::Kind::stop, {stop.job, stop.task}, placement->attempt, placement->stop->grace_s});
+        placement->stop->sent_directly = true;
+    }
+    stop_requests_.defer(std::move(deferred));
+    std::vector<DirectCommands> direct_commands;
+    direct_commands.reserve(by_machine.size());
+    for (auto& [machine, direct] : by_machine) direct_commands.push_back(std::move(direct));
+    return direct_commands;
+}
+
+}  // namespace pineroad::cluster
--- /dev/null
+++ b/src/cluster/failure_detector.cpp
@@ -0,0 +1,166 @@
+#include "cluster/failure_detector.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <vector>
+
+#include "config/constants.hpp"
+
+namespace pineroad::cluster {
+
+namespace c = constants;
+using model::MachineStatus;
+
+namespace {
+const char* text(ReleaseReason reason) {
+    switch (reason) {
+        case ReleaseReason::listed_as_failed:
+            return "listed as failed";
+        case ReleaseReason::interrupted:
+            return "its interruption notice has run out";
+        case ReleaseReason::unlisted_and_silent:
+            return "no longer listed and silent";
+        case ReleaseReason::silent_alone:
+            return "silent while others report";
+        case ReleaseReason::silent_past_lease:
+            return "silent past its lease";
+        case ReleaseReason::never_showed_token:
+            return "reports, but never showed this term's token";
+        case ReleaseReason::quarantined:
+            return "quarantined";
+        case ReleaseReason::unreported_with_tasks:
+            return "has tasks of an earlier term and does not report";
+        case ReleaseReason::unlisted_with_tasks:
+            return "has tasks of an earlier term and is not listed";
+        case ReleaseReason::running_without_heartbeat:
+            return "runs but does not report";
+        case ReleaseReason::never_booted:
+            return "never booted";
+        case ReleaseReason::receives_no_commands:
+            return "reports, but receives no commands";
+        case ReleaseReason::idle:
+            return "idle";
+    }
+    return "";
+}
+}  // namespace
+
+void FailureDetector::release(Machine& machine, ReleaseReason reason) const {
+    spdlog::info("machine {} released: {} (term {})", machine.id, text(reason), context_.fencing_token);
+    machine.releasing = true;
+}
+
+void FailureDetector::detect() {
+    const bool others_report = most_machines_report();
+    for (auto& [id, machine] : machines_.all()) {
+        if (machine.releasing) continue;
+        // Its own lease must have ended by now; in the same agent epoch still, it was renewed: answers reach
+        // it.
+        if (machine.unacknowledged.heartbeats >= c::max_unacknowledged_heartbeats &&
+            machine.last_heartbeat_s - machine.unacknowledged.latest_at_s > context_.settings.worker_lease_s)
+            machine.unacknowledged.heartbeats = 0;
+        if (const auto reason = reason_to_release(machine, others_report)) release(machine, *reason);
+    }
+    withdraw_unsent_starts();
+    machines_.released().expire(context_.now_s);
+}
+
+// Whether at least half of the machines that have reported are in contact. Also judges whether commands reach
+// most of them: many machines that receive none mean that the fault is on this side.
+bool FailureDetector::most_machines_report() {
+    std::size_t reporting = 0, in_contact = 0, receiving_nothing = 0;
+    for (const auto& [id, machine] : machines_.all()) {
+        if (!machine.has_reported()) continue;
+        ++reporting;
+        if (context_.now_s - machine.last_heartbeat_s < 2 * context_.settings.heartbeat_period_s)
+            ++in_contact;
+        if (machine.unacknowledged.heartbeats > 0 || machine.older_token_since_s) ++receiving_nothing;
+    }
+    const auto tolerated = std::max<std::size_t>(c::partitioned_machines_tolerated, reporting / 5);
+    commands_reach_most_machines_ = receiving_nothing <= tolerated;
+    return in_contact > 0 && 2 * in_contact >= reporting;
+}
+
+double FailureDetector::detection_s() const {
+    return c::failure_detection_periods * context_.settings.heartbeat_period_s +
+           c::failure_detection_margin_s;
+}
+
+double FailureDetector::past_lease_s() const {
+    return context_.settings.worker_lease_s + c::failure_detection_margin_s;
+}
+
+// Why a machine is lost, or nothing. `others_report`: most machines are in contact.
+std::optional<ReleaseReason> FailureDetector::reason_to_release(const Machine& machine,
+                                                                bool others_report) const {
+    if (machine.is_listed_as(MachineStatus::failed)) return ReleaseReason::listed_as_failed;
+    const double silent_s = context_.now_s - std::max(machine.last_heartbeat_s, silence_counts_from_s_);
+    return machine.has_reported() ? reason_to_release_reporting(machine, others_report, silent_s)
+                                  : reason_to_release_unreported(machine, others_report, silent_s);
+}
+
+std::optional<ReleaseReason> FailureDetector::reason_to_release_reporting(const Machine& machine,
+                                                                          bool others_report,
+                                                                          double silent_s) const {
+    const double now = context_.now_s;
+    const double period_s = context_.settings.heartbeat_period_s;
+    const auto& notice = machine.interruption_notice;
+    if (notice && silent_s > period_s && now - notice->reported_at_s > notice->remaining_s + 1)
+        return ReleaseReason::interrupted;
+    if (machine.missing_since_s && silent_s > 2 * period_s) return ReleaseReason::unlisted_and_silent;
+    if (silent_s > detection_s() && others_report) return ReleaseReason::silent_alone;
+    if (silent_s > past_lease_s()) return ReleaseReason::silent_past_lease;
+    if (commands_reach_most_machines_ && machine.older_token_since_s &&
+        now - *machine.older_token_since_s > context_.settings.worker_lease_s)
+        return ReleaseReason::never_showed_token;
+    if (machine.quarantined && (machine.tasks.empty() || silent_s > detection_s()))
+        return ReleaseReason::quarantined;
+    return std::nullopt;
+}
+
+// The same for one that has not reported in this term.
+std::optional<ReleaseReason> FailureDetector::reason_to_release_unreported(const Machine& machine,
+                                                                           bool others_report,
+                                                                           double silent_s) const {
+    if (!machine.tasks.empty())
+        return reason_to_release_with_inherited_tasks(machine, others_report, silent_s);
+    if (machine.is_listed_as(MachineStatus::running)) {
+        if (silent_s <= past_lease_s()) return std::nullopt;
+        return ReleaseReason::running_without_heartbeat;
+    }
+    // Old enough is not enough: after a failover no machine has reported yet (found by incident: a new leader
+    // released running machines 0.3 s into its term).
+    const auto* type = machines_.types().find(machine.type);
+    const double boot_s = std::max(c::boot_patience * (type ? type->boot_s : 0), c::boot_patience_min_s);
+    if (silent_s > detection_s() && context_.now_s - machine.provisioned_at_s > boot_s)
+        return ReleaseReason::never_booted;
+    return std::nullopt;
+}
+
+std::optional<ReleaseReason> FailureDetector::reason_to_release_with_inherited_tasks(const Machine& machine,
+                                                                                     bool others_report,
+                                                                                     double silent_s) const {
+    const double patience_s =
+        others_report ? std::max(context_.settings.worker_lease_s / 2, detection_s()) : past_lease_s();
+    if (silent_s > patience_s) return ReleaseReason::unreported_with_tasks;
+    // Found by incident: spot machines interrupted while nobody led kept their tasks unknown for 28 s.
+    if (machine.missing_since_s && silent_s > 1.5 * context_.settings.heartbeat_period_s)
+        return ReleaseReason::unlisted_with_tasks;
+    return std::nullopt;
+}
+
+// Placements whose start was not sent, on machines that stopped being usable, or that are to be stopped.
+void FailureDetector::withdraw_unsent_starts() {
+    for (auto& [id, machine] : machines_.all()) {
+        if (machine.tasks.empty()) continue;
+        const bool is_usable = machines_.is_usable(machine, context_.now_s);
+        for (const auto& task : std::vector(machine.tasks)) {
+            const TaskPlacement& placement = task.placement();
+            if (!placement.is_unsent() || (is_usable && !placement.is_stopping())) continue;
+            tasks_.mark_lost(*task.job, task.index, LossReason::withdrawn);
+        }
+    }
+}
+
+}  // namespace pineroad::cluster
--- /dev/null
+++ b/src/cluster/heartbeat_reconciler.cpp
@@ -0,0 +1,179 @@
+#include "cluster/heartbeat_reconciler.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "cluster/job_shards.hpp"
+#include "config/constants.hpp"
+
+namespace pineroad::cluster {
+
+namespace c = constants;
+using model::TaskState;
+
+bool HeartbeatReconciler::apply(const model::Heartbeat& heartbeat) {
+    // The release of a machine is proof that nothing runs there; a heartbeat of it was held back on the way.
+    if (machines_.released().contains(heartbeat.machine)) return false;
+    Machine& machine = machines_.find_or_add(heartbeat.machine);
+    if (machine.has_reported() && std::pair(heartbeat.agent_epoch, heartbeat.sequence) <=
+                                      std::pair(machine.agent_epoch, machine.sequence))
+        return false;
+    update_identity(machine, heartbeat);
+    // Absence proves nothing unless the worker already refuses the commands of earlier terms.
+    if (heartbeat.fencing_token != context_.fencing_token) {
+        machine.contact = WorkerContact::older_token;
+        if (!machine.older_token_since_s) machine.older_token_since_s = context_.now_s;
+        machine.tasks_under_older_token = heartbeat.tasks;
+        return true;
+    }
+    machine.contact = WorkerContact::current_token;
+    machine.older_token_since_s.reset();
+    apply_tasks(machine, heartbeat);
+    if (!machine.unknown_tasks.empty() || !machine.tasks.empty()) machine.idle_since_s = context_.now_s;
+    if (machine.interruption_notice) checkpoint_before_interruption(machine);
+    return true;
+}
+
+// Who reports, and from where.
+void HeartbeatReconciler::update_identity(Machine& machine, const model::Heartbeat& heartbeat) {
+    if (!machine.has_reported()) {
+        spdlog::info("machine {} ({} in {}{}) reports, agent epoch {} (term {})", heartbeat.machine,
+                     heartbeat.type, heartbeat.zone, heartbeat.spot ? ", spot" : "", heartbeat.agent_epoch,
+                     context_.fencing_token);
+        machine.idle_since_s = context_.now_s;
+    }
+    // A one-way partition: its heartbeats arrive, and the answers do not reach it. Its tasks have ended with
+    // its lease; kept, it would report for ever and do nothing.
+    if (machine.unacknowledged.heartbeats >= c::max_unacknowledged_heartbeats &&
+        heartbeat.agent_epoch > machine.agent_epoch && failures_.commands_reach_most_machines())
+        failures_.release(machine, ReleaseReason::receives_no_commands);
+    machine.type = heartbeat.type, machine.zone = heartbeat.zone;
+    machine.spot = heartbeat.spot, machine.address = heartbeat.address;
+    machine.agent_epoch = heartbeat.agent_epoch, machine.sequence = heartbeat.sequence;
+    machine.last_heartbeat_s = last_heartbeat_s_ = context_.now_s;
+    if (!heartbeat.interruption_notice_s) {
+        machine.interruption_notice.reset();
+        return;
+    }
+    if (!machine.interruption_notice)
+        spdlog::info("machine {} will be interrupted in {:.1f} s", machine.id,
+                     *heartbeat.interruption_notice_s);
+    machine.interruption_notice = InterruptionNotice{*heartbeat.interruption_notice_s, context_.now_s};
+}
+
+// The tasks of a heartbeat under this term's token: all that is on the machine.
+void HeartbeatReconciler::apply_tasks(Machine& machine, const model::Heartbeat& heartbeat) {
+    machine.unknown_tasks.clear();
+    machine.exited_tasks.clear();
+    CommandAcknowledgement acknowledgement;
+    std::vector<PlacedTask> shown;
+    for (const auto& task : heartbeat.tasks)
+        if (Job* job = apply_task(machine, task, acknowledgement)) shown.push_back({job, task.task.index});
+    handle_missing_placements(machine, shown, acknowledgement);
+    acknowledgement.acknowledged |= !machine.sent_forgets.empty() && !acknowledgement.ignored;
+    machine.sent_forgets.clear();
+    record_acknowledgement(machine, acknowledgement);
+}
+
+// What a heartbeat says of one task. Returns its job if the task is where it was placed.
+Job* HeartbeatReconciler::apply_task(Machine& machine, const model::ReportedTask& task,
+                                     CommandAcknowledgement& acknowledgement) {
+    Job* job = jobs_.find(task.task.job);
+    TaskPlacement* placement = nullptr;
+    if (job) {
+        const auto at = job->placements.find(task.task.index);
+        if (at != job->placements.end() && at->second.attempt == task.attempt &&
+            at->second.machine == machine.id)
+            placement = &at->second;
+    }
+    if (task.state == TaskState::exited) {
+        const bool is_placed_here = placement != nullptr;
+        apply_exit(machine, job, is_placed_here, task, acknowledgement);
+        return is_placed_here ? job : nullptr;
+    }
+    if (!placement) {
+        machine.unknown_tasks.push_back(task);
+        return nullptr;
+    }
+    acknowledgement.acknowledged |= placement->confirm();
+    if (task.state == TaskState::running && placement->state != TaskState::running) {
+        placement->running_since_s = context_.now_s;
+        job->gang_has_run = true;
+        spdlog::debug("task {}/{} attempt {} runs on {} (term {})", task.task.job, task.task.index,
+                      task.attempt, machine.id, context_.fencing_token);
+    }
+    placement->state = task.state;
+    return job;
+}
+
+// A task that ended. The worker keeps it until it is told to forget it.
+void HeartbeatReconciler::apply_exit(Machine& machine, Job* job, bool is_placed_here,
+                                     const model::ReportedTask& task,
+                                     CommandAcknowledgement& acknowledgement) {
+    const SentForget forget{task.task, task.attempt};
+    acknowledgement.ignored |= std::find(machine.sent_forgets.begin(), machine.sent_forgets.end(), forget) !=
+                               machine.sent_forgets.end();
+    if (is_placed_here)
+        tasks_.handle_exit(*job, task, machine);
+    else if (job)
+        tasks_.record_completion_elsewhere(*job, task);
+    machine.exited_tasks.push_back(
+        {task.task, task.attempt, job ? version_of_task(*job, task.task.index) : 0});
+}
+
+// Placements that a heartbeat under this term's token does not show.
+void HeartbeatReconciler::handle_missing_placements(Machine& machine, const std::vector<PlacedTask>& shown,
+                                                    CommandAcknowledgement& acknowledgement) {
+    for (const auto& task : std::vector(machine.tasks)) {
+        if (std::find(shown.begin(), shown.end(), task) != shown.end()) continue;
+        TaskPlacement& placement = task.placement();
+        switch (placement.presence) {
+            case Presence::planned:
+                break;
+            case Presence::inherited:
+            case Presence::confirmed:
+                tasks_.mark_lost(*task.job, task.index, LossReason::not_on_machine);
+                break;
+            case Presence::start_sent:
+                acknowledgement.ignored = true;
+                placement.start_was_dropped();
+                if (placement.is_stopping() || task.job->cancelled || machine.unacknowledged.heartbeats > 0)
+                    tasks_.mark_lost(*task.job, task.index, LossReason::start_never_arrived);
+                break;
+        }
+    }
+}
+
+// Its heartbeats arrive, and show that the last answer has not reached it. Once happens with every lost
+// packet; again and again means that nothing reaches it: whatever it is given is late by a lease.
+void HeartbeatReconciler::record_acknowledgement(Machine& machine,
+                                                 const CommandAcknowledgement& acknowledgement) {
+    if (!acknowledgement.ignored) {
+        if (acknowledgement.acknowledged) machine.unacknowledged.heartbeats = 0;
+        return;
+    }
+    ++machine.unacknowledged.heartbeats;
+    machine.unacknowledged.latest_at_s = context_.now_s;
+    spdlog::info("machine {} reports but did not get its last commands, {} times now (term {})", machine.id,
+                 machine.unacknowledged.heartbeats, context_.fencing_token);
+}
+
+// A spot notice: what can save, saves at once; the rest runs on as long as the machine stands.
+void HeartbeatReconciler::checkpoint_before_interruption(Machine& machine) {
+    for (const auto& task : machine.tasks) {
+        Job& job = *task.job;
+        if (!job.spec || job.cancelled || job.spec->checkpoint_interval_s <= 0 ||
+            machine.interruption_notice->remaining_s < job.spec->checkpoint_save_s)
+            continue;
+        TaskPlacement& placement = task.placement();
+        if (placement.state != TaskState::running || !placement.is_confirmed()) continue;
+        if (job.is_gang())
+            stop_requests_.request_all(job, job.spec->checkpoint_save_s + 1);
+        else
+            stop_requests_.request(job, placement, job.spec->checkpoint_save_s + 1);
+    }
+}
+
+}  // namespace pineroad::cluster
--- /dev/null
+++ b/src/cluster/job_table.cpp
@@ -0,0 +1,115 @@
+#include "cluster/job_table.hpp"
+
+#include <algorithm>
+#include <set>
+#include <utility>
+
+#include "cluster/job_shards.hpp"
+#include "config/constants.hpp"
+
+namespace pineroad::cluster {
+
+namespace c = constants;
+
+Job* JobTable::find(const std::string& id) {
+    const auto job = jobs_.find(id);
+    return job == jobs_.end() ? nullptr : &job->second;
+}
+
+const Job* JobTable::find(const std::string& id) const {
+    const auto job = jobs_.find(id);
+    return job == jobs_.end() ? nullptr : &job->second;
+}
+
+Job& JobTable::find_or_add(const std::string& id) {
+    Job& job = jobs_[id];
+    job.id = id;
+    return job;
+}
+
+void JobTable::add(const model::JobSpec& spec, std::uint64_t mod_revision, double now) {
+    Job& job = find_or_add(spec.id);
+    if (job.spec) return;
+    job.spec = spec;
+    job.mod_revision = mod_revision;
+    job.waiting_since_s = now;
+    job.record.task_resources = spec.task_resources;
+    job.record.team = spec.team;
+}
+
+void JobTable::remove(const std::string& id) {
+    pending_changes_.clear(id);
+    jobs_.erase(id);
+}
+
+bool JobTable::may_run(const Job& job) const {
+    if (!job.spec || job.cancelled || job.finished || job.cancelled_by_dependency) return false;
+    return job.spec->dependencies.empty() || dependencies_->is_ready(job.id);
+}
+
+std::int64_t JobTable::waiting_since_ms(const Job& job) const {
+    const auto ready = dependencies_->ready_since_ms(job.id);
+    return std::max(job.spec->accepted_ms, ready.value_or(0));
+}
+
+bool JobTable::may_shard(const model::JobSpec& spec) const {
+    return sharding_allowed_ && spec.task_count > c::tasks_per_shard;
+}
+
+void JobTable::mark_changed(Job& job, std::uint32_t task) {
+    if (job.spec && !job.sharded && may_shard(*job.spec)) shard(job);
+    ++job.version;
+    job.shards[shard_of(job, task)].version = job.version;
+    // The first shard says what counts for the whole job: it is never missing beside another.
+    if (ProgressShard& first = job.shards[0]; first.segment.empty()) first.version = job.version;
+    pending_changes_.mark(job.id, context_.now_s);
+}
+
+// What waits to be written is sharded at once: it may be too large to be written whole.
+void JobTable::allow_sharding() {
+    if (std::exchange(sharding_allowed_, true)) return;
+    for (const auto& id : std::set(pending_changes_.jobs())) mark_changed(jobs_.at(id));
+}
+
+// What stood in one entry gets an entry for each shard. What is durable stays so all the while: the entry of
+// the whole job is replaced last.
+void JobTable::shard(Job& job) {
+    job.sharded = true;
+    const ProgressShard whole = job.shards[0];
+    const bool has_entry = !whole.segment.empty() || job.progress_revision != 0;
+    for (const auto number : shards_beyond_first(job)) {
+        ProgressShard& shard = job.shards[number];
+        shard.durable = whole.durable;
+        shard.version = job.version + 1;
+        if (has_entry) job.shards_in_unsharded_entry.insert(number);
+    }
+    job.shards[0].version = ++job.version;
+}
+
+void JobTable::resume_sharding(Job& job) {
+    if (!job.sharded || !job.shards.contains(0)) return;
+    auto missing = shards_beyond_first(job);
+    std::erase_if(missing, [&](std::uint32_t number) { return job.shards.contains(number); });
+    for (const auto number : missing) mark_changed(job, number * c::tasks_per_shard);
+    job.shards_in_unsharded_entry = std::move(missing);
+}
+
+std::vector<std::string> JobTable::apply_commit(const WrittenShard& written) {
+    std::vector<std::string> machines;
+    Job* job = find(written.job);
+    if (!job) return machines;
+    for (auto& [number, shard] : job->shards) {
+        if (written.shard && *written.shard != number) continue;
+        for (const auto& [task, placement] : placements_in_shard(*job, number))
+            if (placement.version > shard.durable && placement.version <= written.version)
+                machines.push_back(placement.machine);
+        shard.durable = std::max(shard.durable, written.version);
+        job->shards_in_unsharded_entry.erase(number);
+    }
+    const bool still_changed = std::any_of(job->shards.begin(), job->shards.end(),
+                                           [](const auto& entry) { return entry.second.is_changed(); });
+    if (!still_changed) pending_changes_.clear(job->id);
+    return machines;
+}
+
+}  // namespace pineroad::cluster
--- /dev/null
+++ b/src/cluster/machine_table.cpp
@@ -0,0 +1,57 @@
+#include "cluster/machine_table.hpp"
+
+#include "config/constants.hpp"
+
+namespace pineroad::cluster {
+
+namespace c = constants;
+
+Machine* MachineTable::find(const std::string& id) {
+    const auto machine = machines_.find(id);
+    return machine == machines_.end() ? nullptr : &machine->second;
+}
+
+const Machine* MachineTable::find(const std::string& id) const {
+    const auto machine = machines_.find(id);
+    return machine == machines_.end() ? nullptr : &machine->second;
+}
+
+Machine& MachineTable::find_or_add(const std::string& id) {
+    auto [it, added] = machines_.try_emplace(id);
+    Machine& machine = it->second;
+    if (added) {
+        machine.id = id;
+        machine.provisioned_at_s = context_.now_s;
+        machine.idle_since_s = context_.now_s;
+        machine.last_heartbeat_s = context_.now_s;
+    }
+    return machine;
+}
+
+bool MachineTable::is_usable(const Machine& machine, double now) const {
+    const double contact_s = c::heartbeat_periods_usable * context_.settings.heartbeat_period_s;
+    return machine.token_confirmed() && !machine.releasing && !machine.quarantined &&
+           !machine.interruption_notice && !machine.is_listed_as(model::MachineStatus::failed) &&
+           machine.unknown_tasks.empty() && now - machine.last_heartbeat_s < contact_s &&
+           machine.unacknowledged.heartbeats < c::max_unacknowledged_heartbeats;
+}
+
+// What a machine's cache still holds, as far as one can tell: the latest images that fit into it.
+void MachineTable::remember_image(Machine& machine, const model::JobSpec& spec) {
+    std::erase_if(machine.images, [&](const CachedImage& image) { return image.name == spec.image; });
+    machine.images.push_back({spec.image, spec.image_gb});
+    const auto* type = types_.find(machine.type);
+    double size_gb = 0;
+    for (const auto& image : machine.images) size_gb += image.size_gb;
+    while (machine.images.size() > 1 &&
+           ((type && size_gb > type->cache_gb) || machine.images.size() > c::max_cached_images)) {
+        size_gb -= machine.images.front().size_gb;
+        machine.images.pop_front();
+    }
+}
+
+void MachineTable::forget_failures_of(const std::string& job) {
+    for (auto& [id, machine] : machines_) machine.failed_jobs.erase(job);
+}
+
+}  // namespace pineroad::cluster
--- /dev/null
+++ b/src/cluster/planner.cpp
@@ -0,0 +1,124 @@
+#include "cluster/planner.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <map>
+#include <utility>
+
+#include "config/constants.hpp"
+
+namespace pineroad::cluster {
+
+namespace c = constants;
+
+void Planner::plan(const DemandByClass& demand) {
+    auto snapshot = snapshots_.build(demand);
+    remember_smallest_request(demand);
+    place_tasks(snapshot);
+    preempt(snapshot);
+    if (context_.now_s - last_autoscaling_s_ < c::capacity_period_s) return;
+    last_autoscaling_s_ = context_.now_s;
+    autoscale(std::move(snapshot));
+}
+
+void Planner::remember_smallest_request(const DemandByClass& demand) {
+    smallest_recent_request_.reset();
+    for (const auto& [job_class, recent] : demand) {
+        const auto& request = recent.sample.task_resources;
+        if (!smallest_recent_request_ || request.cpus < smallest_recent_request_->cpus)
+            smallest_recent_request_ = request;
+    }
+}
+
+bool Planner::has_room(const std::string& id, double now) const {
+    const Machine* machine = std::as_const(state_.machines).find(id);
+    if (!machine || !state_.machines.is_usable(*machine, now)) return false;
+    if (machine->tasks.empty()) return true;
+    const auto* type = state_.machines.types().find(machine->type);
+    if (!type || !smallest_recent_request_) return false;
+    auto free = type->capacity;
+    for (const auto& [job, task] : machine->tasks) free -= job->record.task_resources;
+    return smallest_recent_request_->fits_in(free);
+}
+
+void Planner::place_tasks(scheduling::Snapshot& snapshot) {
+    std::map<std::string, double> xfactors;
+    for (const auto& pending : snapshot.jobs) xfactors[pending.spec->id] = pending.xfactor;
+    for (const auto& decision : scheduling::place_tasks(snapshot))
+        place_task(decision, xfactors[decision.job]);
+}
+
+void Planner::place_task(const scheduling::PlacementDecision& decision, double xfactor) {
+    Job& job = state_.jobs.at(decision.job);
+    const bool is_first = job.placements.empty();
+    if (!job.is_gang()) {
+        job.latest_attempt = job.record.next_attempt++;
+    } else if (is_first) {
+        job.latest_attempt = job.record.next_attempt++;
+        job.gang_has_run = false;
+        job.gang_left_machines.clear();
+    }
+    if (is_first) job.xfactor_at_start = xfactor;
+    state_.jobs.mark_changed(job, decision.index);
+    TaskPlacement placement;
+    placement.index = decision.index;
+    placement.attempt = job.latest_attempt;
+    placement.machine = decision.machine;
+    placement.version = job.version;
+    spdlog::debug("task {}/{} attempt {} placed on {} (term {})", job.id, placement.index, placement.attempt,
+                  placement.machine, context_.fencing_token);
+    state_.tasks.place(job, std::move(placement));
+    Machine& machine = state_.machines.find_or_add(decision.machine);
+    machine.idle_since_s = context_.now_s;
+    state_.machines.remember_image(machine, *job.spec);
+    state_.pending_changes.request_commit();
+}
+
+// Preemption waits after a failover until the machines have reported: no burst of stops from half a snapshot.
+void Planner::preempt(const scheduling::Snapshot& snapshot) {
+    const double now = context_.now_s;
+    const double period_s = context_.tuning.preemption_period_s;
+    const bool has_settled = now - context_.started_at_s > 2 * period_s;
+    if (!has_settled || now - last_preemption_s_ < period_s) return;
+    last_preemption_s_ = now;
+    const auto preemption = scheduling::select_preemption(snapshot);
+    if (!preemption) return;
+    for (const auto& victim : preemption->victims) {
+        Job& job = state_.jobs.at(victim);
+        spdlog::info("job {} preempted for {} (term {})", victim, preemption->waiter, context_.fencing_token);
+        state_.stop_requests.request_all(job, job.spec->checkpoint_save_s + 1);
+    }
+}
+
+void Planner::autoscale(scheduling::Snapshot snapshot) {
+    add_capacity_on_its_way(snapshot);
+    const auto autoscaling = scheduling::plan_autoscaling(std::move(snapshot));
+    for (const auto& decision : autoscaling.scale_out) state_.provisioning.scale_out(decision);
+    if (!autoscaling.scale_out.empty()) state_.pending_changes.request_commit();
+    for (const auto& machine : autoscaling.scale_in) scale_in(machine);
+}
+
+// A request that is not answered yet is capacity on its way.
+void Planner::add_capacity_on_its_way(scheduling::Snapshot& snapshot) const {
+    for (const auto& request : state_.provisioning.open_requests()) {
+        const auto* type = state_.machines.types().find(request.type);
+        for (std::uint32_t number = 0; type && number < request.count; ++number) {
+            scheduling::MachineSnapshot machine;
+            machine.id = request.name + "#" + std::to_string(number);
+            machine.type = request.type, machine.zone = request.zone, machine.spot = request.spot;
+            machine.booting = true;
+            machine.free = type->capacity;
+            snapshot.machines.push_back(std::move(machine));
+        }
+    }
+}
+
+// An idle machine is kept until it has cost the least that any machine costs.
+void Planner::scale_in(const std::string& id) {
+    Machine& machine = state_.machines.all().at(id);
+    const double age_s = context_.now_s - machine.provisioned_at_s;
+    if (age_s > 0 && age_s < c::minimum_charge_s) return;
+    state_.failures.release(machine, ReleaseReason::idle);
+}
+
+}  // namespace pineroad::cluster
--- a/src/cluster/provisioning_requests.hpp
+++ b/src/cluster/provisioning_requests.hpp
@@ -72,31 +72,42 @@
         withdrawn,   // not wanted any more, and not in the record
         closed,      // answered or not wanted any more, and still in the record
     };
+    // A request of this term or of an earlier one.
     struct Request {
         model::ProvisioningRequest request;
         std::uint64_t own_record_revision = 0;  // of a record of its own
         Phase phase = Phase::wanted;
+        // No answer came, and it is still wanted.
         [[nodiscard]] bool is_open() const { return phase != Phase::withdrawn && phase != Phase::closed; }
+        // It stands in the record of the store.
         [[nodiscard]] bool is_in_record() const {
             return phase != Phase::wanted && phase != Phase::withdrawn;
         }
+        // No call of its name can have been made.
         [[nodiscard]] bool is_unsent() const { return phase == Phase::wanted || phase == Phase::durable; }
+        // It is durable, wanted, and no call is under way.
         [[nodiscard]] bool may_be_sent() const {
             return phase == Phase::durable || phase == Phase::unanswered;
         }
+        // A commit wrote it into the record.
         void became_durable() {
             if (phase == Phase::wanted) phase = Phase::durable;
             if (phase == Phase::withdrawn) phase = Phase::closed;
         }
+        // It was answered, or is not wanted any more.
         void close() { phase = is_in_record() ? Phase::closed : Phase::withdrawn; }
     };
+    // A pool without capacity.
     struct Backoff {
-        double until_s = 0, pause_s = 0;
+        double until_s = 0;  // no machine of the pool is requested before
+        double pause_s = 0;  // the latest pause; the next is twice as long
     };
     using PoolKey = std::tuple<std::string, std::string, bool>;  // type, zone, spot
+    // The pool that a request names.
     static PoolKey pool_of(const model::ProvisioningRequest& request) {
         return {request.type, request.zone, request.spot};
     }
+    // Closes the unsent requests for the pool of a refused one.
     void withdraw_unsent(const model::ProvisioningRequest& refused);
 
     std::uint64_t fencing_token_, count_ = 0, mod_revision_ = 0;
--- /dev/null
+++ b/src/cluster/state_loader.cpp
@@ -0,0 +1,67 @@
+#include "cluster/state_loader.hpp"
+
+#include <algorithm>
+#include <string>
+#include <utility>
+#include <vector>
+
+namespace pineroad::cluster {
+
+void StateLoader::load(const store::WatchCache& watch_cache, double now) {
+    state_.jobs.set_dependencies(watch_cache.dependencies());
+    state_.machines.types().load(watch_cache);
+    state_.averages.load(watch_cache);
+    for (const auto& [id, job] : watch_cache.jobs) state_.jobs.add(job.value, job.mod_revision, now);
+    for (const auto& [name, progress] : watch_cache.progress) load_progress(watch_cache, name, progress);
+    state_.segments.load(watch_cache);
+    state_.provisioning.load(watch_cache);
+    for (const auto& [id, job] : std::as_const(state_.jobs).all()) settle(state_.jobs.at(id));
+    for (const auto& id : watch_cache.dependencies().cancelled()) state_.tasks.cancel_job_by_dependency(id);
+}
+
+void StateLoader::load_progress(const store::WatchCache& watch_cache, const wire::records::EntryName& name,
+                                const store::WatchCache::Progress& progress) {
+    Job& job = state_.jobs.find_or_add(name.job);
+    const auto& entry = progress.value;
+    job.record.done += entry.done;
+    job.record.next_attempt = std::max(job.record.next_attempt, entry.next_attempt);
+    if (name.shard == 0) {
+        job.record.checkpointed_run_s = entry.checkpointed_run_s;
+        job.record.task_resources = entry.task_resources;
+        job.record.team = entry.team;
+        const bool has_own_record = progress.segment.empty();
+        if (has_own_record) job.progress_revision = progress.mod_revision;
+    }
+    job.sharded |= entry.partial;
+    job.shards[name.shard].segment = progress.segment;
+    load_placements(watch_cache, name, entry, job);
+}
+
+// Each is treated as running where it was placed until it is proven off.
+void StateLoader::load_placements(const store::WatchCache& watch_cache, const wire::records::EntryName& name,
+                                  const model::Progress& entry, Job& job) {
+    for (const auto& stored : entry.placements) {
+        if (!watch_cache.is_current(name, stored)) continue;
+        TaskPlacement placement;
+        placement.index = stored.index;
+        placement.attempt = stored.attempt;
+        placement.machine = stored.machine;
+        placement.presence = Presence::inherited;
+        state_.tasks.place(job, std::move(placement));
+        job.latest_attempt = std::max(job.latest_attempt, stored.attempt);
+    }
+}
+
+// What an earlier term left undone with the job.
+void StateLoader::settle(Job& job) {
+    if (!job.spec) {
+        state_.tasks.cancel_job(job.id);
+    } else if (job.record.done_count() >= job.spec->task_count) {
+        job.finished = true;
+        state_.jobs.mark_changed(job);
+    } else {
+        state_.jobs.resume_sharding(job);
+    }
+}
+
+}  // namespace pineroad::cluster
--- /dev/null
+++ b/src/cluster/write_batch_builder.cpp
@@ -0,0 +1,273 @@
+#include "cluster/write_batch_builder.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <boost/json/serialize.hpp>
+#include <utility>
+
+#include "cluster/job_shards.hpp"
+#include "config/constants.hpp"
+
+namespace pineroad::cluster {
+
+namespace c = constants;
+namespace records = wire::records;
+
+namespace {
+// Bytes of keys, conditions and punctuation around a value in a transaction, at most.
+constexpr std::size_t machine_types_frame_bytes = 100;
+constexpr std::size_t provisioning_frame_bytes = 200;
+constexpr std::size_t segment_frame_bytes = 200;
+constexpr std::size_t segment_reserve_bytes = 400;  // two frames: an entry may have to open a segment
+constexpr std::size_t removal_frame_bytes = 40;
+constexpr std::size_t entry_frame_bytes = 10;
+constexpr std::size_t tombstone_reserve_bytes = 40;
+constexpr std::size_t outcome_bytes = 600;             // a job's end with all its keys
+constexpr std::size_t dependency_removal_bytes = 100;  // of each further record of its dependencies
+constexpr std::size_t outcome_value_bytes = 100;
+constexpr std::size_t progress_removal_bytes = 200;
+constexpr std::size_t category_averages_bytes = 2000;
+}  // namespace
+
+BatchLimits BatchLimits::after_rejections(int rejections, std::size_t changes,
+                                          const config::Settings& settings) {
+    BatchLimits limits;
+    limits.changes = std::clamp<std::size_t>(changes, c::target_batch_changes,
+                                             static_cast<std::size_t>(settings.max_transaction_changes));
+    limits.value_bytes = settings.value_kb * 1024 * c::value_fill_ratio;
+    limits.current_limits_hold = rejections == 0;
+    for (int rejection = 1; rejection < rejections; ++rejection) {
+        limits.changes = std::max(limits.changes / 2, c::min_batch_changes);
+        limits.value_bytes = limits.value_bytes / 2;
+    }
+    return limits;
+}
+
+WriteBatch WriteBatchBuilder::build() {
+    add_machine_types();
+    add_provisioning_requests();
+    add_segments();
+    add_finished_jobs();
+    add_category_averages();
+    if (!batch_.txn.changes.empty()) add_leader_condition();
+    return std::move(batch_);
+}
+
+// --- one change --------------------------------------------------------------------------------------------
+
+bool WriteBatchBuilder::fits(std::size_t changes, std::size_t bytes) const {
+    return batch_.txn.changes.size() + changes <= limits_.changes &&
+           bytes_ + bytes <= c::max_transaction_bytes;
+}
+
+void WriteBatchBuilder::put(const std::string& key, wire::Json value, std::uint64_t mod_revision,
+                            std::size_t bytes) {
+    batch_.txn.conditions.push_back({key, mod_revision});
+    batch_.txn.changes.push_back({key, std::move(value), std::nullopt});
+    bytes_ += bytes;
+}
+
+void WriteBatchBuilder::remove(const std::string& key, std::uint64_t mod_revision) {
+    batch_.txn.conditions.push_back({key, mod_revision});
+    batch_.txn.changes.push_back({key, std::nullopt, std::nullopt});
+    bytes_ += 2 * key.size() + removal_frame_bytes;
+}
+
+void WriteBatchBuilder::add_leader_condition() {
+    batch_.txn.conditions.push_back({std::string(records::leader_key), state_.context.leader_revision});
+    spdlog::debug(
+        "commit of {} changes ({} allowed): {} segments, {} jobs over, {} provisioning requests; {} jobs "
+        "changed",
+        batch_.txn.changes.size(), limits_.changes, batch_.segments.size(), batch_.finished_jobs.size(),
+        batch_.provisioning_requests ? batch_.provisioning_requests->open.size() : 0,
+        state_.pending_changes.jobs().size());
+}
+
+// --- records of the whole cluster --------------------------------------------------------------------------
+
+void WriteBatchBuilder::add_machine_types() {
+    const auto& types = state_.machines.types();
+    if (!types.is_changed()) return;
+    auto value = wire::machine_types_json(types.all());
+    const auto bytes = boost::json::serialize(value).size() + machine_types_frame_bytes;
+    if (static_cast<double>(bytes) < state_.context.settings.value_kb * 1024)
+        put(std::string(records::machine_types_key), std::move(value), types.mod_revision(), bytes);
+    else
+        spdlog::error("{} machine types do not fit one value of the store", types.all().size());
+    batch_.machine_types = true;
+}
+
+void WriteBatchBuilder::add_provisioning_requests() {
+    auto record = state_.provisioning.record(limits_.value_bytes);
+    if (!record) return;
+    put(std::string(records::provisioning_requests_key), record->value, record->mod_revision,
+        record->bytes + provisioning_frame_bytes);
+    for (const auto& [key, mod_revision] : record->single) remove(key, mod_revision);
+    batch_.provisioning_requests = std::move(record);
+}
+
+void WriteBatchBuilder::add_category_averages() {
+    const auto& averages = state_.averages;
+    if (!averages.is_write_due(state_.context.now_s) || !fits(1, category_averages_bytes)) return;
+    put(std::string(records::category_averages_key), records::category_averages_json(averages.values()),
+        averages.mod_revision(), category_averages_bytes);
+    batch_.category_averages = true;
+}
+
+// --- segments ----------------------------------------------------------------------------------------------
+
+// Placements first: starts wait for them. Jobs share segments, so that a write serves many of them; one
+// record a job took more writes than the store accepts once a second brings dozens of starts. Of the rest,
+// each is served in turn, none is passed over.
+void WriteBatchBuilder::add_segments() {
+    const bool all_fit = add_changed_shards(true) && add_changed_shards(false);
+    if (!all_fit) state_.pending_changes.request_commit();
+    add_tombstones();
+    close_segment();
+}
+
+// Whether the shard holds placements that are not durable. The first shard goes with the first of any: it
+// says what counts for the whole job.
+bool WriteBatchBuilder::is_awaited_by_starts(const Job& job, std::uint32_t number,
+                                             const ProgressShard& shard) {
+    const bool goes_first = number == 0 && shard.segment.empty();
+    const auto placements = goes_first ? PlacementRange{job.placements.begin(), job.placements.end()}
+                                       : placements_in_shard(job, number);
+    return std::any_of(placements.begin(), placements.end(),
+                       [&](const auto& entry) { return entry.second.version > shard.durable; });
+}
+
+// The shards that starts wait for, or the others. False: not all of them fit.
+bool WriteBatchBuilder::add_changed_shards(bool awaited_by_starts) {
+    for (const auto& id : state_.pending_changes.jobs()) {
+        Job& job = state_.jobs.at(id);
+        if (job.finished || job.cancelled_by_dependency || job.is_over()) continue;
+        for (const auto& [number, shard] : job.shards) {
+            if (!shard.is_changed() || is_awaited_by_starts(job, number, shard) != awaited_by_starts)
+                continue;
+            // A new leader would miss the placements that stand in that entry alone.
+            if (number == 0 && !job.shards_in_unsharded_entry.empty()) continue;
+            if (!add_shard(job, number, shard)) return false;
+        }
+    }
+    return true;
+}
+
+// False: the batch is full.
+bool WriteBatchBuilder::add_shard(Job& job, std::uint32_t number, const ProgressShard& shard) {
+    const records::EntryName entry{job.id, number};
+    auto value = records::progress_json(progress_of_shard(job, number), number);
+    const auto name = records::entry_name(entry);
+    const auto bytes = boost::json::serialize(value).size() + name.size() + entry_frame_bytes;
+    if (!fits_value(entry, bytes)) return true;
+    const bool fills_segment = static_cast<double>(segment_bytes_ + bytes) > limits_.value_bytes;
+    if (!segment_entries_.empty() && fills_segment) close_segment();
+    // The other half of the changes is left for what users wait for.
+    const bool segments_fill_half = (batch_.segments.size() + 1) * 2 > limits_.changes;
+    if (!fits(2, segment_bytes_ + bytes + segment_reserve_bytes) || segments_fill_half) return false;
+    segment_bytes_ += bytes;
+    segment_[name] = std::move(value);
+    segment_entries_.push_back(entry);
+    batch_.written_shards.push_back({job.id, number, shard.version});
+    if (number == 0 && job.progress_revision) {
+        remove(records::progress_key(job.id), job.progress_revision);
+        batch_.removed_jobs.push_back(job.id);
+    }
+    return true;
+}
+
+// An entry that an earlier version wrote under a larger limit may not fit before it may be sharded. It goes
+// by the limit in force, until a batch is rejected; then its job waits until it is sharded.
+bool WriteBatchBuilder::fits_value(const records::EntryName& entry, std::size_t bytes) const {
+    const double current_bytes = state_.context.settings.current_value_kb * 1024 * c::value_fill_ratio;
+    if (static_cast<double>(bytes) <= limits_.value_bytes) return true;
+    if (limits_.current_limits_hold && static_cast<double>(bytes) <= current_bytes) return true;
+    spdlog::error("the entry {} of {} bytes does not fit a value of the store", records::entry_name(entry),
+                  bytes);
+    return false;
+}
+
+// Jobs that are over and still stand in an older segment, as far as the open segment has space for them.
+void WriteBatchBuilder::add_tombstones() {
+    if (segment_entries_.empty()) return;
+    for (const auto& entry : state_.segments.pending_tombstones()) {
+        const auto name = records::entry_name(entry);
+        if (static_cast<double>(segment_bytes_ + name.size() + tombstone_reserve_bytes) >=
+            limits_.value_bytes)
+            break;
+        segment_[name] = nullptr;
+        segment_entries_.push_back(entry);
+        segment_bytes_ += name.size() + entry_frame_bytes;
+        batch_.tombstones.push_back(entry);
+    }
+}
+
+void WriteBatchBuilder::close_segment() {
+    if (segment_entries_.empty()) return;
+    const auto name = state_.segments.writable_segment(taken_segments_);
+    const auto sequence = state_.segments.next_sequence();
+    put(records::segment_key(name), records::segment_json(sequence, std::move(segment_)),
+        state_.segments.mod_revision(name), segment_bytes_ + segment_frame_bytes);
+    batch_.segments.push_back({name, sequence, std::move(segment_entries_)});
+    taken_segments_.push_back(name);
+    segment_ = {};
+    segment_entries_.clear();
+    segment_bytes_ = 0;
+}
+
+// --- finished jobs -----------------------------------------------------------------------------------------
+
+// Jobs that are done first, since others may wait for them; then those cancelled by a dependency, of which
+// all controllers tell already.
+void WriteBatchBuilder::add_finished_jobs() {
+    const auto& changed = state_.pending_changes.jobs();
+    const std::vector<std::string> ids(changed.begin(), changed.end());
+    for (const bool cancelled_by_dependency : {false, true})
+        for (const auto& id : ids) {
+            Job& job = state_.jobs.at(id);
+            if (job.cancelled_by_dependency != cancelled_by_dependency) continue;
+            if (!add_finished_job(job)) return;
+        }
+}
+
+// What is left to be written of a job that is done or over. False: it does not fit.
+bool WriteBatchBuilder::add_finished_job(Job& job) {
+    if ((job.finished || job.cancelled_by_dependency) && !job.is_over()) {
+        const auto status =
+            job.cancelled_by_dependency ? model::FinalStatus::cancelled : model::FinalStatus::done;
+        if (!add_outcome(job, status)) {
+            state_.pending_changes.request_commit();
+            return false;
+        }
+    } else if (!job.is_over() || !job.placements.empty()) {
+        return true;  // written in a segment, or nothing to say until the last task has ended
+    }
+    if (job.placements.empty()) {
+        if (job.progress_revision) {
+            if (!fits(1, progress_removal_bytes)) return false;
+            remove(records::progress_key(job.id), job.progress_revision);
+        }
+        batch_.removed_jobs.push_back(job.id);
+    }
+    batch_.written_shards.push_back({job.id, std::nullopt, job.version});
+    return true;
+}
+
+// Asks for exactly what it takes: where a small batch of segments left no third change, the ends of jobs
+// waited for minutes in a burst. False: it does not fit.
+bool WriteBatchBuilder::add_outcome(Job& job, model::FinalStatus status) {
+    const auto dependency_records = job.spec->dependency_records;
+    const std::size_t changes = (job.progress_revision ? 3 : 2) + dependency_records;
+    if (!fits(changes, outcome_bytes + dependency_removal_bytes * dependency_records)) return false;
+    // The cancellation of a user and this compare the same revision: one of the two wins.
+    remove(records::job_key(job.id), job.mod_revision);
+    for (std::uint32_t number = 1; number <= dependency_records; ++number)
+        batch_.txn.changes.push_back({records::dependencies_key(job.id, number), std::nullopt, std::nullopt});
+    const model::JobOutcome outcome{status, std::max<std::int64_t>(state_.context.wall_ms(), 0)};
+    put(records::outcome_key(job.id), records::outcome_json(outcome), 0, outcome_value_bytes);
+    batch_.finished_jobs.push_back({job.id, outcome});
+    return true;
+}
+
+}  // namespace pineroad::cluster
