--- a/src/cluster/command_delivery.cpp
+++ b/src/cluster/command_delivery.cpp
@@ -49,7 +49,7 @@
     std::vector<Command> commands;
     for (const auto& task : machine.tasks_under_older_token) {
         const Job* job = std::as_const(jobs_).find(task.task.job);
-        const bool is_cancelled = !job || !job->spec || job->cancelled;
+        const bool is_cancelled = !job || !job->spec || job->is_cancelled();
         if (is_cancelled && task.state != model::TaskState::exited && commands.size() < c::max_commands)
             commands.push_back({Command::Kind::stop, task.task, task.attempt, 0});
     }
@@ -87,7 +87,6 @@
     }
 }
 
-// The placement to be stopped, or nullptr if that is settled already.
 TaskPlacement* CommandDelivery::unsent_stop(const UnsentStop& stop) {
     Job* job = jobs_.find(stop.job);
     if (!job) return nullptr;
--- a/src/cluster/durable_writes.cpp
+++ b/src/cluster/durable_writes.cpp
@@ -53,7 +53,6 @@
     state_.segments.compact();
 }
 
-// Progress records of version 0.1 that the batch removed.
 void DurableWrites::apply_progress_removals(const WriteBatch& batch) {
     for (const auto& change : batch.txn.changes) {
         const auto id = records::under(change.key, records::progress_prefix);
@@ -65,11 +64,8 @@
 void DurableWrites::apply_outcome(const FinishedJob& finished, std::int64_t wall_ms) {
     Job* job = state_.jobs.find(finished.job);
     if (!job) return;
-    job->final_durable = true;
-    if (finished.outcome.status == model::FinalStatus::cancelled) {
-        job->cancelled = true;
-        return;
-    }
+    job->end(finished.outcome.status);
+    if (finished.outcome.status == model::FinalStatus::cancelled) return;
     spdlog::info("job {} done (term {})", job->id, state_.context.fencing_token);
     const double turnaround_s = static_cast<double>(wall_ms - state_.jobs.waiting_since_ms(*job)) / 1000.0;
     const double slowdown = std::max(1.0, turnaround_s / std::max(job->spec->estimate_s, 1.0));
--- a/src/cluster/failure_detector.cpp
+++ b/src/cluster/failure_detector.cpp
@@ -57,9 +57,9 @@
         if (machine.releasing) continue;
         // Its own lease must have ended by now; in the same agent epoch still, it was renewed: answers reach
         // it.
-        if (machine.unacknowledged.heartbeats >= c::max_unacknowledged_heartbeats &&
+        if (machine.unacknowledged.is_partitioned() &&
             machine.last_heartbeat_s - machine.unacknowledged.latest_at_s > context_.settings.worker_lease_s)
-            machine.unacknowledged.heartbeats = 0;
+            machine.unacknowledged.reset();
         if (const auto reason = reason_to_release(machine, others_report)) release(machine, *reason);
     }
     withdraw_unsent_starts();
@@ -91,7 +91,6 @@
     return context_.settings.worker_lease_s + c::failure_detection_margin_s;
 }
 
-// Why a machine is lost, or nothing. `others_report`: most machines are in contact.
 std::optional<ReleaseReason> FailureDetector::reason_to_release(const Machine& machine,
                                                                 bool others_report) const {
     if (machine.is_listed_as(MachineStatus::failed)) return ReleaseReason::listed_as_failed;
--- a/src/cluster/heartbeat_reconciler.cpp
+++ b/src/cluster/heartbeat_reconciler.cpp
@@ -6,11 +6,9 @@
 #include <utility>
 
 #include "cluster/job_shards.hpp"
-#include "config/constants.hpp"
 
 namespace pineroad::cluster {
 
-namespace c = constants;
 using model::TaskState;
 
 bool HeartbeatReconciler::apply(const model::Heartbeat& heartbeat) {
@@ -36,7 +34,6 @@
     return true;
 }
 
-// Who reports, and from where.
 void HeartbeatReconciler::update_identity(Machine& machine, const model::Heartbeat& heartbeat) {
     if (!machine.has_reported()) {
         spdlog::info("machine {} ({} in {}{}) reports, agent epoch {} (term {})", heartbeat.machine,
@@ -46,8 +43,8 @@
     }
     // A one-way partition: its heartbeats arrive, and the answers do not reach it. Its tasks have ended with
     // its lease; kept, it would report for ever and do nothing.
-    if (machine.unacknowledged.heartbeats >= c::max_unacknowledged_heartbeats &&
-        heartbeat.agent_epoch > machine.agent_epoch && failures_.commands_reach_most_machines())
+    if (machine.unacknowledged.is_partitioned() && heartbeat.agent_epoch > machine.agent_epoch &&
+        failures_.commands_reach_most_machines())
         failures_.release(machine, ReleaseReason::receives_no_commands);
     machine.type = heartbeat.type, machine.zone = heartbeat.zone;
     machine.spot = heartbeat.spot, machine.address = heartbeat.address;
@@ -63,7 +60,6 @@
     machine.interruption_notice = InterruptionNotice{*heartbeat.interruption_notice_s, context_.now_s};
 }
 
-// The tasks of a heartbeat under this term's token: all that is on the machine.
 void HeartbeatReconciler::apply_tasks(Machine& machine, const model::Heartbeat& heartbeat) {
     machine.unknown_tasks.clear();
     machine.exited_tasks.clear();
@@ -123,7 +119,6 @@
         {task.task, task.attempt, job ? version_of_task(*job, task.task.index) : 0});
 }
 
-// Placements that a heartbeat under this term's token does not show.
 void HeartbeatReconciler::handle_missing_placements(Machine& machine, const std::vector<PlacedTask>& shown,
                                                     CommandAcknowledgement& acknowledgement) {
     for (const auto& task : std::vector(machine.tasks)) {
@@ -139,7 +134,8 @@
             case Presence::start_sent:
                 acknowledgement.ignored = true;
                 placement.start_was_dropped();
-                if (placement.is_stopping() || task.job->cancelled || machine.unacknowledged.heartbeats > 0)
+                if (placement.is_stopping() || task.job->is_cancelled() ||
+                    machine.unacknowledged.heartbeats > 0)
                     tasks_.mark_lost(*task.job, task.index, LossReason::start_never_arrived);
                 break;
         }
@@ -151,11 +147,10 @@
 void HeartbeatReconciler::record_acknowledgement(Machine& machine,
                                                  const CommandAcknowledgement& acknowledgement) {
     if (!acknowledgement.ignored) {
-        if (acknowledgement.acknowledged) machine.unacknowledged.heartbeats = 0;
+        if (acknowledgement.acknowledged) machine.unacknowledged.reset();
         return;
     }
-    ++machine.unacknowledged.heartbeats;
-    machine.unacknowledged.latest_at_s = context_.now_s;
+    machine.unacknowledged.record_ignored(context_.now_s);
     spdlog::info("machine {} reports but did not get its last commands, {} times now (term {})", machine.id,
                  machine.unacknowledged.heartbeats, context_.fencing_token);
 }
@@ -164,7 +159,7 @@
 void HeartbeatReconciler::checkpoint_before_interruption(Machine& machine) {
     for (const auto& task : machine.tasks) {
         Job& job = *task.job;
-        if (!job.spec || job.cancelled || job.spec->checkpoint_interval_s <= 0 ||
+        if (!job.spec || job.is_cancelled() || job.spec->checkpoint_interval_s <= 0 ||
             machine.interruption_notice->remaining_s < job.spec->checkpoint_save_s)
             continue;
         TaskPlacement& placement = task.placement();
--- a/src/cluster/job.hpp
+++ b/src/cluster/job.hpp
@@ -31,6 +31,17 @@
     double retry_at_s = 0;           // none of its tasks is placed before
 };
 
+// Where a job stands.
+//   active -> finished -> done, and from active or finished to `cancelled` when its user cancels it first; or
+//   active -> cancelled_by_dependency -> cancelled, when a job that it depends on was cancelled.
+enum class JobPhase {
+    active,                   // its tasks run, or wait to be placed
+    finished,                 // every task is done; final once that is durable
+    cancelled_by_dependency,  // it never starts, and its own final record is to be written
+    done,                     // done, durably
+    cancelled,                // cancelled, durably; tasks of it may still be on machines
+};
+
 // A job from its acceptance until its final state is durable and its last task is off its machine.
 struct Job {
     std::optional<model::JobSpec> spec;  // nothing: only the progress of a cancelled job is left
@@ -45,11 +56,7 @@
     std::uint64_t mod_revision = 0;       // of the job's own record
     std::uint64_t progress_revision = 0;  // of a progress record of version 0.1; 0: there is none
     std::uint64_t version = 0;            // of its latest change
-    bool cancelled = false;
-    // A job that it depends on was cancelled: it never starts, and ends as cancelled.
-    bool cancelled_by_dependency = false;
-    bool finished = false;  // every task done; final once durable
-    bool final_durable = false;
+    JobPhase phase = JobPhase::active;
     double xfactor_at_start = 1;
     std::uint64_t latest_attempt = 0;          // of a gang: the attempt of all its placements
     bool gang_has_run = false;                 // in the present attempt
@@ -57,8 +64,42 @@
     FailureHistory failures;
     double waiting_since_s = 0;  // the last time that none of its tasks was placed
 
-    // It is cancelled, or its final state is durable: nothing of it may start any more.
-    [[nodiscard]] bool is_over() const { return cancelled || final_durable; }
+    // Its final state is durable: nothing of it may start any more.
+    [[nodiscard]] bool is_over() const { return phase == JobPhase::done || phase == JobPhase::cancelled; }
+    // Its final state is known, and is to be written.
+    [[nodiscard]] bool is_ending() const {
+        return phase == JobPhase::finished || phase == JobPhase::cancelled_by_dependency;
+    }
+    // Every task is done, whether or not that is durable.
+    [[nodiscard]] bool is_finished() const { return phase == JobPhase::finished || phase == JobPhase::done; }
+    // It was cancelled, durably.
+    [[nodiscard]] bool is_cancelled() const { return phase == JobPhase::cancelled; }
+    // The job is finished if every task is done. Returns whether every task is done.
+    bool finish_if_complete() {
+        if (record.done_count() < spec->task_count) return false;
+        if (phase == JobPhase::active) phase = JobPhase::finished;
+        return true;
+    }
+    // A new attempt of the gang as a whole: each of its tasks is placed anew.
+    void begin_gang_attempt() {
+        latest_attempt = record.next_attempt++;
+        gang_has_run = false;
+        gang_left_machines.clear();
+    }
+    // The last member of the attempt has ended.
+    void end_gang_attempt(double now) {
+        latest_attempt = 0;
+        gang_has_run = false;
+        gang_left_machines.clear();
+        waiting_since_s = now;
+    }
+    // Its final record was written.
+    void end(model::FinalStatus status) {
+        if (status == model::FinalStatus::cancelled)
+            phase = JobPhase::cancelled;
+        else if (phase != JobPhase::cancelled)
+            phase = JobPhase::done;
+    }
     // All its tasks run at the same time, or none.
     [[nodiscard]] bool is_gang() const { return spec && spec->shape == model::Shape::gang; }
 };
--- a/src/cluster/job_table.cpp
+++ b/src/cluster/job_table.cpp
@@ -43,7 +43,7 @@
 }
 
 bool JobTable::may_run(const Job& job) const {
-    if (!job.spec || job.cancelled || job.finished || job.cancelled_by_dependency) return false;
+    if (!job.spec || job.phase != JobPhase::active) return false;
     return job.spec->dependencies.empty() || dependencies_->is_ready(job.id);
 }
 
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "cluster/job.hpp"
+#include "config/constants.hpp"
 #include "model/model.hpp"
 
 namespace pineroad::cluster {
@@ -55,10 +56,21 @@
     double size_gb = 0;
 };
 
-// Heartbeats that ignore commands: answers to the machine are lost, while its heartbeats arrive.
+// Heartbeats in a row that ignore commands: answers to the machine are lost, while its heartbeats arrive.
 struct UnacknowledgedCommands {
-    int heartbeats = 0;  // in a row
+    int heartbeats = 0;
     double latest_at_s = 0;
+    // A heartbeat ignored the commands of the last answer.
+    void record_ignored(double now) {
+        ++heartbeats;
+        latest_at_s = now;
+    }
+    // Answers reach the machine.
+    void reset() { heartbeats = 0; }
+    // A one-way partition is assumed: nothing reaches the machine.
+    [[nodiscard]] bool is_partitioned() const {
+        return heartbeats >= constants::max_unacknowledged_heartbeats;
+    }
 };
 
 // A machine from its provisioning, listing or first heartbeat until its release was answered.
@@ -66,33 +78,38 @@
     std::string id, type, zone, address;
     bool spot = false;
 
-    // Heartbeats.
+    // Heartbeats: written by the HeartbeatReconciler.
     WorkerContact contact = WorkerContact::none;
     std::uint64_t agent_epoch = 0, sequence = 0;
     double last_heartbeat_s = 0;
     std::optional<InterruptionNotice> interruption_notice;
-    std::optional<double> older_token_since_s;  // heartbeats without this term's token
-    UnacknowledgedCommands unacknowledged;
-    std::vector<SentForget> sent_forgets;
+    std::optional<double> older_token_since_s;       // heartbeats without this term's token
     std::vector<ExitedTask> exited_tasks;            // the worker may forget them once their exit is durable
     std::vector<model::ReportedTask> unknown_tasks;  // tasks that no placement names
     // What it ran when it did not show this term's token yet.
     std::vector<model::ReportedTask> tasks_under_older_token;
 
-    // The cloud.
+    // Delivery of commands: sent by CommandDelivery, acknowledged in the HeartbeatReconciler, judged by the
+    // FailureDetector.
+    UnacknowledgedCommands unacknowledged;
+    std::vector<SentForget> sent_forgets;
+
+    // The cloud: written by the MachineLifecycle; `releasing` by the FailureDetector alone.
     double provisioned_at_s = 0;
     std::optional<model::MachineStatus> listed_status;  // of its latest listing; nothing: never listed
     std::optional<double> missing_since_s;              // was listed, and is no longer
     bool releasing = false;
 
-    // Use.
+    // Tasks and their failures: written by the TaskLifecycle.
     std::vector<PlacedTask> tasks;  // the placements that name it, in the order of their decision
-    double idle_since_s = 0;
-    std::deque<CachedImage> images;  // latest last
     bool quarantined = false;
     std::set<std::string> failed_jobs;  // jobs whose tasks failed here since a task last succeeded
     int consecutive_failures = 0;
 
+    // Use: written by the MachineTable and the Planner, `idle_since_s` also by the HeartbeatReconciler.
+    double idle_since_s = 0;
+    std::deque<CachedImage> images;  // latest last
+
     // A heartbeat arrived in this term.
     [[nodiscard]] bool has_reported() const { return contact != WorkerContact::none; }
     // Its latest heartbeat carried this term's token.
--- a/src/cluster/machine_lifecycle.cpp
+++ b/src/cluster/machine_lifecycle.cpp
@@ -61,7 +61,6 @@
     machine.missing_since_s.reset();
 }
 
-// Machines that should be listed and are not.
 void MachineLifecycle::mark_missing(const std::set<std::string>& listed) {
     // Whatever ran a task in an earlier term is older than the list's lag by now: not listed, it does not
     // exist any more.
--- a/src/cluster/machine_table.cpp
+++ b/src/cluster/machine_table.cpp
@@ -33,7 +33,7 @@
     return machine.token_confirmed() && !machine.releasing && !machine.quarantined &&
            !machine.interruption_notice && !machine.is_listed_as(model::MachineStatus::failed) &&
            machine.unknown_tasks.empty() && now - machine.last_heartbeat_s < contact_s &&
-           machine.unacknowledged.heartbeats < c::max_unacknowledged_heartbeats;
+           !machine.unacknowledged.is_partitioned();
 }
 
 // What a machine's cache still holds, as far as one can tell: the latest images that fit into it.
--- a/src/cluster/planner.cpp
+++ b/src/cluster/planner.cpp
@@ -51,13 +51,10 @@
 void Planner::place_task(const scheduling::PlacementDecision& decision, double xfactor) {
     Job& job = state_.jobs.at(decision.job);
     const bool is_first = job.placements.empty();
-    if (!job.is_gang()) {
+    if (!job.is_gang())
         job.latest_attempt = job.record.next_attempt++;
-    } else if (is_first) {
-        job.latest_attempt = job.record.next_attempt++;
-        job.gang_has_run = false;
-        job.gang_left_machines.clear();
-    }
+    else if (is_first)
+        job.begin_gang_attempt();
     if (is_first) job.xfactor_at_start = xfactor;
     state_.jobs.mark_changed(job, decision.index);
     TaskPlacement placement;
--- a/src/cluster/provisioning_requests.cpp
+++ b/src/cluster/provisioning_requests.cpp
@@ -21,9 +21,9 @@
 }
 
 void ProvisioningRequests::scale_out(const scheduling::ScaleOut& decision) {
-    for (std::uint32_t left = decision.count; left > 0;) {
-        const auto count = std::min<std::uint32_t>(left, c::max_machines_per_request);
-        left -= count;
+    for (std::uint32_t remaining = decision.count; remaining > 0;) {
+        const auto count = std::min<std::uint32_t>(remaining, c::max_machines_per_request);
+        remaining -= count;
         // The token is never given twice, so neither is the name.
         const auto name = "r-" + std::to_string(fencing_token_) + "-" + std::to_string(++count_);
         spdlog::info("provisioning request {}: {} {} in {}{} wanted (term {})", name, count, decision.type,
--- a/src/cluster/snapshot_builder.cpp
+++ b/src/cluster/snapshot_builder.cpp
@@ -165,7 +165,6 @@
     return out;
 }
 
-// Time since the job could have been started first.
 double SnapshotBuilder::age_s(const Job& job) const {
     return static_cast<double>(context_.wall_ms() - jobs_.waiting_since_ms(job)) / 1000.0;
 }
--- a/src/cluster/state_loader.cpp
+++ b/src/cluster/state_loader.cpp
@@ -52,12 +52,10 @@
     }
 }
 
-// What an earlier term left undone with the job.
 void StateLoader::settle(Job& job) {
     if (!job.spec) {
         state_.tasks.cancel_job(job.id);
-    } else if (job.record.done_count() >= job.spec->task_count) {
-        job.finished = true;
+    } else if (job.finish_if_complete()) {
         state_.jobs.mark_changed(job);
     } else {
         state_.jobs.resume_sharding(job);
--- a/src/cluster/task_lifecycle.cpp
+++ b/src/cluster/task_lifecycle.cpp
@@ -61,8 +61,7 @@
 void TaskLifecycle::cancel_job(const std::string& id) {
     Job* job = jobs_.find(id);
     if (!job || job->is_over()) return;
-    job->cancelled = true;
-    job->finished = false;
+    job->phase = JobPhase::cancelled;
     // Starts not sent yet are never sent: nothing runs under such placements.
     for (auto next = job->placements.begin(); next != job->placements.end();) {
         const auto placement = next++;
@@ -77,8 +76,8 @@
 
 void TaskLifecycle::cancel_job_by_dependency(const std::string& id) {
     Job* job = jobs_.find(id);
-    if (!job || job->is_over() || job->cancelled_by_dependency) return;
-    job->cancelled_by_dependency = true;
+    if (!job || job->is_over() || job->phase == JobPhase::cancelled_by_dependency) return;
+    job->phase = JobPhase::cancelled_by_dependency;
     jobs_.mark_changed(*job);
     spdlog::info("job {} cancelled with a job that it depends on (term {})", id, context_.fencing_token);
 }
@@ -103,7 +102,7 @@
                   placement.attempt, machine.id, text(task.cause), task.saved ? ", saved" : "",
                   context_.fencing_token);
     jobs_.mark_changed(job, placement.index);
-    if (!job.spec || job.cancelled) return;
+    if (!job.spec || job.is_cancelled()) return;
     if (task.cause == ExitCause::done)
         handle_success(job, placement, machine);
     else
@@ -121,9 +120,7 @@
         job.record.done += boost::icl::discrete_interval<std::uint32_t>::right_open(0, job.spec->task_count);
     else
         job.record.done += placement.index;
-    if (job.record.done_count() < job.spec->task_count) return;
-    job.finished = true;
-    pending_changes_.request_commit();
+    if (job.finish_if_complete()) pending_changes_.request_commit();
 }
 
 void TaskLifecycle::handle_failure(Job& job, const TaskPlacement& placement, const model::ReportedTask& task,
@@ -140,11 +137,11 @@
 }
 
 void TaskLifecycle::record_completion_elsewhere(Job& job, const model::ReportedTask& task) {
-    if (!job.spec || job.cancelled || job.finished || task.cause != ExitCause::done ||
+    if (!job.spec || job.is_cancelled() || job.is_finished() || task.cause != ExitCause::done ||
         boost::icl::contains(job.record.done, task.task.index))
         return;
     job.record.done += task.task.index;
-    if (job.record.done_count() >= job.spec->task_count) job.finished = true;
+    job.finish_if_complete();
     jobs_.mark_changed(job, task.task.index);
 }
 
@@ -157,14 +154,10 @@
     continue_after_loss(job);
 }
 
-// What the loss of one task means for the rest of its job.
 void TaskLifecycle::continue_after_loss(Job& job) {
     if (!job.is_gang()) return;
     if (job.placements.empty()) {
-        job.latest_attempt = 0;
-        job.gang_has_run = false;
-        job.gang_left_machines.clear();
-        job.waiting_since_s = context_.now_s;
+        job.end_gang_attempt(context_.now_s);
     } else if (job.gang_has_run) {
         // The others notice by themselves within gang_peer_s; a stop is quicker.
         const bool saving = std::any_of(job.placements.begin(), job.placements.end(),
--- a/src/cluster/write_batch_builder.cpp
+++ b/src/cluster/write_batch_builder.cpp
@@ -142,7 +142,7 @@
 bool WriteBatchBuilder::add_changed_shards(bool awaited_by_starts) {
     for (const auto& id : state_.pending_changes.jobs()) {
         Job& job = state_.jobs.at(id);
-        if (job.finished || job.cancelled_by_dependency || job.is_over()) continue;
+        if (job.phase != JobPhase::active) continue;
         for (const auto& [number, shard] : job.shards) {
             if (!shard.is_changed() || is_awaited_by_starts(job, number, shard) != awaited_by_starts)
                 continue;
@@ -154,7 +154,6 @@
     return true;
 }
 
-// False: the batch is full.
 bool WriteBatchBuilder::add_shard(Job& job, std::uint32_t number, const ProgressShard& shard) {
     const records::EntryName entry{job.id, number};
     auto value = records::progress_json(progress_of_shard(job, number), number);
@@ -226,16 +225,16 @@
     for (const bool cancelled_by_dependency : {false, true})
         for (const auto& id : ids) {
             Job& job = state_.jobs.at(id);
-            if (job.cancelled_by_dependency != cancelled_by_dependency) continue;
+            if ((job.phase == JobPhase::cancelled_by_dependency) != cancelled_by_dependency) continue;
             if (!add_finished_job(job)) return;
         }
 }
 
 // What is left to be written of a job that is done or over. False: it does not fit.
 bool WriteBatchBuilder::add_finished_job(Job& job) {
-    if ((job.finished || job.cancelled_by_dependency) && !job.is_over()) {
+    if (job.is_ending()) {
         const auto status =
-            job.cancelled_by_dependency ? model::FinalStatus::cancelled : model::FinalStatus::done;
+            job.phase == JobPhase::finished ? model::FinalStatus::done : model::FinalStatus::cancelled;
         if (!add_outcome(job, status)) {
             state_.pending_changes.request_commit();
             return false;
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -45,7 +45,7 @@
     w.lead();
     w.meet("m-1");
     w.plan();
-    EXPECT_TRUE(w.cluster_state().jobs().at("j-1").finished);
+    EXPECT_TRUE(w.cluster_state().jobs().at("j-1").is_finished());
     EXPECT_EQ(w.cluster_state().jobs().at("j-2").placements.size(), 0U);
     w.commit();
     w.decide("m-1");
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -68,7 +68,7 @@
     EXPECT_FALSE(wide.sharded);
     EXPECT_EQ(w.cluster_state().jobs().at("j-000002").placements.size(), 0U);  // found no room
     const auto& cancelled_by_dependency = w.cluster_state().jobs().at("j-000004");
-    EXPECT_TRUE(cancelled_by_dependency.cancelled);
+    EXPECT_TRUE(cancelled_by_dependency.is_cancelled());
     EXPECT_EQ(cancelled_by_dependency.placements.size(), 3U);  // still there until proven off
     EXPECT_FALSE(w.cluster_state().jobs().contains("j-000003"));
 }
