--- a/src/cluster/durable_writes.cpp
+++ b/src/cluster/durable_writes.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "config/constants.hpp"
-#include "scheduling/snapshot.hpp"
+#include "scheduling/xfactor.hpp"
 
 namespace pineroad::cluster {
 
--- a/src/cluster/planner.cpp
+++ b/src/cluster/planner.cpp
@@ -6,6 +6,8 @@
 #include <utility>
 
 #include "config/constants.hpp"
+#include "scheduling/autoscaling.hpp"
+#include "scheduling/preemption.hpp"
 
 namespace pineroad::cluster {
 
--- a/src/cluster/planner.hpp
+++ b/src/cluster/planner.hpp
@@ -14,6 +14,7 @@
 #include "cluster/task_lifecycle.hpp"
 #include "cluster/term_context.hpp"
 #include "model/model.hpp"
+#include "scheduling/placement.hpp"
 #include "scheduling/snapshot.hpp"
 
 namespace pineroad::cluster {
--- a/src/cluster/segment_store.cpp
+++ b/src/cluster/segment_store.cpp
@@ -12,12 +12,12 @@
 namespace c = constants;
 
 void SegmentStore::load(const store::WatchCache& watch_cache) {
-    for (const auto& [name, segment] : watch_cache.segments) {
+    for (const auto& [name, segment] : watch_cache.progress.segments()) {
         segments_[name] = {segment.mod_revision, segment.sequence, segment.entries};
         for (const auto& entry : segment.entries) {
             ++references_[entry];
             auto& latest = latest_segment_[entry];
-            if (latest.empty() || watch_cache.segments.at(latest).sequence < segment.sequence) latest = name;
+            if (latest.empty() || watch_cache.progress.segments().at(latest).sequence < segment.sequence) latest = name;
         }
     }
 }
--- a/src/cluster/snapshot_builder.cpp
+++ b/src/cluster/snapshot_builder.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "config/constants.hpp"
+#include "scheduling/xfactor.hpp"
 
 namespace pineroad::cluster {
 
