--- a/src/scheduling/eligibility.cpp
+++ b/src/scheduling/eligibility.cpp
@@ -7,11 +7,8 @@
 #include <tuple>
 
 namespace pineroad::scheduling {
-namespace {
 
-constexpr double amount_slack = 1e-6;  // amounts are decimal numbers; sums of them are not exact
-
-}  // namespace
+using model::amount_slack;
 
 bool allowed_on(const model::JobSpec& spec, const std::string& type, const std::string& zone, bool spot) {
     return spec.allows_type(type) && (!spec.zone || *spec.zone == zone) && (!spot || spec.allows_spot);
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -11,7 +11,7 @@
 namespace pineroad::scheduling {
 namespace {
 
-constexpr double amount_slack = 1e-6;  // amounts are decimal numbers; sums of them are not exact
+using model::amount_slack;
 
 TeamUsage usage_of(const Snapshot& snapshot, const std::string& team) {
     const auto found = snapshot.usage.find(team);
--- a/src/scheduling/snapshot.hpp
+++ b/src/scheduling/snapshot.hpp
@@ -14,7 +14,9 @@
 
 #include "config/settings.hpp"
 #include "config/tuning.hpp"
-#include "model/model.hpp"
+#include "model/category_averages.hpp"
+#include "model/job.hpp"
+#include "model/machine.hpp"
 
 namespace pineroad::scheduling {
 
