--- a/src/store/arrival_tracker.hpp
+++ b/src/store/arrival_tracker.hpp
@@ -26,11 +26,13 @@
                                                                          double now) const;
 
    private:
+    // The arrivals of one class.
     struct ClassArrivals {
         model::JobSpec sample;        // the latest job of the class
         double first_arrival = 0;     // when the first one arrived; 0: none has
         std::deque<double> arrivals;  // times, in ascending order
     };
+    // Over the time since the class's first arrivals settled, and at most the window.
     [[nodiscard]] static double arrivals_per_s(const ClassArrivals& job_class, double now);
 
     std::map<std::string, ClassArrivals> classes_;
--- a/src/store/progress_view.cpp
+++ b/src/store/progress_view.cpp
@@ -6,7 +6,7 @@
 
 namespace pineroad::store {
 
-void ProgressView::apply_segment(const std::string& name, wire::records::Segment segment,
+void ProgressView::apply_segment(const std::string& name, wire::records::Segment&& segment,
                                  std::uint64_t mod_revision) {
     auto& known = segments_[name];
     forget_entries_of(known);
--- a/src/store/progress_view.hpp
+++ b/src/store/progress_view.hpp
@@ -37,7 +37,7 @@
 
     // A segment record was written. It replaces what this segment held before; of two segments that hold an
     // entry the one with the greater sequence counts, whichever is applied first.
-    void apply_segment(const std::string& name, wire::records::Segment segment, std::uint64_t mod_revision);
+    void apply_segment(const std::string& name, wire::records::Segment&& segment, std::uint64_t mod_revision);
     // A progress record of version 0.1, one per job. It is older than any segment and never replaces an entry
     // that came from one.
     void apply_job_record(const std::string& job, model::Progress progress, std::uint64_t mod_revision);
@@ -59,6 +59,7 @@
     [[nodiscard]] auto end() const { return entries_.end(); }
 
    private:
+    // Drops the entries that are current in that segment.
     void forget_entries_of(const Segment& segment);
 
     std::map<EntryName, Entry> entries_;
--- a/src/store/watch_cache.hpp
+++ b/src/store/watch_cache.hpp
@@ -8,7 +8,6 @@
 #include <map>
 #include <optional>
 #include <set>
-#include <span>
 #include <string>
 #include <vector>
 
@@ -29,6 +28,7 @@
 // is logged or skipped, and leaves what was known before.
 class WatchCache {
    public:
+    // Holds nothing, and is not ready.
     WatchCache();
 
     // Forgets the live records before they are read anew. Outcomes, cancellations, demand and the hooks stay:
@@ -91,36 +91,12 @@
     std::function<void(const model::DependencyGraph::Change&)> on_dependencies;
 
    private:
-    // A written record whose kind is known.
-    struct WrittenRecord {
-        const std::string& key;
-        std::string name;  // what follows the prefix in its key
-        const wire::Json& value;
-        std::uint64_t mod_revision;
-        double now;
-    };
-    // How the records under a key or key prefix are applied.
-    struct RecordKind;
-    static std::span<const RecordKind> record_kinds();
-
-    void put_job(const WrittenRecord& record);
-    void put_dependencies(const WrittenRecord& record);
-    void put_job_progress(const WrittenRecord& record);
-    void put_segment(const WrittenRecord& record);
-    void put_provisioning_record(const WrittenRecord& record);
-    void put_provisioning_requests(const WrittenRecord& record);
-    void put_outcome(const WrittenRecord& record);
-    void put_leader(const WrittenRecord& record);
-    void put_term(const WrittenRecord& record);
-    void put_machine_types(const WrittenRecord& record);
-    void put_format(const WrittenRecord& record);
-    void put_category_averages(const WrittenRecord& record);
-    void drop_job(const std::string& id);
-    void drop_job_progress(const std::string& id);
-    void drop_provisioning_record(const std::string& name);
-    void drop_leader(const std::string& name);
+    // How each kind of record is applied (watch_cache_records.cpp).
+    struct RecordKinds;
 
+    // Takes in a job whose dependency list is complete, new or written again.
     void add_job(Versioned<model::JobSpec> job, double now);
+    // Passes on jobs that became ready, or cancelled, to the demand and to the hook.
     void dependencies_changed(const model::DependencyGraph::Change& change);
 
     DependencyAssembler dependency_assembler_;
--- a/src/store/write_rate_limiter.hpp
+++ b/src/store/write_rate_limiter.hpp
@@ -40,6 +40,7 @@
     }
 
    private:
+    // Adds the tokens of the time since the last refill, less what other controllers used of them.
     void refill(double now) {
         const double gain = (now - refilled_at_) * rate_;
         refilled_at_ = now;
