--- a/src/cluster/planning.cpp
+++ b/src/cluster/planning.cpp
@@ -143,9 +143,9 @@
         slack = std::min(slack, static_cast<double>(*due - wall_ms) / 1000.0 - expected);
     for (const auto& o : settings_.objectives) {
         if (o.job_class != spec.job_class || !o.within_s) continue;
-        if (o.kind == "wait")
+        if (o.kind == config::ObjectiveKind::start)
             slack = std::min(slack, *o.within_s - age);
-        else if (o.kind == "finished")
+        else if (o.kind == config::ObjectiveKind::finish)
             slack = std::min(slack, *o.within_s - age - expected);
     }
     if (slack > 1e8) slack = expected;
--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -2,8 +2,9 @@
 
 #include <sfsexp/sexp.h>
 
-#include <cerrno>
+#include <algorithm>
 #include <cmath>
+#include <cstddef>
 #include <cstdlib>
 #include <fstream>
 #include <memory>
@@ -15,13 +16,14 @@
 namespace pineroad::config {
 namespace {
 
-struct Entry {
+// A key of the file, the field it sets and the range of its values.
+struct Parameter {
     const char* key;
     double Tuning::*field;
     double low, high;
 };
 
-constexpr Entry entries[] = {
+constexpr Parameter parameters[] = {
     {"suspension-factor", &Tuning::preemption_factor, 1.0, 100.0},
     {"suspension-period", &Tuning::preemption_period_s, 1.0, 3600.0},
     {"width-ratio", &Tuning::width_ratio, 0.1, 100.0},
@@ -37,56 +39,85 @@
     {"queue-patience", &Tuning::queue_patience, 0.0, 10.0},
 };
 
-struct SexpFree {
-    void operator()(sexp_t* s) const { destroy_sexp(s); }
+struct DestroySexp {
+    void operator()(sexp_t* expression) const { destroy_sexp(expression); }
 };
 
-// The parser keeps no positions: the line of a key is found by its first mention.
-std::size_t line_of(const std::string& text, const std::string& key) {
-    const auto at = text.find(key);
-    std::size_t line = 1;
-    for (std::size_t i = 0; at != std::string::npos && i < at; ++i) line += text[i] == '\n';
-    return line;
+const Parameter* find_parameter(const std::string& key) {
+    for (const auto& parameter : parameters)
+        if (key == parameter.key) return &parameter;
+    return nullptr;
 }
 
-[[noreturn]] void fail(const std::string& path, std::size_t line, const std::string& what) {
-    throw SettingsError(path + ":" + std::to_string(line) + ": " + what);
+// Reads one text and knows it for its errors.
+class Reader {
+   public:
+    Reader(const std::string& text, const std::string& path) : text_(text), path_(path) {}
+
+    [[nodiscard]] Tuning read() const;
+
+   private:
+    [[noreturn]] void fail(std::size_t line, const std::string& what) const {
+        throw SettingsError(path_ + ":" + std::to_string(line) + ": " + what);
+    }
+    // The parser keeps no positions: the line of a key is found by its first mention.
+    [[nodiscard]] std::size_t line_of(const std::string& key) const;
+    void read_item(const sexp_t& item, std::set<std::string>& seen, Tuning& tuning) const;
+    [[nodiscard]] double number(const Parameter& parameter, const char* value, std::size_t line) const;
+
+    const std::string& text_;
+    const std::string& path_;
+};
+
+std::size_t Reader::line_of(const std::string& key) const {
+    const auto place = text_.find("(" + key);
+    if (place == std::string::npos) return 1;
+    const auto newlines = std::count(text_.begin(), text_.begin() + static_cast<std::ptrdiff_t>(place), '\n');
+    return 1 + static_cast<std::size_t>(newlines);
+}
+
+double Reader::number(const Parameter& parameter, const char* value, std::size_t line) const {
+    const std::string key = parameter.key;
+    char* end = nullptr;
+    const double number = std::strtod(value, &end);
+    if (end == value || *end || !std::isfinite(number)) fail(line, key + ": a number is needed");
+    if (number < parameter.low || number > parameter.high) {
+        std::ostringstream out;
+        out << key << ": must lie between " << parameter.low << " and " << parameter.high;
+        fail(line, out.str());
+    }
+    return number;
+}
+
+void Reader::read_item(const sexp_t& item, std::set<std::string>& seen, Tuning& tuning) const {
+    const sexp_t* key = item.ty == SEXP_LIST ? item.list : nullptr;
+    if (!key || key->ty != SEXP_VALUE) fail(1, "(KEY VALUE) is needed");
+    const std::string name = key->val;
+    const auto line = line_of(name);
+    const sexp_t* value = key->next;
+    if (!value || value->ty != SEXP_VALUE || value->next) fail(line, name + ": one value is needed");
+    const auto* parameter = find_parameter(name);
+    if (!parameter) fail(line, name + ": unknown key");
+    if (!seen.insert(name).second) fail(line, name + ": given twice");
+    tuning.*(parameter->field) = number(*parameter, value->val, line);
+}
+
+Tuning Reader::read() const {
+    std::string writable = text_;  // the library parses in place
+    const std::unique_ptr<sexp_t, DestroySexp> root(parse_sexp(writable.data(), writable.size()));
+    const sexp_t* head = root && root->ty == SEXP_LIST ? root->list : nullptr;
+    if (!head || head->ty != SEXP_VALUE || std::string(head->val) != "pineroad")
+        fail(1, "(pineroad (KEY VALUE) ...) is needed");
+    Tuning tuning;
+    std::set<std::string> seen;
+    for (const sexp_t* item = head->next; item; item = item->next) read_item(*item, seen, tuning);
+    return tuning;
 }
 
 }  // namespace
 
 Tuning parse_tuning(const std::string& text, const std::string& path) {
-    std::string copy = text;  // the library parses a writable buffer
-    const std::unique_ptr<sexp_t, SexpFree> root(parse_sexp(copy.data(), copy.size()));
-    if (!root || root->ty != SEXP_LIST || !root->list || root->list->ty != SEXP_VALUE ||
-        std::string(root->list->val) != "pineroad")
-        fail(path, 1, "(pineroad (KEY VALUE) ...) is needed");
-    Tuning t;
-    std::set<std::string> seen;
-    for (const sexp_t* item = root->list->next; item; item = item->next) {
-        const sexp_t* key = item->ty == SEXP_LIST ? item->list : nullptr;
-        if (!key || key->ty != SEXP_VALUE) fail(path, 1, "(KEY VALUE) is needed");
-        const std::string name = key->val;
-        const auto line = line_of(text, "(" + name);
-        const sexp_t* value = key->next;
-        if (!value || value->ty != SEXP_VALUE || value->next)
-            fail(path, line, name + ": one value is needed");
-        const Entry* entry = nullptr;
-        for (const auto& e : entries)
-            if (name == e.key) entry = &e;
-        if (!entry) fail(path, line, name + ": unknown key");
-        if (!seen.insert(name).second) fail(path, line, name + ": given twice");
-        char* end = nullptr;
-        const double v = std::strtod(value->val, &end);
-        if (end == value->val || *end || !std::isfinite(v)) fail(path, line, name + ": a number is needed");
-        if (v < entry->low || v > entry->high) {
-            std::ostringstream out;
-            out << name << ": must lie between " << entry->low << " and " << entry->high;
-            fail(path, line, out.str());
-        }
-        t.*(entry->field) = v;
-    }
-    return t;
+    return Reader(text, path).read();
 }
 
 Tuning load_tuning(const std::string& path) {
--- a/src/store/arrival_tracker.cpp
+++ b/src/store/arrival_tracker.cpp
@@ -13,7 +13,8 @@
                                                const std::string& job_class) {
     std::optional<double> tightest;
     for (const auto& objective : settings.objectives)
-        if (objective.job_class == job_class && objective.kind == "wait" && objective.within_s)
+        if (objective.job_class == job_class && objective.kind == config::ObjectiveKind::start &&
+            objective.within_s)
             tightest = std::min(tightest.value_or(*objective.within_s), *objective.within_s);
     return tightest;
 }
