--- a/src/cluster/snapshot_builder.cpp
+++ b/src/cluster/snapshot_builder.cpp
@@ -181,9 +181,9 @@
         slack = std::min(slack, static_cast<double>(*due_ms - context_.wall_ms()) / 1000.0 - expected);
     for (const auto& objective : context_.settings.objectives) {
         if (objective.job_class != spec.job_class || !objective.within_s) continue;
-        if (objective.kind == "wait")
+        if (objective.kind == config::ObjectiveKind::start)
             slack = std::min(slack, *objective.within_s - age);
-        else if (objective.kind == "finished")
+        else if (objective.kind == config::ObjectiveKind::finish)
             slack = std::min(slack, *objective.within_s - age - expected);
     }
     const bool unbounded = slack > 1e8;
