--- a/src/cluster/failure_detector.cpp
+++ b/src/cluster/failure_detector.cpp
@@ -52,34 +52,35 @@
 }
 
 void FailureDetector::detect() {
-    const bool others_report = most_machines_report();
+    const FleetContact contact = count_contact();
+    commands_reach_most_machines_ = contact.commands_reach_most();
     for (auto& [id, machine] : machines_.all()) {
         if (machine.releasing) continue;
-        // Its own lease must have ended by now; in the same agent epoch still, it was renewed: answers reach
+        // Its own lease must have ended by now. In the same agent epoch still, it was renewed: answers reach
         // it.
         if (machine.unacknowledged.is_partitioned() &&
             machine.last_heartbeat_s - machine.unacknowledged.latest_at_s > context_.settings.worker_lease_s)
             machine.unacknowledged.reset();
-        if (const auto reason = reason_to_release(machine, others_report)) release(machine, *reason);
+        if (const auto reason = reason_to_release(machine, contact.most_report())) release(machine, *reason);
     }
     withdraw_unsent_starts();
     machines_.released().expire(context_.now_s);
 }
 
-// Whether at least half of the machines that have reported are in contact. Also judges whether commands reach
-// most of them: many machines that receive none mean that the fault is on this side.
-bool FailureDetector::most_machines_report() {
-    std::size_t reporting = 0, in_contact = 0, receiving_nothing = 0;
+bool FailureDetector::FleetContact::commands_reach_most() const {
+    return receiving_nothing <= std::max<std::size_t>(c::partitioned_machines_tolerated, reporting / 5);
+}
+
+FailureDetector::FleetContact FailureDetector::count_contact() const {
+    FleetContact contact;
     for (const auto& [id, machine] : machines_.all()) {
         if (!machine.has_reported()) continue;
-        ++reporting;
+        ++contact.reporting;
         if (context_.now_s - machine.last_heartbeat_s < 2 * context_.settings.heartbeat_period_s)
-            ++in_contact;
-        if (machine.unacknowledged.heartbeats > 0 || machine.older_token_since_s) ++receiving_nothing;
+            ++contact.in_contact;
+        if (machine.unacknowledged.heartbeats > 0 || machine.older_token_since_s) ++contact.receiving_nothing;
     }
-    const auto tolerated = std::max<std::size_t>(c::partitioned_machines_tolerated, reporting / 5);
-    commands_reach_most_machines_ = receiving_nothing <= tolerated;
-    return in_contact > 0 && 2 * in_contact >= reporting;
+    return contact;
 }
 
 double FailureDetector::detection_s() const {
--- a/src/cluster/failure_detector.hpp
+++ b/src/cluster/failure_detector.hpp
@@ -1,6 +1,7 @@
 // Which machines are given up, and why.
 #pragma once
 
+#include <cstddef>
 #include <optional>
 
 #include "cluster/machine_table.hpp"
@@ -49,8 +50,18 @@
     void release(Machine& machine, ReleaseReason reason) const;
 
    private:
-    // Whether at least half of the machines that have reported are in contact.
-    bool most_machines_report();
+    // How many machines have reported in this term, and what reaches whom.
+    struct FleetContact {
+        std::size_t reporting = 0;          // have reported in this term
+        std::size_t in_contact = 0;         // ... and did so lately
+        std::size_t receiving_nothing = 0;  // report, and do not show what they were sent
+        // Whether at least half of the machines are in contact.
+        [[nodiscard]] bool most_report() const { return in_contact > 0 && 2 * in_contact >= reporting; }
+        // Whether few machines receive nothing. Many mean that the fault is on this side.
+        [[nodiscard]] bool commands_reach_most() const;
+    };
+    // Counts all machines.
+    [[nodiscard]] FleetContact count_contact() const;
     // Time without a heartbeat after which a machine counts as lost while others report.
     [[nodiscard]] double detection_s() const;
     // Time without a heartbeat after which the lease of a machine has ended.
