--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -1,7 +1,7 @@
 // Every constant of the service, with its unit and the reason for its value. Names that end in `_s` are
 // seconds, in `_ms` milliseconds, in `_bytes` bytes; a `_share` is a part of 1. "Keys" such as `report_s` are
 // those of the settings file (settings.hpp says which field stands for each). Values an operator may want to
-// change stand in Tuning (tuning.hpp), with their defaults.
+// change are in Tuning (tuning.hpp), with their defaults.
 #pragma once
 
 #include <cstddef>
@@ -237,8 +237,8 @@
 inline constexpr double peer_message_timeout_s = 0.9;
 // For the answer to a forwarded cancellation: a user waits for it, and peers answer within milliseconds.
 inline constexpr double forward_cancellation_timeout_s = 0.3;
-// Cancellations in one message: what may pass while a controller hears nothing of the store, some minutes of
-// a burst (four jobs a second, half of them cancelled); about 15 bytes each.
+// Cancellations in one message: what may pass while a controller has no contact with the store, some minutes
+// of a burst (four jobs a second, half of them cancelled); about 15 bytes each.
 inline constexpr std::size_t max_cancellations_per_message = 2000;
 // The latest cancellations kept by a process; about 100 bytes each.
 inline constexpr std::size_t max_cancellations_kept = 10000;
@@ -247,7 +247,7 @@
 // A silent connection is closed: dead ones, left by a partition, would count beside those that replace them.
 // Whoever connects sends a request at once.
 inline constexpr double first_request_s = 10.0;
-// Users poll every 5 s, and wait 30 s at most when told to.
+// Users poll every 5 s, and wait 30 s at most after a Retry-After.
 inline constexpr double user_idle_s = 45.0;
 // Workers: multiple of report_s, and beside it the worker's own wait for an answer (protocol: it drops
 // answers after this).
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -66,11 +66,10 @@
 }
 
 void read_store_limits(const TomlSection& state, Settings& settings) {
-    double transaction_changes = 0;
     settings.store_requests_per_s = state.required_number("rps", 1, max_amount);
     settings.store_writes_per_s = state.required_number("write_rps", 1, max_amount);
     settings.value_kb = state.required_number("value_kb", 1, 1e6);
-    transaction_changes = state.required_number("txn_ops", 4, 1e6);
+    double transaction_changes = state.required_number("txn_ops", 4, 1e6);
     settings.current_value_kb = settings.value_kb;
     if (state.has("next")) {
         const auto next = state.table("next");
--- a/src/store/watch_cache.hpp
+++ b/src/store/watch_cache.hpp
@@ -82,7 +82,7 @@
     Versioned<std::set<std::string>> format;  // controllers that read the present record format
     ArrivalTracker demand;                    // of jobs since their dependencies are done
 
-    // Hooks of the leader, called while an event is applied; empty ones are not called.
+    // Hooks of the leader, called while a record or an outcome is applied; empty ones are not called.
     // A job became live; with the revision of its record.
     std::function<void(const model::JobSpec&, std::uint64_t mod_revision)> on_job;
     // A job is cancelled; `fresh` if this cancellation was not known here before.
