--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -208,6 +208,16 @@
 inline constexpr std::size_t demand_classes = 200, demand_arrivals = 2000;
 // Between measurements of the event loop's lag.
 inline constexpr double lag_period_s = 0.1;
+// What decides between machines beside image fetches, as seconds of waiting: the common measure of all costs.
+// Price ratio beyond which a dearer machine counts as no dearer.
+inline constexpr double max_price_ratio = 4.0;
+// For each unit of the price ratio, on a machine in use.
+inline constexpr double price_cost_busy_s = 2.0;
+// ... and on an idle one, which could be released instead.
+inline constexpr double price_cost_idle_s = 8.0;
+// For each GPU that stays free beside the task: best fit. A free CPU counts as the second value of a GPU.
+inline constexpr double unused_capacity_cost_s = 0.2;
+inline constexpr double gpus_per_cpu_weight = 0.1;
 
 // --- cloud ------------------------------------------------------------------------------------------------
 // For any answer of the cloud.
