--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -1,7 +1,7 @@
 // Every constant of the service, with its unit and the reason for its value. Names that end in `_s` are
 // seconds, in `_ms` milliseconds, in `_bytes` bytes; a `_share` is a part of 1. "Keys" such as `report_s` are
 // those of the settings file (settings.hpp says which field stands for each). Values an operator may want to
-// change stand in Tuning (tuning.hpp), with their defaults.
+// change are in Tuning (tuning.hpp), with their defaults.
 #pragma once
 
 #include <cstddef>
@@ -208,13 +208,16 @@
 inline constexpr std::size_t demand_classes = 200, demand_arrivals = 2000;
 // Between measurements of the event loop's lag.
 inline constexpr double lag_period_s = 0.1;
-// What decides between machines beside image fetches, in seconds of waiting: the common measure of all costs.
-inline constexpr double max_price_ratio = 4.0;    // beyond, a dearer machine counts as no dearer
-inline constexpr double price_cost_busy_s = 2.0;  // for each unit of the price ratio, on a machine in use
-inline constexpr double price_cost_idle_s = 8.0;  // ... and on an idle one, which could be given back instead
-inline constexpr double unused_capacity_cost_s =
-    0.2;                                            // for each GPU that stays free beside the task: best fit
-inline constexpr double gpus_per_cpu_weight = 0.1;  // ... as which so much of a free CPU counts
+// What decides between machines beside image fetches, as seconds of waiting: the common measure of all costs.
+// Price ratio beyond which a dearer machine counts as no dearer.
+inline constexpr double max_price_ratio = 4.0;
+// For each unit of the price ratio, on a machine in use.
+inline constexpr double price_cost_busy_s = 2.0;
+// ... and on an idle one, which could be released instead.
+inline constexpr double price_cost_idle_s = 8.0;
+// For each GPU that stays free beside the task: best fit. A free CPU counts as the second value of a GPU.
+inline constexpr double unused_capacity_cost_s = 0.2;
+inline constexpr double gpus_per_cpu_weight = 0.1;
 
 // --- cloud ------------------------------------------------------------------------------------------------
 // For any answer of the cloud.
@@ -244,8 +247,8 @@
 inline constexpr double peer_message_timeout_s = 0.9;
 // For the answer to a forwarded cancellation: a user waits for it, and peers answer within milliseconds.
 inline constexpr double forward_cancellation_timeout_s = 0.3;
-// Cancellations in one message: what may pass while a controller hears nothing of the store, some minutes of
-// a burst (four jobs a second, half of them cancelled); about 15 bytes each.
+// Cancellations in one message: what may pass while a controller has no contact with the store, some minutes
+// of a burst (four jobs a second, half of them cancelled); about 15 bytes each.
 inline constexpr std::size_t max_cancellations_per_message = 2000;
 // The latest cancellations kept by a process; about 100 bytes each.
 inline constexpr std::size_t max_cancellations_kept = 10000;
@@ -254,7 +257,7 @@
 // A silent connection is closed: dead ones, left by a partition, would count beside those that replace them.
 // Whoever connects sends a request at once.
 inline constexpr double first_request_s = 10.0;
-// Users poll every 5 s, and wait 30 s at most when told to.
+// Users poll every 5 s, and wait 30 s at most after a Retry-After.
 inline constexpr double user_idle_s = 45.0;
 // Workers: multiple of report_s, and beside it the worker's own wait for an answer (protocol: it drops
 // answers after this).
