--- /dev/null
+++ b/src/cluster/leader_term.hpp
@@ -0,0 +1,29 @@
+// Everything that a leader keeps for one term. The loops of the term share it and end when the term is over.
+#pragma once
+
+#include <memory>
+#include <utility>
+
+#include "cluster/cluster_state.hpp"
+#include "config/settings.hpp"
+#include "config/tuning.hpp"
+#include "leadership/term.hpp"
+#include "store/steady_time.hpp"
+#include "store/write_rate_limiter.hpp"
+
+namespace pineroad::cluster {
+
+struct LeaderTerm {
+    // A cluster state without contents; settings and tuning must outlive it.
+    LeaderTerm(std::shared_ptr<leadership::Term> won, const config::Settings& settings,
+               const config::Tuning& tuning)
+        : term(std::move(won)),
+          cluster_state(settings, tuning, term->fencing_token(), term->identity().mod_revision,
+                        store::steady_now_s()) {}
+
+    const std::shared_ptr<leadership::Term> term;
+    ClusterState cluster_state;
+    store::WriteRateLimiter writes;
+};
+
+}  // namespace pineroad::cluster
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -26,11 +26,16 @@
       peer_server_(io.get_executor(), settings.peer_endpoint, peer_server_limits(),
                    [this](net::Request r) { return mesh(std::move(r)); }),
       connect_(std::move(connect)),
-      state_(connect_(settings.store_endpoint)),
+      store_(connect_(settings.store_endpoint), settings.store_requests_per_s, settings.peers.size() + 1),
       cloud_(connect_(settings.cloud_endpoint)),
       started_at_(now()),
       random_(seed),
-      lease_guard_(settings.cancellation_timeout_s, settings.worker_lease_s) {
+      lease_guard_(settings.cancellation_timeout_s, settings.worker_lease_s),
+      leadership_(lease_guard_),
+      linearizable_read_(store_, watch_cache_, leadership_),
+      watch_loop_(store_, watch_cache_, leadership_),
+      election_(settings.name, {store_, watch_cache_, linearizable_read_, lease_guard_, leadership_, *this,
+                                *this, random_}) {
     for (const auto& p : settings_.peers) {
         peer_clients_.push_back(connect_(p.endpoint));
         peers_.emplace_back();
@@ -80,8 +85,8 @@
 }
 
 void Controller::run_loops() {
-    spawn(watch_loop());
-    spawn(election_loop());
+    spawn(watch_loop_.run());
+    spawn(election_.run());
     spawn(event_loop_lag_loop());
     spawn(dependency_loop());
     for (std::size_t i = 0; i < peers_.size(); ++i) spawn(peer_loop(i));
@@ -132,153 +137,16 @@
     co_return Reply{404, wire::error_response("no such path")};
 }
 
-// --- state service -----------------------------------------------------------------------------------------
-
-net::awaitable<std::optional<Reply>> Controller::state(std::string method, std::string target,
-                                                       std::string body, double timeout_s) {
-    const double sent = now();
-    auto reply = co_await state_->request(std::move(method), std::move(target), std::move(body), timeout_s);
-    // 503 is an outage, of all or of this node alone; anything else shows that the service serves this node.
-    if (reply && reply->status != 503) {
-        last_store_contact_ = std::max(last_store_contact_, sent);
-        if (sent > store_refusal_.since) store_refusal_ = {};
-    } else {
-        if (store_refusal_.since < 0) store_refusal_.since = now();
-        store_refusal_.last_sent = std::max(store_refusal_.last_sent, sent);
-    }
-    co_return reply;
-}
-
-// Between requests of one kind, so that all nodes together keep to its share of what the state service
-// serves.
-double Controller::pacing_interval(double share) const {
-    return static_cast<double>(peers_.size() + 1) / (settings_.store_requests_per_s * share);
-}
-
-net::awaitable<bool> Controller::load_watch_cache() {
-    watch_cache_.clear();
-    std::string after;
-    std::uint64_t first_epoch = 0;
-    for (bool more = true; more;) {
-        const auto reply =
-            co_await state("GET", wire::list_store_target(records::live_prefix, after, c::list_page), {},
-                           3 * c::store_timeout_s);
-        if (!reply || reply->status != 200) co_return false;
-        const auto rows = wire::parse_rows(reply->body);
-        if (!rows) co_return false;
-        if (first_epoch == 0) first_epoch = rows->revision;
-        for (const auto& row : rows->rows)
-            watch_cache_.apply_row(row.key, row.value, row.mod_revision, now());
-        more = rows->truncated && !rows->rows.empty();
-        if (more) after = rows->rows.back().key;
-    }
-    // Pages were read one after the other; what changed between them comes again from the first page's
-    // revision.
-    watch_cache_.revision = first_epoch;
-    const double sent = now();
-    const auto reply = co_await state("GET", wire::watch_target(records::all_prefix, first_epoch, 0));
-    const auto events = reply && reply->status == 200 ? wire::parse_watch_events(reply->body) : std::nullopt;
-    if (!events) co_return false;
-    watch_cache_.apply(*events, now());
-    watch_cache_.complete();
-    lease_guard_.cancellations_known_until(sent);
-    spdlog::info("mirror ready: {} jobs at revision {}", watch_cache_.jobs.size(), watch_cache_.revision);
-    co_return true;
-}
-
-net::awaitable<void> Controller::watch_loop() {
-    for (;;) {
-        if (!watch_cache_.ready) {
-            if (!co_await load_watch_cache()) {
-                co_await sleep_for(c::store_retry_s);
-                continue;
-            }
-            leadership_changed_.notify();
-        }
-        const double sent = now();
-        const auto target = wire::watch_target(records::all_prefix, watch_cache_.revision,
-                                               static_cast<int>(c::watch_block_s * 1000));
-        const auto reply = co_await state("GET", target, {}, c::watch_block_s + c::store_timeout_s);
-        // After a long cut a watch may tell more than memory holds; what is there now is far less.
-        if (reply && (reply->status == 410 || reply->too_large)) {
-            spdlog::info("watch too old, the mirror is read anew");
-            watch_cache_.ready = false;
-            if (term_) end_term(*term_, "its mirror was lost");
-            continue;
-        }
-        const auto events =
-            reply && reply->status == 200 ? wire::parse_watch_events(reply->body) : std::nullopt;
-        if (!events) {
-            co_await sleep_for(c::store_retry_s);
-            continue;
-        }
-        const bool had_leader = watch_cache_.leader.has_value();
-        watch_cache_.apply(*events, now());
-        lease_guard_.cancellations_known_until(sent);
-        if (watch_cache_.leader)
-            observe_token(watch_cache_.leader->value.fencing_token, watch_cache_.leader->value.node);
-        if (had_leader && !watch_cache_.leader) leadership_changed_.notify();
-        if (term_) term_->dirty.notify();
-        // Changes come in crowds; a short pause turns many answers into one. The leader hurries more.
-        co_await sleep_for(term_ ? c::watch_gap_leader_s : pacing_interval(c::watch_share));
-    }
-}
-
-net::awaitable<bool> Controller::linearizable_read() {
-    if (!watch_cache_.ready) co_return false;
-    // A check that started before this call proves nothing for it: wait for the next one.
-    const auto wanted = reads_started_ + 1;
-    const double deadline = now() + c::store_timeout_s + 0.2;
-    while (reads_done_ < wanted) {
-        if (read_running_) {
-            if (now() > deadline) co_return false;
-            co_await read_finished_.wait(deadline - now() + 0.01);
-            continue;
-        }
-        read_running_ = true;
-        const double gap = last_read_sent_ + pacing_interval(c::linearizable_read_share) - now();
-        if (gap > 0) co_await sleep_for(gap);  // others arrive meanwhile and share the check
-        const auto number = ++reads_started_;
-        const double sent = last_read_sent_ = now();
-        const auto reply =
-            co_await state("GET", wire::watch_target(records::all_prefix, watch_cache_.revision, 0));
-        const auto events = watch_cache_.ready && reply && reply->status == 200
-                                ? wire::parse_watch_events(reply->body)
-                                : std::nullopt;
-        if (events) {
-            watch_cache_.apply(*events, now());
-            lease_guard_.cancellations_known_until(sent);
-            if (watch_cache_.leader)
-                observe_token(watch_cache_.leader->value.fencing_token, watch_cache_.leader->value.node);
-        }
-        read_succeeded_ = events.has_value();
-        reads_done_ = number;
-        read_running_ = false;
-        read_finished_.notify();
-        if (number >= wanted) co_return read_succeeded_;
-    }
-    co_return read_succeeded_;
-}
-
 // --- mesh --------------------------------------------------------------------------------------------------
 
-void Controller::observe_token(std::uint64_t fencing_token, const std::string& from) {
-    if (fencing_token > highest_token_) {
-        highest_token_ = fencing_token;
-        known_leader_ = from;
-    }
-    if (term_ && !term_->over && fencing_token > term_->fencing_token)
-        end_term(*term_, "a newer term exists");
-}
-
 wire::PeerMessage Controller::gossip() const {
     auto ms = [](double s) { return static_cast<std::uint64_t>(std::max(0.0, s) * 1000); };
     wire::PeerMessage g;
     g.node = settings_.name;
-    g.fencing_token = term_ && !term_->over ? std::max(term_->fencing_token, highest_token_) : highest_token_;
-    g.leader = known_leader_;
+    g.fencing_token = leadership_.advertised_token();
+    g.leader = leadership_.known_leader();
     g.uptime_ms = ms(now() - started_at_);
-    g.store_contact_age_ms = last_store_contact_ < 0 ? g.uptime_ms : ms(now() - last_store_contact_);
+    g.store_contact_age_ms = store_.last_contact() < 0 ? g.uptime_ms : ms(now() - store_.last_contact());
     g.heartbeat_age_ms = last_heartbeat_ < 0 ? g.uptime_ms : ms(now() - last_heartbeat_);
     g.revision = watch_cache_.ready ? watch_cache_.revision : 0;
     g.format = record_format_;
@@ -292,7 +160,7 @@
     const auto g = wire::parse_peer_message(r.body);
     if (!g) co_return Reply{400, {}};
     // May have been held back on the way: only what can't become untrue is taken from it.
-    observe_token(g->fencing_token, g->leader);
+    leadership_.observe(g->fencing_token, g->leader);
     for (const auto& [revision, id] : g->cancelled)
         watch_cache_.record_outcome(id, {model::FinalStatus::cancelled}, revision);
     apply_peer_request(*g);
@@ -344,7 +212,7 @@
 
 // What a peer names is known here from now on, and passed on, before it counts as a proof.
 void Controller::apply_peer_response(std::size_t peer, double sent, wire::PeerMessage answer) {
-    observe_token(answer.fencing_token, answer.leader);
+    leadership_.observe(answer.fencing_token, answer.leader);
     for (const auto& [revision, id] : answer.cancelled)
         watch_cache_.record_outcome(id, {model::FinalStatus::cancelled}, revision);
     PeerContact& view = peers_[peer];
@@ -353,7 +221,7 @@
     view.reads_format |= answer.format >= records::format;
     asked_to_depend_ |= answer.dependencies_requested;
     view.last = std::move(answer);
-    std::vector<leadership::LeaseGuard::Peer> proofs;
+    std::vector<leadership::PeerConfirmation> proofs;
     for (const auto& p : peers_)
         proofs.push_back({p.contacted_at, p.answered_at, static_cast<double>(p.last.uptime_ms) / 1000.0,
                           p.last.confirms_cancellations});
@@ -364,7 +232,7 @@
 bool Controller::store_down_for_all() const {
     return std::all_of(peers_.begin(), peers_.end(), [&](const PeerContact& p) {
         return p.contacted_at >= now() - c::peer_contact_fresh_s &&
-               !leadership::LeaseGuard::store_serves_peer(now(), store_refusal_, p.contact());
+               !leadership::LeaseGuard::store_serves_peer(now(), store_.refusal(), p.contact());
     });
 }
 
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -1,6 +1,5 @@
 // One controller: its servers, its clients, and the loops that work out the difference between what is wanted
-// and what is. node.cpp: mirror, mesh and start; lease.cpp: leadership; leader.cpp: the term's loops;
-// users.cpp: users.
+// and what is.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,39 +9,41 @@
 #include <set>
 
 #include "cluster/cluster_state.hpp"
+#include "cluster/leader_term.hpp"
 #include "config/constants.hpp"
 #include "config/settings.hpp"
 #include "config/tuning.hpp"
+#include "leadership/election.hpp"
+#include "leadership/leadership_state.hpp"
 #include "leadership/lease_guard.hpp"
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
 #include "net/notification.hpp"
 #include "net/socket_budget.hpp"
+#include "store/linearizable_read.hpp"
+#include "store/store_client.hpp"
 #include "store/watch_cache.hpp"
+#include "store/watch_loop.hpp"
 #include "store/write_rate_limiter.hpp"
 #include "wire/peer_protocol.hpp"
 
 namespace pineroad::controller {
 
-// A term this node holds. Loops keep a pointer and end when it is over.
-struct Term {
-    std::uint64_t fencing_token = 0, lease = 0, nonce = 0, mod_revision = 0;
-    double started = 0;
-    bool over = false;
-    bool lease_unprovable = false;  // without a provable lease: what is silent may only be cut off from us
-    std::unique_ptr<cluster::ClusterState> cluster_state;
-    net::Notification dirty, cloud, replan;
-    std::map<std::string, net::Timer*> held;  // reports whose answers wait for work, by machine
+// What the leader keeps for one term, with the direct commands that wait to be sent.
+struct LeaderTerm : cluster::LeaderTerm {
+    using cluster::LeaderTerm::LeaderTerm;
+
+    bool lease_unprovable = false;
+    // Commands to be sent to one worker, and when that was decided.
     struct Stops {
         double decided = 0;
         cluster::DirectCommands commands;
     };
     std::deque<Stops> stops;  // not on their way yet; those that save first
     std::size_t max_stops_in_flight = 0;
-    store::WriteRateLimiter writes;
 };
 
-class Controller {
+class Controller : private leadership::PeerView, private leadership::LeaderWork {
    public:
     using Reply = net::Reply;
     template <class T>
@@ -60,18 +61,10 @@
     net::HttpServer::Limits public_server_limits();
     [[nodiscard]] net::HttpServer::Limits peer_server_limits() const;
     void spawn(awaitable<void> loop);
-    awaitable<void> watch_loop();
-    awaitable<bool> load_watch_cache();
     awaitable<void> peer_loop(std::size_t peer);
     awaitable<void> event_loop_lag_loop();
     // Looks up how the dependencies of live jobs ended, where the mirror does not tell.
     awaitable<void> dependency_loop();
-    awaitable<std::optional<Reply>> state(std::string method, std::string target, std::string body = {},
-                                          double timeout_s = constants::store_timeout_s);
-    // True once everything committed before the call is in the mirror.
-    awaitable<bool> linearizable_read();
-    [[nodiscard]] double pacing_interval(double share) const;
-    void observe_token(std::uint64_t fencing_token, const std::string& from);
     wire::PeerMessage gossip() const;
     // Names a cancellation to the leader before its user is told.
     awaitable<void> forward_cancellation(std::uint64_t revision, std::string job);
@@ -82,31 +75,30 @@
     [[nodiscard]] static std::int64_t wall_ms();
     int retry_after();
 
-    // --- lease.cpp ---
-    awaitable<void> election_loop();
-    awaitable<std::shared_ptr<Term>> run_for_leader();
-    awaitable<void> renew_lease(std::shared_ptr<Term> term);
-    void end_term(Term& term, const char* why);
-    [[nodiscard]] bool may_start(const Term& term) const;
-    [[nodiscard]] bool may_answer_heartbeats(const Term& term) const;
+    // --- leadership ---
+    [[nodiscard]] std::vector<leadership::PeerStoreContact> store_contacts() const override;
+    [[nodiscard]] bool heartbeats_reach_peer() const override;
+    bool prepare(const std::shared_ptr<leadership::Term>& term) override;
+    void start_term() override;
+    [[nodiscard]] double last_heartbeat() const override;
+    void finish() override;
 
     // --- leader.cpp ---
-    bool load_cluster_state(Term& term);
-    awaitable<void> commit_loop(std::shared_ptr<Term> term);
-    awaitable<void> plan_loop(std::shared_ptr<Term> term);
-    awaitable<void> machine_list_loop(std::shared_ptr<Term> term);
-    awaitable<void> machine_types_loop(std::shared_ptr<Term> term);
-    awaitable<void> provisioning_loop(std::shared_ptr<Term> term);
-    awaitable<void> release_loop(std::shared_ptr<Term> term);
-    awaitable<void> format_loop(std::shared_ptr<Term> term);
+    awaitable<void> commit_loop(std::shared_ptr<LeaderTerm> term);
+    awaitable<void> plan_loop(std::shared_ptr<LeaderTerm> term);
+    awaitable<void> machine_list_loop(std::shared_ptr<LeaderTerm> term);
+    awaitable<void> machine_types_loop(std::shared_ptr<LeaderTerm> term);
+    awaitable<void> provisioning_loop(std::shared_ptr<LeaderTerm> term);
+    awaitable<void> release_loop(std::shared_ptr<LeaderTerm> term);
+    awaitable<void> format_loop(std::shared_ptr<LeaderTerm> term);
     [[nodiscard]] std::set<std::string> format_readers() const;
     [[nodiscard]] bool format_agreed() const;
-    void apply_committed(Term& term, const cluster::WriteBatch& batch, std::uint64_t revision);
+    void apply_committed(LeaderTerm& term, const cluster::WriteBatch& batch, std::uint64_t revision);
     awaitable<void> wait_for_cloud_slot();
-    void queue_stops(Term& term);
-    void send_queued(const std::shared_ptr<Term>& term);
-    awaitable<void> send_stops(std::shared_ptr<Term> term, cluster::DirectCommands commands);
-    void plan(Term& term);
+    void queue_stops(LeaderTerm& term);
+    void send_queued(const std::shared_ptr<LeaderTerm>& term);
+    awaitable<void> send_stops(std::shared_ptr<LeaderTerm> term, cluster::DirectCommands commands);
+    void plan(LeaderTerm& term);
     awaitable<Reply> handle_heartbeat(std::string body);
 
     // --- users.cpp ---
@@ -117,7 +109,6 @@
     awaitable<Reply> poll(std::string id);
     awaitable<Reply> cancel(std::string id);
     Reply health() const;
-    [[nodiscard]] bool served() const;  // by the state service, a moment ago
     Reply reject(std::string_view why);
     Reply unavailable() { return reject("state service unavailable"); }
     Reply shed_load();
@@ -143,7 +134,7 @@
         double last_request_at = -1;  // when its last question came
         bool reads_format = false;    // it was seen to read the present record format
         wire::PeerMessage last;
-        [[nodiscard]] leadership::LeaseGuard::Contact contact() const {
+        [[nodiscard]] leadership::PeerStoreContact contact() const {
             return {contacted_at, static_cast<double>(last.store_contact_age_ms) / 1000.0};
         }
     };
@@ -155,29 +146,24 @@
     const std::uint64_t record_format_;  // that this process reads and, once all do, writes
     net::HttpServer public_server_, peer_server_;
     net::Connect connect_;
-    std::unique_ptr<net::Client> state_, cloud_;
+    store::StoreClient store_;
+    std::unique_ptr<net::Client> cloud_;
     std::vector<std::unique_ptr<net::Client>> peer_clients_;
     double started_at_;
     std::vector<PeerContact> peers_;
     store::WatchCache watch_cache_;
-    std::shared_ptr<Term> term_;
     std::mt19937_64 random_;
     leadership::LeaseGuard lease_guard_;
-    std::uint64_t highest_token_ = 0;
-    std::string known_leader_;
-    double last_store_contact_ = -1;                 // last answer of the state service
-    leadership::LeaseGuard::Refusal store_refusal_;  // since then
-    double last_heartbeat_ = -1;                     // a worker reported here
-    double election_backoff_until_ = -1;
+    leadership::LeadershipState leadership_;
+    store::LinearizableRead linearizable_read_;
+    store::WatchLoop watch_loop_;
+    leadership::Election election_;
+    std::shared_ptr<LeaderTerm> term_;
+    double last_heartbeat_ = -1;    // a worker reported here
     bool asked_to_depend_ = false;  // by a user, here or at a peer
     double event_loop_lag_s_ = 0;
     double next_cloud_slot_ = 0;
     std::size_t submissions_ = 0, polls_ = 0;
-    bool read_running_ = false;
-    std::uint64_t reads_started_ = 0, reads_done_ = 0;
-    bool read_succeeded_ = false;
-    double last_read_sent_ = -1;
-    net::Notification read_finished_, leadership_changed_;
 };
 
 // Runs a controller until the process is killed.
--- a/src/controller/user_api.cpp
+++ b/src/controller/user_api.cpp
@@ -37,19 +37,16 @@
 // that the user's next try may reach another node: an open connection stays with its node for as long as it
 // lasts, and all that its user asks would be refused for as long as this node's trouble does.
 Reply Controller::reject(std::string_view why) {
-    return {503, wire::error_response(why), retry_after(), !served()};
+    return {503, wire::error_response(why), retry_after(), !store_.recently_served()};
 }
 Reply Controller::shed_load() {
     return {503, wire::error_response("too busy"), retry_after(), true};
 }
 
-bool Controller::served() const {
-    return last_store_contact_ >= 0 && now() - last_store_contact_ < c::store_contact_fresh_s;
-}
-
 Reply Controller::health() const {
     // In an outage of all nodes there is nobody better to go to.
-    if (watch_cache_.ready && watch_cache_.machine_types && (served() || store_down_for_all()))
+    if (watch_cache_.ready && watch_cache_.machine_types &&
+        (store_.recently_served() || store_down_for_all()))
         return {200, "{}"};
     return {503, wire::error_response("not ready"), 1};
 }
@@ -80,7 +77,7 @@
 
 net::awaitable<std::optional<std::optional<model::FinalStatus>>> Controller::find_final(std::string id) {
     if (const auto f = watch_cache_.outcome_of(id)) co_return f;
-    const auto reply = co_await state("GET", wire::store_target(records::outcome_key(id)));
+    const auto reply = co_await store_.request("GET", wire::store_target(records::outcome_key(id)));
     if (reply && reply->status == 404) co_return std::optional<model::FinalStatus>{};
     const auto row = reply && reply->status == 200 ? wire::parse_row(reply->body) : std::nullopt;
     const auto ending = row ? records::parse_outcome(row->value) : std::nullopt;
@@ -103,7 +100,7 @@
 // A live job that depends on others is told as live only when the ends of all before it are known: an
 // ancestor that ended before this node's mirror was read might have been cancelled.
 net::awaitable<Controller::JobPresence> Controller::job_presence(std::string id) {
-    if (!co_await linearizable_read()) co_return JobPresence::undecidable;
+    if (!co_await linearizable_read_.catch_up()) co_return JobPresence::undecidable;
     if (watch_cache_.jobs.contains(id)) {
         if (!co_await resolve(watch_cache_.dependencies().unresolved_before(id)))
             co_return JobPresence::undecidable;
@@ -134,7 +131,7 @@
 // "Never accepted" takes reads sent after the question: first of the live record and then of the final one,
 // which replaces it.
 net::awaitable<Controller::Dependency> Controller::look_up_dependency(std::string id) {
-    const auto reply = co_await state("GET", wire::store_target(records::job_key(id)));
+    const auto reply = co_await store_.request("GET", wire::store_target(records::job_key(id)));
     if (reply && reply->status == 200) {
         const auto row = wire::parse_row(reply->body);
         const auto spec = row ? records::parse_job(id, row->value) : std::nullopt;
@@ -255,7 +252,8 @@
         [&](const auto& before) { return watch_cache_.outcome_of(before) == model::FinalStatus::cancelled; });
     const auto txn = acceptance(spec, cancelled, settings_);
     if (!txn) co_return Acceptance::too_large;
-    const auto reply = co_await state("POST", std::string(wire::commit_path), wire::commit_request(*txn));
+    const auto reply =
+        co_await store_.request("POST", std::string(wire::commit_path), wire::commit_request(*txn));
     const auto revision = reply && reply->status == 200 ? wire::parse_revision(reply->body) : std::nullopt;
     if (revision) {
         if (cancelled)
@@ -307,7 +305,8 @@
         if (job == watch_cache_.jobs.end()) continue;  // it ended meanwhile
         const auto ended_at_ms = wall_ms();
         const auto txn = cancellation(job->second, ended_at_ms);
-        const auto reply = co_await state("POST", std::string(wire::commit_path), wire::commit_request(txn));
+        const auto reply =
+            co_await store_.request("POST", std::string(wire::commit_path), wire::commit_request(txn));
         const auto revision =
             reply && reply->status == 200 ? wire::parse_revision(reply->body) : std::nullopt;
         if (revision) {
--- /dev/null
+++ b/src/leadership/election.cpp
@@ -0,0 +1,173 @@
+#include "leadership/election.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "config/constants.hpp"
+#include "store/steady_time.hpp"
+#include "wire/records.hpp"
+
+namespace pineroad::leadership {
+
+namespace c = constants;
+namespace records = wire::records;
+using net::sleep_for;
+using store::steady_now_s;
+
+Election::Election(std::string name, const Dependencies& dependencies)
+    : name_(std::move(name)),
+      store_(dependencies.store),
+      watch_cache_(dependencies.watch_cache),
+      linearizable_read_(dependencies.linearizable_read),
+      lease_guard_(dependencies.lease_guard),
+      state_(dependencies.state),
+      peers_(dependencies.peers),
+      work_(dependencies.work),
+      random_(dependencies.random) {}
+
+net::awaitable<void> Election::run() {
+    for (;;) {
+        if (!watch_cache_.ready || steady_now_s() < backoff_until_) {
+            co_await state_.changed().wait(c::election_retry_s);
+            continue;
+        }
+        if (watch_cache_.leader) {
+            co_await follow();
+            continue;
+        }
+        auto term = co_await run_for_leader();
+        if (!term) {
+            co_await sleep_for(c::election_retry_s *
+                               std::uniform_real_distribution<double>(0.5, 1.5)(random_));
+            continue;
+        }
+        co_await lead(std::move(term));
+    }
+}
+
+net::awaitable<void> Election::follow() {
+    const auto& leader = watch_cache_.leader->value;
+    if (leader.node != name_) {
+        co_await state_.changed().wait(1.0);
+        co_return;
+    }
+    // This controller's own earlier process: it has ended, so its lease may end too.
+    spdlog::info("ending the lease of this controller's earlier term {}", leader.fencing_token);
+    co_await revoke_lease(leader.lease);
+    co_await linearizable_read_.catch_up();
+    if (watch_cache_.leader && watch_cache_.leader->value.node == name_)
+        co_await sleep_for(c::election_retry_s);
+}
+
+net::awaitable<std::shared_ptr<Term>> Election::run_for_leader() {
+    const double sent = steady_now_s();
+    const auto granted =
+        co_await store_.request("POST", std::string(wire::leases_path), wire::lease_request(c::lease_ttl_ms));
+    const auto lease = granted && granted->status == 200 ? wire::parse_lease(granted->body) : std::nullopt;
+    if (!lease || watch_cache_.leader) {
+        if (lease) co_await revoke_lease(*lease);
+        co_return nullptr;
+    }
+    TermIdentity identity;
+    identity.lease = *lease;
+    identity.fencing_token = std::max(watch_cache_.term.value, state_.highest_token()) + 1;
+    identity.nonce = random_();
+    lease_guard_.restart();
+    lease_guard_.renewed(sent);
+    const double started = steady_now_s();
+    identity.mod_revision = co_await claim_leadership(identity);
+    if (identity.mod_revision == 0) {
+        // Without its lease a late copy of the transaction is refused.
+        co_await revoke_lease(*lease);
+        co_await linearizable_read_.catch_up();
+        co_return nullptr;
+    }
+    spdlog::info("term {} won by {} (lease {})", identity.fencing_token, name_, identity.lease);
+    co_return std::make_shared<Term>(identity, started, lease_guard_, state_.changed());
+}
+
+// The revision of the leader record, or 0 if another controller holds or may hold it.
+net::awaitable<std::uint64_t> Election::claim_leadership(const TermIdentity& identity) {
+    wire::Transaction transaction;
+    transaction.conditions = {{std::string(records::leader_key), 0},
+                              {std::string(records::term_key), watch_cache_.term.mod_revision}};
+    transaction.changes = {
+        {std::string(records::leader_key),
+         records::leader_json({name_, identity.fencing_token, identity.lease, identity.nonce}),
+         identity.lease},
+        {std::string(records::term_key), records::term_json(identity.fencing_token), std::nullopt}};
+    const auto result = co_await store_.commit(wire::commit_request(transaction), c::commit_timeout_s);
+    if (result.status != store::CommitStatus::unanswered) co_return result.revision;
+    // It may have been applied, or may yet be: the key tells, by a nonce that nobody else uses.
+    const auto read = co_await store_.read(std::string(records::leader_key));
+    const auto leader = read.row ? records::parse_leader(read.row->value) : std::nullopt;
+    if (!leader || leader->nonce != identity.nonce) co_return 0;
+    co_return read.row->mod_revision;
+}
+
+net::awaitable<void> Election::lead(std::shared_ptr<Term> term) {
+    // Not awaited in the condition: GCC 12 would lay out the coroutine's frame wrongly, since it guards
+    // virtual calls.
+    const bool loaded = co_await load_state(term);
+    if (loaded) {
+        state_.begin(term);
+        state_.observe(term->fencing_token(), name_);
+        work_.start_term();
+        co_await renew_lease(term);
+    } else {
+        term->end(EndReason::state_not_loaded);
+    }
+    work_.finish();
+    state_.finish();
+    if (term->identity().lease) co_await revoke_lease(term->identity().lease);
+    co_await linearizable_read_.catch_up();
+}
+
+// The records of earlier terms are final now: their transactions are conditional on a leader record that is
+// gone.
+net::awaitable<bool> Election::load_state(std::shared_ptr<Term> term) {
+    bool current = false;
+    while (term->may_start() && !(current = co_await linearizable_read_.catch_up()))
+        co_await sleep_for(c::store_retry_s);
+    co_return current&& work_.prepare(term);
+}
+
+net::awaitable<void> Election::renew_lease(std::shared_ptr<Term> term) {
+    while (!term->over()) {
+        const double sent = steady_now_s();
+        const auto reply = co_await store_.request("POST", wire::renew_lease_target(term->identity().lease));
+        if (term->over()) break;
+        const bool renewed = reply && reply->status == 200;
+        if (renewed) {
+            lease_guard_.renewed(sent);
+        } else if (reply && reply->status == 404) {
+            term->end(EndReason::lease_expired);
+            break;
+        }
+        if (const auto reason = reason_to_step_down(*term)) {
+            if (*reason == EndReason::no_heartbeats) backoff_until_ = steady_now_s() + c::election_backoff_s;
+            term->end(*reason);
+            break;
+        }
+        co_await state_.changed().wait(renewed ? c::lease_renew_s : c::store_retry_s);
+    }
+}
+
+std::optional<EndReason> Election::reason_to_step_down(const Term& term) const {
+    const double now = steady_now_s();
+    if (lease_guard_.should_step_down(now, store_.refusal(), peers_.store_contacts()))
+        return EndReason::isolated;
+    // Workers reach a peer and not this controller: that peer should lead.
+    const bool without_heartbeats = now - term.started() > c::no_heartbeat_step_down_s &&
+                                    work_.last_heartbeat() < now - c::no_heartbeat_step_down_s;
+    if (without_heartbeats && peers_.heartbeats_reach_peer()) return EndReason::no_heartbeats;
+    return std::nullopt;
+}
+
+net::awaitable<void> Election::revoke_lease(std::uint64_t lease) {
+    co_await store_.request("DELETE", wire::lease_target(lease));
+}
+
+}  // namespace pineroad::leadership
--- /dev/null
+++ b/src/leadership/term.cpp
@@ -0,0 +1,79 @@
+#include "leadership/term.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include "store/steady_time.hpp"
+
+namespace pineroad::leadership {
+
+std::string_view to_string(EndReason reason) {
+    switch (reason) {
+        case EndReason::newer_term:
+            return "a newer term exists";
+        case EndReason::watch_cache_lost:
+            return "its watch cache was lost";
+        case EndReason::state_not_loaded:
+            return "its cluster state could not be read";
+        case EndReason::lease_expired:
+            return "its lease expired";
+        case EndReason::isolated:
+            return "cut off from the store alone";
+        case EndReason::no_heartbeats:
+            return "workers reach a peer but not this controller";
+        case EndReason::commit_unreadable:
+            return "a commit's answer cannot be read";
+        case EndReason::leader_key_removed:
+            return "its leadership key is gone";
+        case EndReason::commit_refused:
+            return "a commit was refused";
+    }
+    return "unknown";
+}
+
+HeldResponses::Hold::Hold(HeldResponses& held, const std::string& machine, net::Timer& timer)
+    : held_(held), machine_(machine), timer_(timer) {
+    auto& current = held_.timers_[machine_];
+    if (current) current->cancel();
+    current = &timer_;
+}
+
+HeldResponses::Hold::~Hold() {
+    const auto own = held_.timers_.find(machine_);
+    if (own != held_.timers_.end() && own->second == &timer_) held_.timers_.erase(own);
+}
+
+void HeldResponses::release(const std::string& machine) {
+    if (const auto held = timers_.find(machine); held != timers_.end()) held->second->cancel();
+}
+
+void HeldResponses::release_all() {
+    for (auto& [machine, timer] : timers_) timer->cancel();
+}
+
+Term::Term(TermIdentity identity, double started, const LeaseGuard& lease_guard,
+           net::Notification& leadership_changed)
+    : identity_(identity),
+      started_(started),
+      lease_guard_(lease_guard),
+      leadership_changed_(leadership_changed) {}
+
+void Term::end(EndReason reason) {
+    if (over_) return;
+    over_ = true;
+    spdlog::info("term {} ended: {}", identity_.fencing_token, to_string(reason));
+    commit_due.notify();
+    plan_due.notify();
+    cloud_due.notify();
+    held_responses.release_all();
+    leadership_changed_.notify();
+}
+
+bool Term::may_start() const {
+    return !over_ && lease_guard_.may_start(store::steady_now_s());
+}
+
+bool Term::may_answer_heartbeats() const {
+    return !over_ && lease_guard_.may_answer_heartbeats(store::steady_now_s());
+}
+
+}  // namespace pineroad::leadership
--- /dev/null
+++ b/src/store/steady_time.hpp
@@ -0,0 +1,15 @@
+// The time that leases, time-outs and pacing are measured by.
+#pragma once
+
+#include <chrono>
+
+#include "net/http.hpp"
+
+namespace pineroad::store {
+
+// The steady clock, in seconds since an arbitrary start. Tests simulate it through net::Clock.
+inline double steady_now_s() {
+    return std::chrono::duration<double>(net::Clock::now().time_since_epoch()).count();
+}
+
+}  // namespace pineroad::store
--- /dev/null
+++ b/src/store/store_client.cpp
@@ -0,0 +1,71 @@
+#include "store/store_client.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "store/steady_time.hpp"
+#include "wire/records.hpp"
+
+namespace pineroad::store {
+
+StoreClient::StoreClient(std::unique_ptr<net::Client> client, double requests_per_s, std::size_t controllers)
+    : client_(std::move(client)), requests_per_s_(requests_per_s), controllers_(controllers) {}
+
+net::awaitable<std::optional<net::Reply>> StoreClient::request(std::string method, std::string target,
+                                                               std::string body, double timeout_s) {
+    const double sent = steady_now_s();
+    auto reply = co_await client_->request(std::move(method), std::move(target), std::move(body), timeout_s);
+    // 503 is an outage, for every controller or for this one alone; anything else shows that the store serves
+    // this controller.
+    if (reply && reply->status != 503) {
+        last_contact_ = std::max(last_contact_, sent);
+        if (sent > refusal_.since) refusal_ = {};
+    } else {
+        if (refusal_.since < 0) refusal_.since = steady_now_s();
+        refusal_.last_sent = std::max(refusal_.last_sent, sent);
+    }
+    co_return reply;
+}
+
+net::awaitable<CommitResult> StoreClient::commit(std::string body, double timeout_s) {
+    auto reply = co_await request("POST", std::string(wire::commit_path), std::move(body), timeout_s);
+    if (!reply) co_return CommitResult{CommitStatus::unanswered, 0, {}};
+    switch (reply->status) {
+        case 200: {
+            const auto revision = wire::parse_revision(reply->body);
+            if (!revision) co_return CommitResult{CommitStatus::unreadable, 0, std::move(reply->body)};
+            co_return CommitResult{CommitStatus::committed, *revision, {}};
+        }
+        case 400:
+            co_return CommitResult{CommitStatus::malformed, 0, std::move(reply->body)};
+        case 409:
+            co_return CommitResult{CommitStatus::conflict, 0, std::move(reply->body)};
+        case 429:
+            co_return CommitResult{CommitStatus::rate_limited, 0, std::move(reply->body)};
+        default:
+            co_return CommitResult{CommitStatus::unavailable, 0, std::move(reply->body)};
+    }
+}
+
+net::awaitable<ReadResult> StoreClient::read(std::string key) {
+    const auto reply = co_await request("GET", wire::store_target(key));
+    if (reply && reply->status == 200) co_return ReadResult{ReadStatus::found, wire::parse_row(reply->body)};
+    if (reply && reply->status == 404) co_return ReadResult{ReadStatus::absent, std::nullopt};
+    co_return ReadResult{};
+}
+
+net::awaitable<std::optional<wire::WatchEvents>> StoreClient::events_since(std::uint64_t revision) {
+    const auto reply = co_await request("GET", wire::watch_target(wire::records::all_prefix, revision, 0));
+    if (!reply || reply->status != 200) co_return std::nullopt;
+    co_return wire::parse_watch_events(reply->body);
+}
+
+bool StoreClient::recently_served() const {
+    return last_contact_ >= 0 && steady_now_s() - last_contact_ < constants::store_contact_fresh_s;
+}
+
+double StoreClient::pacing_interval_s(double share) const {
+    return static_cast<double>(controllers_) / (requests_per_s_ * share);
+}
+
+}  // namespace pineroad::store
--- /dev/null
+++ b/src/store/watch_loop.cpp
@@ -0,0 +1,95 @@
+#include "store/watch_loop.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include "store/steady_time.hpp"
+
+namespace pineroad::store {
+
+namespace c = constants;
+namespace records = wire::records;
+using net::sleep_for;
+
+WatchLoop::WatchLoop(StoreClient& store, WatchCache& watch_cache, WatchCacheObserver& observer)
+    : store_(store), watch_cache_(watch_cache), observer_(observer) {}
+
+net::awaitable<void> WatchLoop::run() {
+    for (;;) {
+        if (!watch_cache_.ready) {
+            // Not awaited in the condition: GCC 12 would lay out the coroutine's frame wrongly, since it
+            // guards a virtual call.
+            const bool loaded = co_await load();
+            if (!loaded) {
+                co_await sleep_for(c::store_retry_s);
+                continue;
+            }
+            observer_.cache_loaded();
+        }
+        co_await watch_once();
+    }
+}
+
+net::awaitable<std::optional<std::uint64_t>> WatchLoop::load_rows() {
+    std::string after;
+    std::uint64_t first_revision = 0;
+    for (bool more = true; more;) {
+        const auto reply =
+            co_await store_.request("GET", wire::list_store_target(records::live_prefix, after, c::list_page),
+                                    {}, 3 * c::store_timeout_s);
+        if (!reply || reply->status != 200) co_return std::nullopt;
+        const auto page = wire::parse_rows(reply->body);
+        if (!page) co_return std::nullopt;
+        if (first_revision == 0) first_revision = page->revision;
+        for (const auto& row : page->rows)
+            watch_cache_.apply_row(row.key, row.value, row.mod_revision, steady_now_s());
+        more = page->truncated && !page->rows.empty();
+        if (more) after = page->rows.back().key;
+    }
+    co_return first_revision;
+}
+
+net::awaitable<bool> WatchLoop::load() {
+    watch_cache_.clear();
+    const auto first_revision = co_await load_rows();
+    if (!first_revision) co_return false;
+    // Pages were read one after the other; what changed between them comes again from the first page's
+    // revision.
+    watch_cache_.revision = *first_revision;
+    const double sent = steady_now_s();
+    const auto events = co_await store_.events_since(*first_revision);
+    if (!events) co_return false;
+    watch_cache_.apply(*events, steady_now_s());
+    watch_cache_.complete();
+    observer_.cache_current_at(sent);
+    spdlog::info("watch cache ready: {} jobs at revision {}", watch_cache_.jobs.size(),
+                 watch_cache_.revision);
+    co_return true;
+}
+
+net::awaitable<void> WatchLoop::watch_once() {
+    const double sent = steady_now_s();
+    const auto target = wire::watch_target(records::all_prefix, watch_cache_.revision,
+                                           static_cast<int>(c::watch_block_s * 1000));
+    const auto reply = co_await store_.request("GET", target, {}, c::watch_block_s + c::store_timeout_s);
+    // After a long cut a watch may hold more events than memory does; a new load takes far less.
+    if (reply && (reply->status == 410 || reply->too_large)) {
+        spdlog::info("watch too old, the watch cache is loaded anew");
+        watch_cache_.ready = false;
+        observer_.cache_lost();
+        co_return;
+    }
+    const auto events = reply && reply->status == 200 ? wire::parse_watch_events(reply->body) : std::nullopt;
+    if (!events) {
+        co_await sleep_for(c::store_retry_s);
+        co_return;
+    }
+    const bool had_leader = watch_cache_.leader.has_value();
+    watch_cache_.apply(*events, steady_now_s());
+    observer_.cache_current_at(sent);
+    if (watch_cache_.leader) observer_.leader_seen(watch_cache_.leader->value);
+    observer_.watch_applied(had_leader && !watch_cache_.leader);
+    // Changes come in bursts; a short pause turns many answers into one. The leader needs them sooner.
+    co_await sleep_for(observer_.leads() ? c::watch_gap_leader_s : store_.pacing_interval_s(c::watch_share));
+}
+
+}  // namespace pineroad::store
--- /dev/null
+++ b/src/store/watch_loop.hpp
@@ -0,0 +1,29 @@
+// Loads the watch cache from the store and keeps it current by watches.
+#pragma once
+
+#include "net/http.hpp"
+#include "store/store_client.hpp"
+#include "store/watch_cache.hpp"
+#include "store/watch_cache_observer.hpp"
+
+namespace pineroad::store {
+
+class WatchLoop {
+   public:
+    // All of these must outlive the loop.
+    WatchLoop(StoreClient& store, WatchCache& watch_cache, WatchCacheObserver& observer);
+    // Never returns.
+    net::awaitable<void> run();
+
+   private:
+    net::awaitable<bool> load();
+    // The revision of the first page, or nothing if a page could not be read.
+    net::awaitable<std::optional<std::uint64_t>> load_rows();
+    net::awaitable<void> watch_once();
+
+    StoreClient& store_;
+    WatchCache& watch_cache_;
+    WatchCacheObserver& observer_;
+};
+
+}  // namespace pineroad::store
