--- /dev/null
+++ b/src/api/admission.cpp
@@ -0,0 +1,149 @@
+#include "api/admission.hpp"
+
+#include <spdlog/fmt/fmt.h>
+
+#include <algorithm>
+#include <utility>
+#include <vector>
+
+#include "config/constants.hpp"
+#include "wire/protocol.hpp"
+#include "wire/records.hpp"
+
+namespace pineroad::api {
+
+namespace c = constants;
+namespace records = wire::records;
+
+namespace {
+
+bool is_service(const model::JobSpec& spec) {
+    return spec.shape == model::Shape::service;
+}
+
+bool fits_some_machine(const model::JobSpec& spec, const std::vector<model::MachineType>& types) {
+    return std::any_of(types.begin(), types.end(), [&](const model::MachineType& type) {
+        if (!spec.allows_type(type.name) || !spec.task_resources.fits_in(type.capacity)) return false;
+        return std::any_of(type.zones.begin(), type.zones.end(),
+                           [&](const std::string& zone) { return !spec.zone || *spec.zone == zone; });
+    });
+}
+
+// Whether what has to run at once exceeds the team's limit.
+bool exceeds_team_limit(const model::JobSpec& spec, const config::Team& team) {
+    constexpr double slack = 1e-6;  // sums of decimal amounts are not exact
+    const double tasks = spec.shape == model::Shape::gang ? spec.task_count : 1;
+    return (team.cpus_max > 0 && tasks * spec.task_resources.cpus > team.cpus_max + slack) ||
+           (team.gpus_max > 0 && tasks * spec.task_resources.gpus > team.gpus_max + slack);
+}
+
+AdmissionResult check_feasibility(const model::JobSpec& spec, const config::Settings& settings,
+                                  const std::vector<model::MachineType>& types) {
+    const auto infeasible = [](std::string text) {
+        return AdmissionError{AdmissionErrorKind::infeasible, 422, std::move(text)};
+    };
+    const auto* team = settings.team(spec.team);
+    if (!team) return infeasible("unknown team");
+    if (!fits_some_machine(spec, types)) return infeasible("a task fits no allowed machine type");
+    if (exceeds_team_limit(spec, *team)) return infeasible("the job needs more than the team's limit");
+    return {};
+}
+
+}  // namespace
+
+net::Reply to_reply(const AdmissionError& error) {
+    return {error.status, wire::error_response(error.text), error.retry_after_s, error.close_connection};
+}
+
+AdmissionError Admission::try_again(std::string_view reason) {
+    return {AdmissionErrorKind::not_yet_decided, 503, std::string(reason),
+            dependencies_.load_shedding.retry_after_s(), dependencies_.load_shedding.closes_connection()};
+}
+
+net::awaitable<AdmissionResult> Admission::check(const model::JobSpec& spec) {
+    auto feasible =
+        check_feasibility(spec, dependencies_.settings, dependencies_.watch_cache.machine_types->value);
+    if (!feasible) co_return feasible;
+    if (spec.dependencies.empty()) co_return AdmissionResult{};
+    auto acceptable = check_dependency_list(spec);
+    if (!acceptable) co_return acceptable;
+    co_return co_await check_dependencies(spec);
+}
+
+AdmissionResult Admission::check_dependency_list(const model::JobSpec& spec) {
+    if (spec.dependencies.size() > c::max_dependencies)
+        return AdmissionError{AdmissionErrorKind::malformed, 400,
+                              fmt::format("WaitsOn names more than {} jobs", c::max_dependencies)};
+    if (std::find(spec.dependencies.begin(), spec.dependencies.end(), spec.id) != spec.dependencies.end())
+        return AdmissionError{AdmissionErrorKind::bad_dependency, 422,
+                              fmt::format("{} names itself in WaitsOn", spec.id)};
+    // An earlier version would start the job at once.
+    if (!dependencies_.record_format.agreed()) {
+        dependencies_.record_format.request_dependencies();
+        return try_again("a controller of an earlier version still serves");
+    }
+    return {};
+}
+
+net::awaitable<AdmissionResult> Admission::check_dependencies(const model::JobSpec& spec) {
+    int lookups = 0;
+    for (const auto& id : spec.dependencies) {
+        auto state = remembered_dependency(id);
+        if (!state) {
+            // What was found is remembered: the user's next try comes further.
+            if (++lookups > c::max_dependency_lookups) co_return try_again("too many look-ups at once");
+            state = co_await look_up_dependency(id);
+        }
+        auto acceptable = check_dependency(id, *state);
+        if (!acceptable) co_return acceptable;
+    }
+    co_return AdmissionResult{};
+}
+
+AdmissionResult Admission::check_dependency(const std::string& id, DependencyState state) {
+    const auto bad = [](std::string text) {
+        return AdmissionError{AdmissionErrorKind::bad_dependency, 422, std::move(text)};
+    };
+    switch (state) {
+        case DependencyState::accepted:
+            return {};
+        case DependencyState::service:
+            return bad(fmt::format("{} is a service and never done", id));
+        case DependencyState::unknown:
+            return bad(fmt::format("{} was never accepted", id));
+        case DependencyState::undecidable:
+            break;
+    }
+    return store_unavailable();
+}
+
+// A positive answer may come from the watch cache, since what was accepted stays accepted.
+std::optional<Admission::DependencyState> Admission::remembered_dependency(const std::string& id) {
+    auto& watch_cache = dependencies_.watch_cache;
+    if (const auto job = watch_cache.jobs.find(id); job != watch_cache.jobs.end())
+        return is_service(job->second.value) ? DependencyState::service : DependencyState::accepted;
+    if (watch_cache.outcome_of(id)) return DependencyState::accepted;
+    return std::nullopt;
+}
+
+// "Never accepted" takes reads sent after the question: first of the live record and then of the final one,
+// which replaces it.
+net::awaitable<Admission::DependencyState> Admission::look_up_dependency(std::string id) {
+    const auto read = co_await dependencies_.store.read(records::job_key(id));
+    if (read.status == store::ReadStatus::unavailable) co_return DependencyState::undecidable;
+    if (read.status == store::ReadStatus::found) {
+        const auto spec = read.row ? records::parse_job(id, read.row->value) : std::nullopt;
+        if (!spec) co_return DependencyState::undecidable;
+        co_return is_service(*spec) ? DependencyState::service : DependencyState::accepted;
+    }
+    switch (co_await dependencies_.job_lookup.look_up_outcome(id)) {
+        case JobState::undecidable:
+            co_return DependencyState::undecidable;
+        case JobState::unknown:
+            co_return DependencyState::unknown;
+        default:
+            co_return DependencyState::accepted;
+    }
+}
+
+}  // namespace pineroad::api
--- /dev/null
+++ b/src/api/health_check.hpp
@@ -0,0 +1,25 @@
+// The answer to the balancer's health check.
+#pragma once
+
+#include "net/http.hpp"
+#include "peers/peer_directory.hpp"
+#include "store/store_client.hpp"
+#include "store/watch_cache.hpp"
+
+namespace pineroad::api {
+
+class HealthCheck {
+   public:
+    // All of these must outlive the object.
+    HealthCheck(const store::StoreClient& store, const store::WatchCache& watch_cache,
+                const peers::PeerDirectory& directory);
+    // 200 while this controller can serve users, or no other can serve them better; 503 otherwise.
+    [[nodiscard]] net::Reply check() const;
+
+   private:
+    const store::StoreClient& store_;
+    const store::WatchCache& watch_cache_;
+    const peers::PeerDirectory& directory_;
+};
+
+}  // namespace pineroad::api
--- /dev/null
+++ b/src/api/load_shedding.cpp
@@ -0,0 +1,47 @@
+#include "api/load_shedding.hpp"
+
+#include "config/constants.hpp"
+#include "wire/protocol.hpp"
+
+namespace pineroad::api {
+
+namespace c = constants;
+using net::Reply;
+
+LoadShedding::LoadShedding(const store::StoreClient& store, const EventLoopLagMonitor& event_loop_lag,
+                           std::mt19937_64& random)
+    : store_(store), event_loop_lag_(event_loop_lag), random_(random) {}
+
+bool LoadShedding::submissions_overloaded() const {
+    return event_loop_lag_.lag_s() > c::lag_rejects_submissions_s || submissions_ >= c::max_user_inflight;
+}
+
+bool LoadShedding::cancellations_overloaded() const {
+    return event_loop_lag_.lag_s() > c::lag_rejects_polls_s || submissions_ >= c::max_user_inflight;
+}
+
+bool LoadShedding::polls_overloaded() const {
+    return event_loop_lag_.lag_s() > c::lag_rejects_polls_s || polls_ >= c::max_poll_inflight;
+}
+
+// A controller that the store does not serve, or that has too much to do, closes the connection as well, so
+// that the user's next try may reach another controller: an open connection stays with its controller for as
+// long as it lasts, and all that its user asks would be refused for as long as this controller's trouble
+// does.
+Reply LoadShedding::reject(std::string_view reason) {
+    return {503, wire::error_response(reason), retry_after_s(), closes_connection()};
+}
+
+Reply LoadShedding::overloaded() {
+    return {503, wire::error_response("too busy"), retry_after_s(), true};
+}
+
+Reply LoadShedding::no_connection() {
+    return {503, wire::error_response("no connection is free"), retry_after_s(), true};
+}
+
+int LoadShedding::retry_after_s() {
+    return std::uniform_int_distribution<int>(c::retry_after_min_s, c::retry_after_max_s)(random_);
+}
+
+}  // namespace pineroad::api
--- /dev/null
+++ b/src/api/router.cpp
@@ -0,0 +1,59 @@
+#include "api/router.hpp"
+
+#include <utility>
+
+#include "wire/protocol.hpp"
+
+namespace pineroad::api {
+
+using net::Reply;
+
+Route find_route(std::string_view target) {
+    std::string_view path = target.substr(0, target.find('?'));
+    if (path == wire::heartbeat_path) return {Endpoint::heartbeat, {}};
+    if (path == wire::health_path) return {Endpoint::health, {}};
+    if (path == wire::submissions_path) return {Endpoint::submit, {}};
+    constexpr std::string_view separator = "/", cancel_suffix = "/cancel";
+    if (!path.starts_with(wire::submissions_path)) return {};
+    path.remove_prefix(wire::submissions_path.size());
+    if (!path.starts_with(separator)) return {};
+    path.remove_prefix(separator.size());
+    if (path.ends_with(cancel_suffix) && path.size() > cancel_suffix.size()) {
+        path.remove_suffix(cancel_suffix.size());
+        return {Endpoint::cancel, std::string(path)};
+    }
+    if (path.find('/') != std::string_view::npos) return {};
+    return {Endpoint::poll, std::string(path)};
+}
+
+std::string_view method_of(Endpoint endpoint) {
+    const bool reads = endpoint == Endpoint::health || endpoint == Endpoint::poll;
+    return reads ? "GET" : "POST";
+}
+
+Router::Router(UserApi& users, WorkerApi& workers, const HealthCheck& health)
+    : users_(users), workers_(workers), health_(health) {}
+
+net::awaitable<Reply> Router::handle(net::Request request) {
+    auto route = find_route(request.target);
+    if (route.endpoint == Endpoint::none) co_return Reply{404, wire::error_response("no such path")};
+    if (request.method != method_of(route.endpoint))
+        co_return Reply{405, wire::error_response("method not allowed")};
+    switch (route.endpoint) {
+        case Endpoint::heartbeat:
+            co_return co_await workers_.heartbeat(std::move(request.body));
+        case Endpoint::health:
+            co_return health_.check();
+        case Endpoint::submit:
+            co_return co_await users_.submit(std::move(request.body));
+        case Endpoint::poll:
+            co_return co_await users_.poll(std::move(route.job));
+        case Endpoint::cancel:
+            co_return co_await users_.cancel(std::move(route.job));
+        case Endpoint::none:
+            break;
+    }
+    co_return Reply{404, wire::error_response("no such path")};
+}
+
+}  // namespace pineroad::api
--- /dev/null
+++ b/src/api/user_api.cpp
@@ -0,0 +1,108 @@
+#include "api/user_api.hpp"
+
+#include <utility>
+#include <variant>
+
+#include "wire/protocol.hpp"
+
+namespace pineroad::api {
+
+using net::Reply;
+
+namespace {
+// How often a cancellation is tried again after the job changed meanwhile.
+constexpr int max_cancellation_tries = 3;
+}  // namespace
+
+net::awaitable<Reply> UserApi::submit(std::string body) {
+    const auto parsed = wire::parse_submission(body);
+    if (const auto* why = std::get_if<std::string>(&parsed)) co_return Reply{400, wire::error_response(*why)};
+    auto spec = std::get<model::JobSpec>(parsed);
+    const std::string id = spec.id;
+    auto& [watch_cache, job_lookup, job_writes, admission, load_shedding, peers] = dependencies_;
+    if (const auto outcome = job_lookup.remembered_outcome(id)) co_return describe(id, *outcome);
+    if (load_shedding.submissions_overloaded()) co_return load_shedding.overloaded();
+    if (!watch_cache.ready || !watch_cache.machine_types) co_return load_shedding.reject("not ready");
+    const auto counted = load_shedding.count_submission();
+    if (watch_cache.jobs.contains(id)) co_return describe(id, co_await job_lookup.look_up(id));
+    const auto admitted = co_await admit(std::move(spec));
+    if (admitted) co_return Reply{201, wire::job_status_response(id, wire::JobStatus::queued)};
+    // A job accepted under other settings, or when its dependencies were not known here, stays accepted: only
+    // one that no controller knows can be turned away for good.
+    if (admitted.error().kind == AdmissionErrorKind::acceptance_uncertain)
+        co_return to_reply(admitted.error());
+    const auto state = co_await job_lookup.look_up(id);
+    if (state == JobState::unknown) co_return to_reply(admitted.error());
+    co_return describe(id, state);
+}
+
+net::awaitable<AdmissionResult> UserApi::admit(model::JobSpec spec) {
+    auto checked = co_await dependencies_.admission.check(spec);
+    if (!checked) co_return checked;
+    switch (co_await dependencies_.job_writes.accept(std::move(spec))) {
+        case AcceptanceStatus::accepted:
+            break;
+        case AcceptanceStatus::conflict:
+            co_return dependencies_.admission.store_unavailable();
+        case AcceptanceStatus::too_large:
+            co_return AdmissionError{AdmissionErrorKind::malformed, 400,
+                                     "the job is too large for the state service"};
+        case AcceptanceStatus::uncertain: {
+            auto error = dependencies_.admission.store_unavailable();
+            error.kind = AdmissionErrorKind::acceptance_uncertain;
+            co_return error;
+        }
+    }
+    co_return AdmissionResult{};
+}
+
+net::awaitable<Reply> UserApi::poll(std::string id) {
+    auto& load_shedding = dependencies_.load_shedding;
+    if (!wire::valid_job_id(id)) co_return describe(id, JobState::unknown);
+    if (const auto outcome = dependencies_.job_lookup.remembered_outcome(id))
+        co_return describe(id, *outcome);
+    if (load_shedding.polls_overloaded()) co_return load_shedding.overloaded();
+    const auto counted = load_shedding.count_poll();
+    co_return describe(id, co_await dependencies_.job_lookup.look_up(id));
+}
+
+net::awaitable<Reply> UserApi::cancel(std::string id) {
+    auto& [watch_cache, job_lookup, job_writes, admission, load_shedding, peers] = dependencies_;
+    if (!wire::valid_job_id(id)) co_return describe(id, JobState::unknown);
+    if (const auto outcome = job_lookup.remembered_outcome(id)) co_return describe(id, *outcome);
+    if (load_shedding.cancellations_overloaded()) co_return load_shedding.overloaded();
+    const auto counted = load_shedding.count_submission();
+    for (int tries = 0; tries < max_cancellation_tries; ++tries) {
+        const auto state = co_await job_lookup.look_up(id);
+        if (state != JobState::live) co_return describe(id, state);
+        const auto job = watch_cache.jobs.find(id);
+        if (job == watch_cache.jobs.end()) continue;  // it ended meanwhile
+        const auto result = co_await job_writes.cancel(job->second);
+        if (result.status == CancellationStatus::cancelled) {
+            co_await peers.forward_cancellation(result.revision, id);
+            co_return describe(id, JobState::cancelled);
+        }
+        if (result.status == CancellationStatus::uncertain) break;
+    }
+    co_return load_shedding.unavailable();
+}
+
+Reply UserApi::describe(const std::string& id, JobState state) {
+    switch (state) {
+        case JobState::done:
+            return {200, wire::job_status_response(id, wire::JobStatus::done)};
+        case JobState::cancelled:
+            return {200, wire::job_status_response(id, wire::JobStatus::cancelled)};
+        case JobState::unknown:
+            return {404, wire::error_response("no such job")};
+        case JobState::undecidable:
+            return dependencies_.load_shedding.unavailable();
+        case JobState::live:
+            break;
+    }
+    const auto counts = dependencies_.watch_cache.task_counts(id);
+    const auto status = counts.placed > 0 ? wire::JobStatus::running : wire::JobStatus::queued;
+    return {200, wire::job_status_response(id, status, std::pair(counts.done, counts.placed))};
+}
+
+}  // namespace pineroad::api
--- /dev/null
+++ b/src/api/user_api.hpp
@@ -0,0 +1,45 @@
+// The users' API: submit, poll and cancel a job. Any controller answers, from the watch cache and the store
+// alone.
+#pragma once
+
+#include <string>
+
+#include "api/admission.hpp"
+#include "api/job_lookup.hpp"
+#include "api/job_writes.hpp"
+#include "api/load_shedding.hpp"
+#include "net/http.hpp"
+#include "peers/peer_exchange.hpp"
+#include "store/watch_cache.hpp"
+
+namespace pineroad::api {
+
+class UserApi {
+   public:
+    // What the API works with; all of it must outlive the object.
+    struct Dependencies {
+        store::WatchCache& watch_cache;
+        JobLookup& job_lookup;
+        JobWrites& job_writes;
+        Admission& admission;
+        LoadShedding& load_shedding;
+        peers::PeerExchange& peers;
+    };
+    // Keeps the references.
+    explicit UserApi(const Dependencies& dependencies) : dependencies_(dependencies) {}
+
+    // Accepts the job in the body of the request. Idempotent: a repeated submission gets the job's state.
+    net::awaitable<net::Reply> submit(std::string body);
+    // The job's state.
+    net::awaitable<net::Reply> poll(std::string id);
+    // Cancels the job if it is live, and answers with its state.
+    net::awaitable<net::Reply> cancel(std::string id);
+
+   private:
+    net::awaitable<AdmissionResult> admit(model::JobSpec spec);
+    [[nodiscard]] net::Reply describe(const std::string& id, JobState state);
+
+    Dependencies dependencies_;
+};
+
+}  // namespace pineroad::api
--- /dev/null
+++ b/src/api/worker_api.cpp
@@ -0,0 +1,93 @@
+#include "api/worker_api.hpp"
+
+#include <algorithm>
+#include <boost/asio/as_tuple.hpp>
+#include <boost/asio/use_awaitable.hpp>
+#include <utility>
+#include <variant>
+
+#include "config/constants.hpp"
+#include "store/steady_time.hpp"
+#include "wire/protocol.hpp"
+
+namespace pineroad::api {
+
+namespace c = constants;
+using net::Reply;
+using store::steady_now_s;
+
+namespace {
+
+// Until when the response may be held back. A start may be commanded only once its placement is durable, and
+// only in the response to a heartbeat: a moment's wait saves a whole heartbeat period. A machine without work
+// can wait longer than one whose tasks' ends are news; no response may reach the worker after 4 s.
+double response_deadline(const cluster::ClusterState& cluster_state, const model::Heartbeat& heartbeat,
+                         double now) {
+    if (cluster_state.has_room(heartbeat.machine, now)) return now + c::heartbeat_hold_idle_s;
+    const bool freed =
+        std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
+                    [](const model::ReportedTask& task) { return task.state == model::TaskState::exited; });
+    if (freed || !cluster_state.placements_durable(heartbeat.machine)) return now + c::heartbeat_hold_s;
+    return now;
+}
+
+// Whether no later heartbeat of the machine was applied.
+bool is_latest(const cluster::ClusterState& cluster_state, const model::Heartbeat& heartbeat) {
+    const auto machine = cluster_state.machines().find(heartbeat.machine);
+    return machine != cluster_state.machines().end() &&
+           machine->second.agent_epoch == heartbeat.agent_epoch &&
+           machine->second.sequence == heartbeat.sequence;
+}
+
+}  // namespace
+
+WorkerApi::WorkerApi(std::string name, const Dependencies& dependencies)
+    : name_(std::move(name)), dependencies_(dependencies) {}
+
+net::awaitable<Reply> WorkerApi::heartbeat(std::string body) {
+    const auto parsed = wire::parse_heartbeat(body);
+    if (const auto* why = std::get_if<std::string>(&parsed)) co_return Reply{400, wire::error_response(*why)};
+    const auto& heartbeat = std::get<model::Heartbeat>(parsed);
+    dependencies_.leadership.observe(heartbeat.fencing_token, "");
+    const auto leader = dependencies_.active_term;
+    if (!leader || !leader->term->may_answer_heartbeats()) {
+        dependencies_.peers.record_heartbeat();
+        co_return redirect();
+    }
+    auto& term = *leader->term;
+    auto& cluster_state = leader->cluster_state;
+    // A copy of an earlier heartbeat tells nothing: not even that a worker is there. No worker waits for this
+    // response, and it carries no commands: it must not renew a lease.
+    if (!cluster_state.apply_heartbeat(heartbeat, steady_now_s()))
+        co_return Reply{503, wire::error_response("an older report")};
+    dependencies_.peers.record_heartbeat();
+    term.plan_due.notify();
+    const double deadline = response_deadline(cluster_state, heartbeat, steady_now_s());
+    while (term.may_start() && is_latest(cluster_state, heartbeat) && steady_now_s() < deadline &&
+           !cluster_state.has_pending_commands(heartbeat.machine) &&
+           dependencies_.event_loop_lag.lag_s() < c::lag_disables_hold_s) {
+        const double wait_s = std::max(deadline - steady_now_s(), c::min_wait_s);
+        net::Timer timer(dependencies_.executor, net::seconds(wait_s));
+        const leadership::HeldResponses::Hold hold(term.held_responses, heartbeat.machine, timer);
+        co_await timer.async_wait(net::asio::as_tuple(net::asio::use_awaitable));
+    }
+    if (!term.may_answer_heartbeats()) co_return redirect();
+    // If the worker has given this heartbeat up and sent another, it does not wait for this response: what it
+    // carries must not count as sent, and without its commands it must not renew a lease.
+    if (!is_latest(cluster_state, heartbeat))
+        co_return Reply{503, wire::error_response("a newer report came meanwhile")};
+    const auto commands = cluster_state.commands_for(heartbeat.machine, term.may_start(), steady_now_s());
+    co_return Reply{200, wire::heartbeat_response(term.fencing_token(), commands)};
+}
+
+// A controller cut off from the store still has an old leader in its watch cache; a peer may have named a
+// newer one.
+Reply WorkerApi::redirect() const {
+    const auto& recorded = dependencies_.watch_cache.leader;
+    const auto& leadership = dependencies_.leadership;
+    const bool current = recorded && recorded->value.fencing_token >= leadership.highest_token();
+    const auto& leader = current ? recorded->value.node : leadership.known_leader();
+    return Reply{421, wire::redirect_response(leader == name_ ? "" : leader)};
+}
+
+}  // namespace pineroad::api
--- /dev/null
+++ b/src/controller/cloud_client.hpp
@@ -0,0 +1,28 @@
+// Client of the cloud's API. Only the leader calls it; its loops share one rate.
+#pragma once
+
+#include <memory>
+#include <optional>
+#include <string>
+
+#include "net/http.hpp"
+
+namespace pineroad::controller {
+
+class CloudClient {
+   public:
+    // `requests_per_s`: of which cloud_share is used.
+    CloudClient(std::unique_ptr<net::Client> client, double requests_per_s);
+    // Waits until the next request may be sent, and takes that turn.
+    net::awaitable<void> wait_for_turn();
+    // The answer, or nothing within cloud_timeout_s: then the request may have been executed.
+    net::awaitable<std::optional<net::Reply>> request(std::string method, std::string target,
+                                                      std::string body = {});
+
+   private:
+    std::unique_ptr<net::Client> client_;
+    const double interval_s_;
+    double next_turn_ = 0;
+};
+
+}  // namespace pineroad::controller
--- /dev/null
+++ b/src/controller/commit_loop.cpp
@@ -0,0 +1,166 @@
+#include "controller/commit_loop.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <optional>
+#include <utility>
+
+#include "config/constants.hpp"
+#include "store/steady_time.hpp"
+#include "wire/protocol.hpp"
+#include "wire/records.hpp"
+
+namespace pineroad::controller {
+
+namespace c = constants;
+namespace records = wire::records;
+using leadership::EndReason;
+using net::sleep_for;
+using store::CommitStatus;
+using store::steady_now_s;
+
+namespace {
+constexpr double wait_margin_s = 0.005;      // added to a wait, so that it need not be repeated
+constexpr double unproven_pause_s = 0.1;     // between looks whether the lease is provable again
+constexpr double longest_idle_wait_s = 0.5;  // for something to commit
+}  // namespace
+
+CommitLoop::CommitLoop(const config::Settings& settings, store::StoreClient& store,
+                       store::LinearizableRead& linearizable_read, store::WatchCache& watch_cache)
+    : settings_(settings), store_(store), linearizable_read_(linearizable_read), watch_cache_(watch_cache) {}
+
+net::awaitable<void> CommitLoop::run(std::shared_ptr<cluster::LeaderTerm> leader) {
+    auto& term = *leader->term;
+    auto& cluster_state = leader->cluster_state;
+    leader->writes.start(settings_.store_writes_per_s, steady_now_s());
+    while (!term.over()) {
+        const double wait_s = leader->writes.delay_s(c::target_batch_changes, steady_now_s());
+        if (wait_s > 0) {
+            co_await sleep_for(wait_s + wait_margin_s);
+            continue;
+        }
+        if (!term.may_start()) {
+            co_await sleep_for(unproven_pause_s);
+            continue;
+        }
+        // No more at once than the budget holds: a debt would make the next starts wait.
+        const auto batch = cluster_state.write_due()
+                               ? cluster_state.next_write_batch(leader->writes.available(steady_now_s()))
+                               : std::nullopt;
+        if (!batch) {
+            co_await term.commit_due.wait(longest_idle_wait_s);
+            continue;
+        }
+        co_await commit(leader, *batch);
+        for (const auto& machine : cluster_state.take_machines_with_durable_starts())
+            term.held_responses.release(machine);
+        term.cloud_due.notify();
+        co_await sleep_for(c::commit_gap_s);
+    }
+}
+
+// Sends one batch until its outcome is known: a transaction that got no answer is settled before anything
+// else is committed.
+net::awaitable<void> CommitLoop::commit(std::shared_ptr<cluster::LeaderTerm> leader,
+                                        const cluster::WriteBatch& batch) {
+    const auto body = wire::commit_request(batch.txn);
+    bool uncertain = false;  // an earlier copy may have been applied
+    while (!leader->term->over()) {
+        const auto result = co_await store_.commit(body, c::commit_timeout_s);
+        leader->writes.record_writes(batch.txn.changes.size());
+        if (leader->term->over()) break;
+        if (result.status == CommitStatus::unanswered) uncertain = true;
+        if (co_await settle(*leader, batch, result, uncertain) == Settlement::settled) break;
+        co_await sleep_for(c::store_retry_s);  // a refused connection answers at once
+    }
+}
+
+net::awaitable<CommitLoop::Settlement> CommitLoop::settle(cluster::LeaderTerm& leader,
+                                                          const cluster::WriteBatch& batch,
+                                                          const store::CommitResult& result, bool uncertain) {
+    switch (result.status) {
+        case CommitStatus::committed:
+            apply(leader, batch, result.revision);
+            co_return Settlement::settled;
+        case CommitStatus::unreadable:
+            leader.term->end(EndReason::commit_unreadable);
+            co_return Settlement::settled;
+        case CommitStatus::conflict:
+            co_return co_await settle_conflict(leader, batch, result.body, uncertain);
+        case CommitStatus::malformed:
+            handle_malformed(leader, result.body, uncertain);
+            co_return Settlement::settled;
+        case CommitStatus::rate_limited:
+            leader.writes.refused();
+            co_return Settlement::retry;
+        case CommitStatus::unavailable:
+        case CommitStatus::unanswered:  // the same again: at most one copy can be applied
+            break;
+    }
+    co_return Settlement::retry;
+}
+
+net::awaitable<CommitLoop::Settlement> CommitLoop::settle_conflict(cluster::LeaderTerm& leader,
+                                                                   const cluster::WriteBatch& batch,
+                                                                   const std::string& answer,
+                                                                   bool uncertain) {
+    const auto failed = wire::parse_failed_conditions(answer);
+    if (std::find(failed.begin(), failed.end(), records::leader_key) != failed.end()) {
+        leader.term->end(EndReason::leader_key_removed);
+        co_return Settlement::settled;
+    }
+    if (!uncertain) {
+        // A user's cancellation came first; the watch tells which.
+        co_await linearizable_read_.catch_up();
+        co_return Settlement::settled;
+    }
+    std::uint64_t revision = 0;
+    switch (co_await read_back(batch, revision)) {
+        case ReadBack::applied:
+            apply(leader, batch, revision);
+            break;
+        case ReadBack::not_applied:
+            spdlog::info("commit of {} changes was not applied (term {})", batch.txn.changes.size(),
+                         leader.term->fencing_token());
+            co_await linearizable_read_.catch_up();
+            break;
+        case ReadBack::unavailable:
+            co_return Settlement::retry;
+    }
+    co_return Settlement::settled;
+}
+
+// The batch was applied by an earlier copy, or lost against a cancellation. All or nothing was applied, so
+// one record tells: a written one holds our value; a removed one (only the leader removes these) is absent.
+net::awaitable<CommitLoop::ReadBack> CommitLoop::read_back(const cluster::WriteBatch& batch,
+                                                           std::uint64_t& revision) {
+    const auto& changes = batch.txn.changes;
+    const auto written = std::find_if(changes.begin(), changes.end(),
+                                      [](const wire::Change& change) { return change.value.has_value(); });
+    const auto& probe = written != changes.end() ? *written : changes.front();
+    const auto read = co_await store_.read(probe.key);
+    if (read.status == store::ReadStatus::unavailable) co_return ReadBack::unavailable;
+    const bool applied =
+        probe.value ? read.row && read.row->value == *probe.value : read.status == store::ReadStatus::absent;
+    if (!applied) co_return ReadBack::not_applied;
+    revision = read.row ? read.row->mod_revision : 0;
+    co_return ReadBack::applied;
+}
+
+// The same transaction is never sent again: an earlier copy may have been applied, or the limits are lower
+// than was announced.
+void CommitLoop::handle_malformed(cluster::LeaderTerm& leader, const std::string& answer, bool uncertain) {
+    spdlog::error("a commit was refused as malformed: {}", answer);
+    if (uncertain || !leader.cluster_state.reject_write_batch()) leader.term->end(EndReason::commit_refused);
+}
+
+// Jobs that ended are known here at once, not only by the watch: others may wait for them.
+void CommitLoop::apply(cluster::LeaderTerm& leader, const cluster::WriteBatch& batch,
+                       std::uint64_t revision) {
+    leader.cluster_state.apply_commit(batch, revision, steady_now_s(), net::Clock::wall_ms());
+    for (const auto& finished : batch.finished_jobs)
+        watch_cache_.record_outcome(finished.job, finished.outcome, revision);
+}
+
+}  // namespace pineroad::controller
--- /dev/null
+++ b/src/controller/direct_command_dispatcher.cpp
@@ -0,0 +1,88 @@
+#include "controller/direct_command_dispatcher.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <boost/asio/co_spawn.hpp>
+#include <boost/asio/detached.hpp>
+#include <exception>
+#include <string>
+#include <utility>
+
+#include "config/constants.hpp"
+#include "net/scoped_count.hpp"
+#include "store/steady_time.hpp"
+#include "wire/protocol.hpp"
+
+namespace pineroad::controller {
+
+namespace c = constants;
+using store::steady_now_s;
+
+namespace {
+
+// Whether the commands let a task save its state. Its gang waits for it for gang_failure_detection_s only.
+bool has_grace(const cluster::DirectCommands& commands) {
+    return std::any_of(commands.commands.begin(), commands.commands.end(),
+                       [](const model::Command& command) { return command.grace_s > 0; });
+}
+
+}  // namespace
+
+// Commands that have waited longer than a gang does and a heartbeat takes are left to the responses.
+DirectCommandDispatcher::DirectCommandDispatcher(std::shared_ptr<leadership::Term> term,
+                                                 const Dependencies& dependencies)
+    : term_(std::move(term)),
+      dependencies_(dependencies),
+      longest_wait_s_(dependencies.settings.gang_failure_detection_s +
+                      dependencies.settings.heartbeat_period_s) {}
+
+void DirectCommandDispatcher::dispatch(std::vector<cluster::DirectCommands> commands) {
+    for (auto& machine_commands : commands) {
+        const bool first = has_grace(machine_commands);
+        Queued queued{steady_now_s(), std::move(machine_commands)};
+        if (first)
+            queue_.push_front(std::move(queued));
+        else
+            queue_.push_back(std::move(queued));
+    }
+    while (queue_.size() > c::max_queued_stops) queue_.pop_back();
+    send_queued();
+}
+
+// A stop needs no lease: it carries the fencing token and the agent epoch, and ends only what has to end.
+// Without the store these are the tasks of cancelled jobs.
+void DirectCommandDispatcher::send_queued() {
+    if (term_->over()) queue_.clear();
+    while (!queue_.empty() && in_flight_ < dependencies_.max_in_flight) {
+        auto next = std::move(queue_.front());
+        queue_.pop_front();
+        if (steady_now_s() - next.decided_at > longest_wait_s_) continue;
+        ++in_flight_;
+        net::asio::co_spawn(dependencies_.io, send(shared_from_this(), std::move(next.commands)),
+                            net::asio::detached);
+    }
+}
+
+net::awaitable<void> DirectCommandDispatcher::send(std::shared_ptr<DirectCommandDispatcher> self,
+                                                   cluster::DirectCommands commands) {
+    try {
+        co_await self->send_to_worker(commands);
+    } catch (const std::exception& error) {
+        spdlog::warn("direct commands to {} ({}) failed: {}", commands.machine, commands.address,
+                     error.what());
+    }
+    --self->in_flight_;
+    self->send_queued();
+}
+
+net::awaitable<void> DirectCommandDispatcher::send_to_worker(const cluster::DirectCommands& commands) {
+    const auto worker = dependencies_.connect(config::parse_endpoint(commands.address));
+    const auto reply = co_await worker->request(
+        "POST", std::string(wire::direct_command_path),
+        wire::direct_command_request(term_->fencing_token(), commands.agent_epoch, commands.commands),
+        c::direct_command_timeout_s);
+    spdlog::debug("direct commands to {}: {}", commands.machine, reply ? reply->status : 0);
+}
+
+}  // namespace pineroad::controller
--- /dev/null
+++ b/src/controller/format_loop.hpp
@@ -0,0 +1,34 @@
+// Records in the store which controllers read the present record format, until all of them do.
+#pragma once
+
+#include <memory>
+#include <set>
+#include <string>
+
+#include "cluster/leader_term.hpp"
+#include "net/http.hpp"
+#include "peers/record_format.hpp"
+#include "store/linearizable_read.hpp"
+#include "store/store_client.hpp"
+#include "store/watch_cache.hpp"
+
+namespace pineroad::controller {
+
+class FormatLoop {
+   public:
+    // All of these must outlive the object.
+    FormatLoop(store::StoreClient& store, store::LinearizableRead& linearizable_read,
+               const store::WatchCache& watch_cache, const peers::RecordFormat& record_format);
+    // Runs until all read it or the term is over; at once if this process itself does not read it.
+    net::awaitable<void> run(std::shared_ptr<cluster::LeaderTerm> leader);
+
+   private:
+    net::awaitable<void> record(const leadership::Term& term, std::set<std::string> readers);
+
+    store::StoreClient& store_;
+    store::LinearizableRead& linearizable_read_;
+    const store::WatchCache& watch_cache_;
+    const peers::RecordFormat& record_format_;
+};
+
+}  // namespace pineroad::controller
--- /dev/null
+++ b/src/controller/planning_loop.cpp
@@ -0,0 +1,54 @@
+#include "controller/planning_loop.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "config/constants.hpp"
+#include "store/steady_time.hpp"
+
+namespace pineroad::controller {
+
+namespace c = constants;
+using store::steady_now_s;
+
+PlanningLoop::PlanningLoop(const config::Settings& settings, const store::WatchCache& watch_cache,
+                           const peers::RecordFormat& record_format,
+                           const api::EventLoopLagMonitor& event_loop_lag)
+    : settings_(settings),
+      watch_cache_(watch_cache),
+      record_format_(record_format),
+      event_loop_lag_(event_loop_lag) {}
+
+// One plan for all heartbeats since the last: a plan for each would cost more than the share of a processor
+// holds once hundreds of machines send one every second.
+net::awaitable<void> PlanningLoop::run(std::shared_ptr<cluster::LeaderTerm> leader,
+                                       std::shared_ptr<DirectCommandDispatcher> dispatcher) {
+    bool lease_was_provable = true;
+    while (!leader->term->over()) {
+        plan(*leader, *dispatcher, lease_was_provable);
+        co_await net::sleep_for(c::plan_gap_s + std::min(event_loop_lag_.lag_s(), c::plan_period_s));
+        co_await leader->term->plan_due.wait(c::plan_period_s);
+    }
+}
+
+void PlanningLoop::plan(cluster::LeaderTerm& leader, DirectCommandDispatcher& dispatcher,
+                        bool& lease_was_provable) {
+    auto& term = *leader.term;
+    auto& cluster_state = leader.cluster_state;
+    if (record_format_.agreed()) cluster_state.allow_sharding();
+    if (term.may_start()) {
+        // Without the lease this leader may have been cut off: that a machine was silent meanwhile says
+        // nothing of the machine.
+        if (!std::exchange(lease_was_provable, true)) cluster_state.restart_silence_timers(steady_now_s());
+        cluster_state.detect_failures(steady_now_s());
+        cluster_state.plan(steady_now_s(), net::Clock::wall_ms(),
+                           watch_cache_.demand.classes(settings_, steady_now_s()));
+    } else {
+        lease_was_provable = false;
+    }
+    if (cluster_state.write_due()) term.commit_due.notify();
+    dispatcher.dispatch(cluster_state.take_direct_commands());
+    if (!cluster_state.machines_to_release(steady_now_s()).empty()) term.cloud_due.notify();
+}
+
+}  // namespace pineroad::controller
--- /dev/null
+++ b/src/controller/planning_loop.hpp
@@ -0,0 +1,35 @@
+// Plans placements, preemption and scaling from time to time, and detects failures.
+#pragma once
+
+#include <memory>
+
+#include "api/event_loop_lag.hpp"
+#include "cluster/leader_term.hpp"
+#include "config/settings.hpp"
+#include "controller/direct_command_dispatcher.hpp"
+#include "net/http.hpp"
+#include "peers/record_format.hpp"
+#include "store/watch_cache.hpp"
+
+namespace pineroad::controller {
+
+class PlanningLoop {
+   public:
+    // All of these must outlive the object.
+    PlanningLoop(const config::Settings& settings, const store::WatchCache& watch_cache,
+                 const peers::RecordFormat& record_format, const api::EventLoopLagMonitor& event_loop_lag);
+    // Plans until the term is over.
+    net::awaitable<void> run(std::shared_ptr<cluster::LeaderTerm> leader,
+                             std::shared_ptr<DirectCommandDispatcher> dispatcher);
+
+   private:
+    // `lease_was_provable`: at the last call; updated.
+    void plan(cluster::LeaderTerm& leader, DirectCommandDispatcher& dispatcher, bool& lease_was_provable);
+
+    const config::Settings& settings_;
+    const store::WatchCache& watch_cache_;
+    const peers::RecordFormat& record_format_;
+    const api::EventLoopLagMonitor& event_loop_lag_;
+};
+
+}  // namespace pineroad::controller
--- /dev/null
+++ b/src/controller/provisioning_loops.cpp
@@ -0,0 +1,130 @@
+#include "controller/provisioning_loops.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <string>
+#include <string_view>
+
+#include "config/constants.hpp"
+#include "store/steady_time.hpp"
+#include "wire/protocol.hpp"
+
+namespace pineroad::controller {
+
+namespace c = constants;
+using net::sleep_for;
+using store::steady_now_s;
+
+namespace {
+
+constexpr double retry_s = 1.0;              // after a request that failed
+constexpr double longest_idle_wait_s = 0.5;  // for something to request or to release
+constexpr int machines_per_page = 500;
+
+// The cloud will not provide these machines: for want of capacity, or since the request is malformed.
+bool is_refusal(const net::Reply& reply) {
+    const bool no_capacity = reply.status == 503 && reply.body.find("no capacity") != std::string::npos;
+    return no_capacity || reply.status == 400;
+}
+
+}  // namespace
+
+net::awaitable<void> ProvisioningLoops::follow_machine_types(std::shared_ptr<cluster::LeaderTerm> leader) {
+    auto& term = *leader->term;
+    while (!term.over()) {
+        co_await cloud_.wait_for_turn();
+        const auto reply = co_await cloud_.request("GET", std::string(wire::machine_types_path));
+        if (term.over()) break;
+        const auto document = reply && reply->status == 200 ? wire::parse_json(reply->body) : std::nullopt;
+        const auto types = document ? wire::parse_machine_types(*document) : std::nullopt;
+        if (types && leader->cluster_state.set_machine_types(*types)) {
+            spdlog::info("{} machine types known", types->size());
+            term.commit_due.notify();
+        }
+        co_await sleep_for(types ? c::machine_types_period_s : retry_s);
+    }
+}
+
+net::awaitable<void> ProvisioningLoops::follow_machine_list(std::shared_ptr<cluster::LeaderTerm> leader) {
+    auto& term = *leader->term;
+    while (!term.over()) {
+        const auto machines = co_await list_machines(term);
+        if (machines && !term.over()) leader->cluster_state.apply_machine_list(*machines, steady_now_s());
+        co_await sleep_for(c::list_period_s);
+    }
+}
+
+net::awaitable<std::optional<std::vector<model::ListedMachine>>> ProvisioningLoops::list_machines(
+    const leadership::Term& term) {
+    std::vector<model::ListedMachine> machines;
+    std::string after;
+    for (bool more = true; more && !term.over();) {
+        co_await cloud_.wait_for_turn();
+        const auto reply =
+            co_await cloud_.request("GET", wire::machine_list_target(after, machines_per_page));
+        const auto page =
+            reply && reply->status == 200 ? wire::parse_machine_list(reply->body) : std::nullopt;
+        if (!page) co_return std::nullopt;
+        more = page->truncated && !page->machines.empty();
+        if (more) after = page->machines.back().id;
+        machines.insert(machines.end(), page->machines.begin(), page->machines.end());
+    }
+    co_return machines;
+}
+
+net::awaitable<void> ProvisioningLoops::scale_out(std::shared_ptr<cluster::LeaderTerm> leader) {
+    auto& term = *leader->term;
+    auto& cluster_state = leader->cluster_state;
+    while (!term.over()) {
+        if (!cluster_state.has_provisioning_request()) {
+            co_await term.cloud_due.wait(longest_idle_wait_s);
+            continue;
+        }
+        co_await cloud_.wait_for_turn();
+        // Asked anew after every wait: a process that stood still meanwhile holds no term any more.
+        const auto request = term.may_start() ? cluster_state.next_provisioning_request() : std::nullopt;
+        if (!request) continue;
+        const auto reply = co_await cloud_.request("POST", std::string(wire::machines_path),
+                                                   wire::provisioning_request(*request));
+        if (term.over()) break;
+        const auto machines =
+            reply && reply->status == 200 ? wire::parse_provisioned_machines(reply->body) : std::nullopt;
+        if (machines) {
+            cluster_state.machines_provisioned(request->name, *machines, steady_now_s());
+        } else if (reply && is_refusal(*reply)) {
+            cluster_state.provisioning_refused(request->name, steady_now_s());
+        } else {
+            // No answer, 429 or an outage: the same name again, under which machines are provided only once.
+            cluster_state.provisioning_unanswered(request->name);
+            co_await sleep_for(retry_s);
+        }
+        term.plan_due.notify();
+    }
+}
+
+net::awaitable<void> ProvisioningLoops::scale_in(std::shared_ptr<cluster::LeaderTerm> leader) {
+    auto& term = *leader->term;
+    auto& cluster_state = leader->cluster_state;
+    while (!term.over()) {
+        if (cluster_state.machines_to_release(steady_now_s()).empty()) {
+            co_await term.cloud_due.wait(longest_idle_wait_s);
+            continue;
+        }
+        co_await cloud_.wait_for_turn();
+        // A leader that stood still while it waited would delete machines that the next one has found alive.
+        const auto machines =
+            term.may_start() ? cluster_state.machines_to_release(steady_now_s()) : std::vector<std::string>{};
+        if (machines.empty()) continue;
+        const auto reply =
+            co_await cloud_.request("POST", std::string(wire::release_path), wire::release_request(machines));
+        if (term.over()) break;
+        if (reply && reply->status == 200) {
+            cluster_state.machines_released(machines, steady_now_s());
+            term.plan_due.notify();
+        } else {
+            co_await sleep_for(retry_s);
+        }
+    }
+}
+
+}  // namespace pineroad::controller
--- /dev/null
+++ b/src/peers/peer_directory.cpp
@@ -0,0 +1,83 @@
+#include "peers/peer_directory.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "config/constants.hpp"
+#include "store/steady_time.hpp"
+#include "wire/records.hpp"
+
+namespace pineroad::peers {
+
+namespace c = constants;
+namespace records = wire::records;
+using store::steady_now_s;
+
+namespace {
+
+// How recently a peer must have received a heartbeat, and for how long it must have been running, to count as
+// one that workers reach.
+constexpr std::uint64_t heartbeat_fresh_ms = 4000;
+
+leadership::PeerStoreContact store_contact(const PeerContact& peer) {
+    return {peer.contacted_at, static_cast<double>(peer.last.store_contact_age_ms) / 1000.0};
+}
+
+}  // namespace
+
+PeerDirectory::PeerDirectory(const config::Settings& settings)
+    : settings_(settings), contacts_(settings.peers.size()) {}
+
+std::optional<std::size_t> PeerDirectory::find(const std::string& name) const {
+    for (std::size_t i = 0; i < settings_.peers.size(); ++i)
+        if (settings_.peers[i].name == name) return i;
+    return std::nullopt;
+}
+
+void PeerDirectory::record_request(const wire::PeerMessage& message) {
+    const auto index = find(message.node);
+    if (!index) return;
+    contacts_[*index].last_request_at = steady_now_s();
+    contacts_[*index].reads_format |= message.format >= records::format;
+}
+
+void PeerDirectory::record_response(std::size_t index, double sent, wire::PeerMessage answer) {
+    PeerContact& contact = contacts_[index];
+    contact.contacted_at = sent;
+    contact.answered_at = steady_now_s();
+    contact.reads_format |= answer.format >= records::format;
+    contact.last = std::move(answer);
+}
+
+std::vector<leadership::PeerConfirmation> PeerDirectory::confirmations() const {
+    std::vector<leadership::PeerConfirmation> confirmations;
+    for (const auto& peer : contacts_)
+        confirmations.push_back({peer.contacted_at, peer.answered_at,
+                                 static_cast<double>(peer.last.uptime_ms) / 1000.0,
+                                 peer.last.confirms_cancellations});
+    return confirmations;
+}
+
+bool PeerDirectory::store_down_for_all(const store::StoreRefusal& own) const {
+    const double now = steady_now_s();
+    return std::all_of(contacts_.begin(), contacts_.end(), [&](const PeerContact& peer) {
+        return peer.contacted_at >= now - c::peer_contact_fresh_s &&
+               !leadership::LeaseGuard::store_serves_peer(now, own, store_contact(peer));
+    });
+}
+
+std::vector<leadership::PeerStoreContact> PeerDirectory::store_contacts() const {
+    std::vector<leadership::PeerStoreContact> contacts;
+    for (const auto& peer : contacts_) contacts.push_back(store_contact(peer));
+    return contacts;
+}
+
+bool PeerDirectory::heartbeats_reach_peer() const {
+    const double fresh = steady_now_s() - c::peer_contact_fresh_s;
+    return std::any_of(contacts_.begin(), contacts_.end(), [&](const PeerContact& peer) {
+        return peer.contacted_at > fresh && peer.last.heartbeat_age_ms < heartbeat_fresh_ms &&
+               peer.last.uptime_ms > heartbeat_fresh_ms;
+    });
+}
+
+}  // namespace pineroad::peers
--- /dev/null
+++ b/src/peers/peer_exchange.cpp
@@ -0,0 +1,113 @@
+#include "peers/peer_exchange.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "config/constants.hpp"
+#include "store/steady_time.hpp"
+
+namespace pineroad::peers {
+
+namespace c = constants;
+using net::Reply;
+using store::steady_now_s;
+
+PeerExchange::PeerExchange(std::string name, double started_at, const Dependencies& dependencies,
+                           const net::Connect& connect)
+    : name_(std::move(name)),
+      started_at_(started_at),
+      store_(dependencies.store),
+      watch_cache_(dependencies.watch_cache),
+      lease_guard_(dependencies.lease_guard),
+      leadership_(dependencies.leadership),
+      directory_(dependencies.directory),
+      record_format_(dependencies.record_format) {
+    for (std::size_t i = 0; i < directory_.size(); ++i)
+        clients_.push_back(connect(directory_.peer(i).endpoint));
+}
+
+void PeerExchange::record_heartbeat() {
+    last_heartbeat_ = steady_now_s();
+}
+
+wire::PeerMessage PeerExchange::own_message() const {
+    const double now = steady_now_s();
+    // The age of an event; one that never happened is as old as the process.
+    const auto age_ms = [&](double event) {
+        const double since = event < 0 ? started_at_ : event;
+        return static_cast<std::uint64_t>(std::max(0.0, now - since) * 1000);
+    };
+    wire::PeerMessage message;
+    message.node = name_;
+    message.fencing_token = leadership_.advertised_token();
+    message.leader = leadership_.known_leader();
+    message.uptime_ms = age_ms(started_at_);
+    message.store_contact_age_ms = age_ms(store_.last_contact());
+    message.heartbeat_age_ms = age_ms(last_heartbeat_);
+    message.revision = watch_cache_.ready ? watch_cache_.revision : 0;
+    message.format = record_format_.own_format();
+    message.dependencies_requested = record_format_.dependencies_requested();
+    return message;
+}
+
+net::awaitable<Reply> PeerExchange::handle(net::Request request) {
+    if (request.target != wire::peer_message_path) co_return Reply{404, {}};
+    if (request.method != "POST") co_return Reply{405, {}};
+    const auto message = wire::parse_peer_message(request.body);
+    if (!message) co_return Reply{400, {}};
+    // It may have been delayed on the way: only what can't become untrue is taken from it.
+    leadership_.observe(message->fencing_token, message->leader);
+    record_cancellations(*message);
+    if (message->dependencies_requested) record_format_.request_dependencies();
+    directory_.record_request(*message);
+    auto answer = own_message();
+    if (auto known = watch_cache_.cancellations().after(message->revision)) {
+        answer.confirms_cancellations = true;
+        answer.cancelled = std::move(*known);
+    }
+    co_return Reply{200, wire::encode_peer_message(answer)};
+}
+
+net::awaitable<void> PeerExchange::run(std::size_t peer) {
+    for (;;) {
+        const double sent = steady_now_s();
+        const auto reply = co_await clients_[peer]->request("POST", std::string(wire::peer_message_path),
+                                                            wire::encode_peer_message(own_message()),
+                                                            c::peer_message_timeout_s);
+        if (reply && reply->status == 200)
+            if (auto answer = wire::parse_peer_message(reply->body))
+                apply_response(peer, sent, std::move(*answer));
+        co_await net::sleep_for(c::peer_message_period_s);
+    }
+}
+
+// The leader's watch shows it a moment later, or, while the store refuses the leader alone, the next message
+// between peers: in between it would start tasks of a job whose user was answered. A courtesy with a short
+// wait, no proof.
+net::awaitable<void> PeerExchange::forward_cancellation(std::uint64_t revision, std::string job) {
+    if (!watch_cache_.leader) co_return;
+    const auto leader = directory_.find(watch_cache_.leader->value.node);
+    if (!leader) co_return;
+    auto message = own_message();
+    message.cancelled.emplace_back(revision, std::move(job));
+    const auto body = wire::encode_peer_message(message);
+    co_await clients_[*leader]->request("POST", std::string(wire::peer_message_path), body,
+                                        c::forward_cancellation_timeout_s);
+}
+
+void PeerExchange::record_cancellations(const wire::PeerMessage& message) {
+    for (const auto& [revision, job] : message.cancelled)
+        watch_cache_.record_outcome(job, {model::FinalStatus::cancelled}, revision);
+}
+
+// The cancellations that a peer names are recorded here, and so passed on, before its answer counts as a
+// proof.
+void PeerExchange::apply_response(std::size_t peer, double sent, wire::PeerMessage answer) {
+    leadership_.observe(answer.fencing_token, answer.leader);
+    record_cancellations(answer);
+    if (answer.dependencies_requested) record_format_.request_dependencies();
+    directory_.record_response(peer, sent, std::move(answer));
+    lease_guard_.confirm_by_peers(directory_.confirmations());
+}
+
+}  // namespace pineroad::peers
