--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -16,8 +16,8 @@
 
 net::awaitable<Reply> UserApi::submit(std::string body) {
     const auto parsed = wire::parse_submission(body);
-    if (const auto* why = std::get_if<std::string>(&parsed)) co_return Reply{400, wire::error_response(*why)};
-    auto spec = std::get<model::JobSpec>(parsed);
+    if (!parsed) co_return Reply{400, wire::error_response(parsed.error().text())};
+    auto spec = *parsed;
     const std::string id = spec.id;
     auto& [watch_cache, job_lookup, job_writes, admission, load_shedding, peers] = dependencies_;
     if (const auto outcome = job_lookup.remembered_outcome(id)) co_return describe(id, *outcome);
@@ -102,7 +102,7 @@
     }
     const auto counts = dependencies_.watch_cache.task_counts(id);
     const auto status = counts.placed > 0 ? wire::JobStatus::running : wire::JobStatus::queued;
-    return {200, wire::job_status_response(id, status, std::pair(counts.done, counts.placed))};
+    return {200, wire::job_status_response(id, status, wire::TaskCounts{counts.done, counts.placed})};
 }
 
 }  // namespace pineroad::api
--- a/src/api/worker_api.cpp
+++ b/src/api/worker_api.cpp
@@ -46,8 +46,8 @@
 
 net::awaitable<Reply> WorkerApi::heartbeat(std::string body) {
     const auto parsed = wire::parse_heartbeat(body);
-    if (const auto* why = std::get_if<std::string>(&parsed)) co_return Reply{400, wire::error_response(*why)};
-    const auto& heartbeat = std::get<model::Heartbeat>(parsed);
+    if (!parsed) co_return Reply{400, wire::error_response(parsed.error().text())};
+    const auto& heartbeat = *parsed;
     dependencies_.leadership.observe(heartbeat.fencing_token, "");
     const auto leader = dependencies_.active_term;
     if (!leader || !leader->term->may_answer_heartbeats()) {
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -46,7 +46,7 @@
                                              const net::SocketBudget& sockets,
                                              api::LoadShedding& load_shedding) {
     net::HttpServer::Limits limits;
-    limits.connections = sockets.front;
+    limits.connections = sockets.public_api;
     limits.ordinary = sockets.users;
     limits.first_request_s = c::first_request_s;
     limits.ordinary_idle_s = c::user_idle_s;
@@ -62,7 +62,7 @@
 
 net::HttpServer::Limits peer_server_limits(const net::SocketBudget& sockets) {
     net::HttpServer::Limits limits;
-    limits.connections = sockets.mesh;
+    limits.connections = sockets.peer_api;
     limits.first_request_s = limits.prioritized_idle_s = c::first_request_s;
     return limits;
 }
@@ -131,7 +131,7 @@
       record_format(settings, watch_cache, peer_directory, own_record_format, started_at),
       peer_exchange(settings.name, started_at,
                     {store, watch_cache, lease_guard, leadership, peer_directory, record_format}, connect),
-      leader_loops({io, settings, tuning, connect, sockets.stops, store, watch_cache, linearizable_read,
+      leader_loops({io, settings, tuning, connect, sockets.direct_commands, store, watch_cache, linearizable_read,
                     cloud, record_format, event_loop_lag}),
       election(settings.name, {store, watch_cache, linearizable_read, lease_guard, leadership, peer_directory,
                                leader_loops, random}),
