--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -40,6 +40,7 @@
 
 using AdmissionResult = boost::system::result<void, AdmissionError>;
 
+// Decides on submitted jobs.
 class Admission {
    public:
     // What admission works with; all of it must outlive the object.
@@ -68,9 +69,13 @@
 
     // The checks that need no look-up.
     [[nodiscard]] AdmissionResult check_dependency_list(const model::JobSpec& spec);
+    // The checks of each dependency, which may need look-ups in the store.
     net::awaitable<AdmissionResult> check_dependencies(const model::JobSpec& spec);
+    // Whether a job may depend on one of this state.
     [[nodiscard]] AdmissionResult check_dependency(const std::string& id, DependencyState state);
+    // From the watch cache; nothing if it does not tell.
     [[nodiscard]] std::optional<DependencyState> remembered_dependency(const std::string& id);
+    // From the store.
     net::awaitable<DependencyState> look_up_dependency(std::string id);
 
     Dependencies dependencies_;
--- a/src/api/event_loop_lag.hpp
+++ b/src/api/event_loop_lag.hpp
@@ -5,6 +5,7 @@
 
 namespace pineroad::api {
 
+// Measures by a timer how late it fires.
 class EventLoopLagMonitor {
    public:
     // Measures every lag_period_s. Never returns.
--- a/src/api/health_check.hpp
+++ b/src/api/health_check.hpp
@@ -8,6 +8,7 @@
 
 namespace pineroad::api {
 
+// Whether the balancer should send users to this controller.
 class HealthCheck {
    public:
     // All of these must outlive the object.
--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -25,6 +25,7 @@
 // The state of a job that ended so.
 JobState state_of(model::FinalStatus outcome);
 
+// Looks up jobs for users and for admission.
 class JobLookup {
    public:
     // All of these must outlive the object.
--- a/src/api/job_writes.hpp
+++ b/src/api/job_writes.hpp
@@ -33,6 +33,7 @@
     std::uint64_t revision = 0;  // that holds it, when cancelled
 };
 
+// Writes what users decide on their jobs.
 class JobWrites {
    public:
     // All of these must outlive the object.
--- a/src/api/load_shedding.hpp
+++ b/src/api/load_shedding.hpp
@@ -13,6 +13,7 @@
 
 namespace pineroad::api {
 
+// Counts users' requests under way and makes the answers that reject more.
 class LoadShedding {
    public:
     // All of these must outlive the object.
--- a/src/api/router.hpp
+++ b/src/api/router.hpp
@@ -26,6 +26,7 @@
 // The method that an endpoint answers to.
 std::string_view method_of(Endpoint endpoint);
 
+// Passes requests on to the part of the API that answers them.
 class Router {
    public:
     // All of these must outlive the router.
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -19,7 +19,9 @@
     if (const auto* why = std::get_if<std::string>(&parsed)) co_return Reply{400, wire::error_response(*why)};
     auto spec = std::get<model::JobSpec>(parsed);
     const std::string id = spec.id;
-    auto& [watch_cache, job_lookup, job_writes, admission, load_shedding, peers] = dependencies_;
+    auto& watch_cache = dependencies_.watch_cache;
+    auto& job_lookup = dependencies_.job_lookup;
+    auto& load_shedding = dependencies_.load_shedding;
     if (const auto outcome = job_lookup.remembered_outcome(id)) co_return describe(id, *outcome);
     if (load_shedding.submissions_overloaded()) co_return load_shedding.overloaded();
     if (!watch_cache.ready || !watch_cache.machine_types) co_return load_shedding.reject("not ready");
@@ -67,7 +69,8 @@
 }
 
 net::awaitable<Reply> UserApi::cancel(std::string id) {
-    auto& [watch_cache, job_lookup, job_writes, admission, load_shedding, peers] = dependencies_;
+    auto& job_lookup = dependencies_.job_lookup;
+    auto& load_shedding = dependencies_.load_shedding;
     if (!wire::valid_job_id(id)) co_return describe(id, JobState::unknown);
     if (const auto outcome = job_lookup.remembered_outcome(id)) co_return describe(id, *outcome);
     if (load_shedding.cancellations_overloaded()) co_return load_shedding.overloaded();
@@ -75,11 +78,12 @@
     for (int tries = 0; tries < max_cancellation_tries; ++tries) {
         const auto state = co_await job_lookup.look_up(id);
         if (state != JobState::live) co_return describe(id, state);
-        const auto job = watch_cache.jobs.find(id);
-        if (job == watch_cache.jobs.end()) continue;  // it ended meanwhile
-        const auto result = co_await job_writes.cancel(job->second);
+        const auto& jobs = dependencies_.watch_cache.jobs;
+        const auto job = jobs.find(id);
+        if (job == jobs.end()) continue;  // it ended meanwhile
+        const auto result = co_await dependencies_.job_writes.cancel(job->second);
         if (result.status == CancellationStatus::cancelled) {
-            co_await peers.forward_cancellation(result.revision, id);
+            co_await dependencies_.peers.forward_cancellation(result.revision, id);
             co_return describe(id, JobState::cancelled);
         }
         if (result.status == CancellationStatus::uncertain) break;
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -14,6 +14,7 @@
 
 namespace pineroad::api {
 
+// Answers users' requests.
 class UserApi {
    public:
     // What the API works with; all of it must outlive the object.
@@ -36,7 +37,9 @@
     net::awaitable<net::Reply> cancel(std::string id);
 
    private:
+    // Checks the job and accepts it.
     net::awaitable<AdmissionResult> admit(model::JobSpec spec);
+    // The answer that tells a job's state.
     [[nodiscard]] net::Reply describe(const std::string& id, JobState state);
 
     Dependencies dependencies_;
--- a/src/api/worker_api.hpp
+++ b/src/api/worker_api.hpp
@@ -15,6 +15,7 @@
 
 namespace pineroad::api {
 
+// Answers heartbeats.
 class WorkerApi {
    public:
     // What the API works with; all of it must outlive the object.
@@ -33,6 +34,7 @@
     net::awaitable<net::Reply> heartbeat(std::string body);
 
    private:
+    // 421 with the leader's name, if it is known.
     [[nodiscard]] net::Reply redirect() const;
 
     const std::string name_;
--- a/src/cluster/leader_term.hpp
+++ b/src/cluster/leader_term.hpp
@@ -13,6 +13,7 @@
 
 namespace pineroad::cluster {
 
+// A term with its cluster state and its budget of writes.
 struct LeaderTerm {
     // A cluster state without contents; settings and tuning must outlive it.
     LeaderTerm(std::shared_ptr<leadership::Term> won, const config::Settings& settings,
--- a/src/controller/cloud_client.hpp
+++ b/src/controller/cloud_client.hpp
@@ -9,6 +9,7 @@
 
 namespace pineroad::controller {
 
+// Sends requests to the cloud and keeps to their rate.
 class CloudClient {
    public:
     // `requests_per_s`: of which cloud_share is used.
--- a/src/controller/commit_loop.cpp
+++ b/src/controller/commit_loop.cpp
@@ -115,17 +115,17 @@
         co_await linearizable_read_.catch_up();
         co_return Settlement::settled;
     }
-    std::uint64_t revision = 0;
-    switch (co_await read_back(batch, revision)) {
-        case ReadBack::applied:
-            apply(leader, batch, revision);
+    const auto found = co_await read_back(batch);
+    switch (found.state) {
+        case BatchState::applied:
+            apply(leader, batch, found.revision);
             break;
-        case ReadBack::not_applied:
+        case BatchState::not_applied:
             spdlog::info("commit of {} changes was not applied (term {})", batch.txn.changes.size(),
                          leader.term->fencing_token());
             co_await linearizable_read_.catch_up();
             break;
-        case ReadBack::unavailable:
+        case BatchState::undecidable:
             co_return Settlement::retry;
     }
     co_return Settlement::settled;
@@ -133,19 +133,17 @@
 
 // The batch was applied by an earlier copy, or lost against a cancellation. All or nothing was applied, so
 // one record tells: a written one holds our value; a removed one (only the leader removes these) is absent.
-net::awaitable<CommitLoop::ReadBack> CommitLoop::read_back(const cluster::WriteBatch& batch,
-                                                           std::uint64_t& revision) {
+net::awaitable<CommitLoop::ReadBack> CommitLoop::read_back(const cluster::WriteBatch& batch) {
     const auto& changes = batch.txn.changes;
     const auto written = std::find_if(changes.begin(), changes.end(),
                                       [](const wire::Change& change) { return change.value.has_value(); });
     const auto& probe = written != changes.end() ? *written : changes.front();
     const auto read = co_await store_.read(probe.key);
-    if (read.status == store::ReadStatus::unavailable) co_return ReadBack::unavailable;
+    if (read.status == store::ReadStatus::unavailable) co_return ReadBack{};
     const bool applied =
         probe.value ? read.row && read.row->value == *probe.value : read.status == store::ReadStatus::absent;
-    if (!applied) co_return ReadBack::not_applied;
-    revision = read.row ? read.row->mod_revision : 0;
-    co_return ReadBack::applied;
+    if (!applied) co_return ReadBack{BatchState::not_applied};
+    co_return ReadBack{BatchState::applied, read.row ? read.row->mod_revision : 0};
 }
 
 // The same transaction is never sent again: an earlier copy may have been applied, or the limits are lower
--- a/src/controller/commit_loop.hpp
+++ b/src/controller/commit_loop.hpp
@@ -16,6 +16,7 @@
 
 namespace pineroad::controller {
 
+// Commits write batches, one after the other.
 class CommitLoop {
    public:
     // All of these must outlive the object.
@@ -31,16 +32,27 @@
         retry     // the same transaction is to be sent again
     };
     // Whether a batch of which a copy may have been applied was applied.
-    enum class ReadBack { applied, not_applied, unavailable };
+    enum class BatchState { applied, not_applied, undecidable };
+    // What reading one of its records back told.
+    struct ReadBack {
+        BatchState state = BatchState::undecidable;
+        std::uint64_t revision = 0;  // of the record, if applied; 0: it was removed
+    };
 
+    // Sends a batch until it is settled.
     net::awaitable<void> commit(std::shared_ptr<cluster::LeaderTerm> leader,
                                 const cluster::WriteBatch& batch);
+    // Acts on the answer to a batch. `uncertain`: an earlier copy may have been applied.
     net::awaitable<Settlement> settle(cluster::LeaderTerm& leader, const cluster::WriteBatch& batch,
                                       const store::CommitResult& result, bool uncertain);
+    // Acts on an answer by which a condition did not hold.
     net::awaitable<Settlement> settle_conflict(cluster::LeaderTerm& leader, const cluster::WriteBatch& batch,
                                                const std::string& answer, bool uncertain);
-    net::awaitable<ReadBack> read_back(const cluster::WriteBatch& batch, std::uint64_t& revision);
+    // Finds out whether a batch was applied.
+    net::awaitable<ReadBack> read_back(const cluster::WriteBatch& batch);
+    // Acts on an answer by which the batch is malformed.
     void handle_malformed(cluster::LeaderTerm& leader, const std::string& answer, bool uncertain);
+    // The batch is durable.
     void apply(cluster::LeaderTerm& leader, const cluster::WriteBatch& batch, std::uint64_t revision);
 
     const config::Settings& settings_;
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -13,6 +13,7 @@
 
 namespace pineroad::controller {
 
+// A controller of the platform.
 class Controller {
    public:
     // `connect` makes the clients of all others, `seed` determines every random choice, and `record_format`
@@ -33,6 +34,7 @@
     net::awaitable<net::Reply> mesh(net::Request request);
 
    private:
+    // All parts of a controller.
     struct Parts;
     std::unique_ptr<Parts> parts_;
 };
--- a/src/controller/direct_command_dispatcher.cpp
+++ b/src/controller/direct_command_dispatcher.cpp
@@ -10,7 +10,6 @@
 #include <utility>
 
 #include "config/constants.hpp"
-#include "net/scoped_count.hpp"
 #include "store/steady_time.hpp"
 #include "wire/protocol.hpp"
 
@@ -58,13 +57,15 @@
         auto next = std::move(queue_.front());
         queue_.pop_front();
         if (steady_now_s() - next.decided_at > longest_wait_s_) continue;
-        ++in_flight_;
-        net::asio::co_spawn(dependencies_.io, send(shared_from_this(), std::move(next.commands)),
+        auto counted = std::make_unique<net::ScopedCount>(in_flight_);
+        net::asio::co_spawn(dependencies_.io,
+                            send(shared_from_this(), std::move(counted), std::move(next.commands)),
                             net::asio::detached);
     }
 }
 
 net::awaitable<void> DirectCommandDispatcher::send(std::shared_ptr<DirectCommandDispatcher> self,
+                                                   std::unique_ptr<net::ScopedCount> counted,
                                                    cluster::DirectCommands commands) {
     try {
         co_await self->send_to_worker(commands);
@@ -72,7 +73,7 @@
         spdlog::warn("direct commands to {} ({}) failed: {}", commands.machine, commands.address,
                      error.what());
     }
-    --self->in_flight_;
+    counted.reset();
     self->send_queued();
 }
 
--- a/src/controller/direct_command_dispatcher.hpp
+++ b/src/controller/direct_command_dispatcher.hpp
@@ -12,6 +12,7 @@
 #include "config/settings.hpp"
 #include "leadership/term.hpp"
 #include "net/http.hpp"
+#include "net/scoped_count.hpp"
 
 namespace pineroad::controller {
 
@@ -33,13 +34,17 @@
     void dispatch(std::vector<cluster::DirectCommands> commands);
 
    private:
+    // Commands to one machine, and when they were decided.
     struct Queued {
         double decided_at = 0;
         cluster::DirectCommands commands;
     };
+    // Sends what is queued while there is room; drops what has waited too long.
     void send_queued();
+    // Sends to one worker, and then what waited for that. `self` keeps the dispatcher alive.
     net::awaitable<void> send(std::shared_ptr<DirectCommandDispatcher> self,
-                              cluster::DirectCommands commands);
+                              std::unique_ptr<net::ScopedCount> counted, cluster::DirectCommands commands);
+    // Throws if the worker's address can't be used.
     net::awaitable<void> send_to_worker(const cluster::DirectCommands& commands);
 
     const std::shared_ptr<leadership::Term> term_;
--- a/src/controller/format_loop.hpp
+++ b/src/controller/format_loop.hpp
@@ -14,6 +14,7 @@
 
 namespace pineroad::controller {
 
+// Writes the record of format readers.
 class FormatLoop {
    public:
     // All of these must outlive the object.
@@ -23,6 +24,7 @@
     net::awaitable<void> run(std::shared_ptr<cluster::LeaderTerm> leader);
 
    private:
+    // Writes these readers, and brings the watch cache up to that.
     net::awaitable<void> record(const leadership::Term& term, std::set<std::string> readers);
 
     store::StoreClient& store_;
--- a/src/controller/leader_loops.hpp
+++ b/src/controller/leader_loops.hpp
@@ -27,6 +27,7 @@
 
 namespace pineroad::controller {
 
+// Owns the loops of the leader and the term that they work for.
 class LeaderLoops final : public leadership::LeaderWork {
    public:
     // What the loops work with; all of it must outlive the object.
@@ -60,7 +61,9 @@
     void finish() override;
 
    private:
+    // Loads the cluster state from the watch cache.
     [[nodiscard]] bool load(cluster::ClusterState& cluster_state);
+    // Passes changes of the watch cache on to the cluster state.
     void follow_watch_cache(cluster::LeaderTerm& leader);
 
     const Dependencies dependencies_;
--- a/src/controller/planning_loop.hpp
+++ b/src/controller/planning_loop.hpp
@@ -13,6 +13,7 @@
 
 namespace pineroad::controller {
 
+// Runs the planning rounds of a term.
 class PlanningLoop {
    public:
     // All of these must outlive the object.
--- a/src/controller/provisioning_loops.hpp
+++ b/src/controller/provisioning_loops.hpp
@@ -12,6 +12,7 @@
 
 namespace pineroad::controller {
 
+// One function for each loop.
 class ProvisioningLoops {
    public:
     // The client must outlive the object.
--- a/src/leadership/election.hpp
+++ b/src/leadership/election.hpp
@@ -44,6 +44,7 @@
     virtual void finish() = 0;
 };
 
+// Wins terms for this controller and keeps them.
 class Election {
    public:
     // What an election works with; all of it must outlive the election.
@@ -63,13 +64,21 @@
     net::awaitable<void> run();
 
    private:
+    // Waits while there is a leader; ends the lease of an earlier process of this controller.
     net::awaitable<void> follow();
+    // The term, or null if it was not won.
     net::awaitable<std::shared_ptr<Term>> run_for_leader();
+    // Writes the leader record. Its revision, or 0 if it may be of another controller.
     net::awaitable<std::uint64_t> claim_leadership(const TermIdentity& identity);
+    // From the won term to its end.
     net::awaitable<void> lead(std::shared_ptr<Term> term);
+    // False: the term ended before, or the state could not be built.
     net::awaitable<bool> load_state(std::shared_ptr<Term> term);
+    // Renews the lease until the term is over.
     net::awaitable<void> renew_lease(std::shared_ptr<Term> term);
+    // Nothing: the term goes on.
     [[nodiscard]] std::optional<EndReason> reason_to_step_down(const Term& term) const;
+    // Ends a lease before it expires.
     net::awaitable<void> revoke_lease(std::uint64_t lease);
 
     const std::string name_;
--- a/src/leadership/leadership_state.hpp
+++ b/src/leadership/leadership_state.hpp
@@ -13,6 +13,7 @@
 
 namespace pineroad::leadership {
 
+// The present knowledge of who leads.
 class LeadershipState final : public store::WatchCacheObserver {
    public:
     // The guard must outlive the object.
--- a/src/leadership/lease_guard.hpp
+++ b/src/leadership/lease_guard.hpp
@@ -21,6 +21,7 @@
     double contacted_at = -1, store_contact_age_s = 0;
 };
 
+// Keeps the proofs and decides what they allow.
 class LeaseGuard {
    public:
     // The settings' time-out of a cancellation and the length of a worker's lease.
--- a/src/peers/peer_directory.hpp
+++ b/src/peers/peer_directory.hpp
@@ -28,6 +28,7 @@
     }
 };
 
+// The peers of the settings, and what is known of each.
 class PeerDirectory final : public leadership::PeerView {
    public:
     // The settings must outlive the directory.
--- a/src/peers/peer_exchange.hpp
+++ b/src/peers/peer_exchange.hpp
@@ -19,6 +19,7 @@
 
 namespace pineroad::peers {
 
+// Sends, answers and applies messages.
 class PeerExchange {
    public:
     // What the exchange works with; all of it must outlive the exchange.
@@ -46,8 +47,11 @@
     void record_heartbeat();
 
    private:
+    // What this controller says of itself.
     [[nodiscard]] wire::PeerMessage own_message() const;
+    // Cancellations that the message names are known here from now on.
     void record_cancellations(const wire::PeerMessage& message);
+    // A peer answered a message that was sent at `sent`.
     void apply_response(std::size_t peer, double sent, wire::PeerMessage answer);
 
     const std::string name_;
--- a/src/peers/record_format.hpp
+++ b/src/peers/record_format.hpp
@@ -11,6 +11,7 @@
 
 namespace pineroad::peers {
 
+// Knows the readers of the present record format.
 class RecordFormat {
    public:
     // `own_format` is the latest that this process reads; `started_at` when it started (seconds, steady
--- a/src/store/linearizable_read.hpp
+++ b/src/store/linearizable_read.hpp
@@ -12,6 +12,7 @@
 
 namespace pineroad::store {
 
+// Checks, shared by its callers, that the watch cache is current.
 class LinearizableRead {
    public:
     // All of these must outlive the object.
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -47,6 +47,7 @@
     std::optional<wire::Row> row;  // when found; nothing if it can't be parsed
 };
 
+// Sends requests to the store and keeps account of their success.
 class StoreClient {
    public:
     // `requests_per_s` is what the store serves to all `controllers` together.
--- a/src/store/watch_cache_observer.hpp
+++ b/src/store/watch_cache_observer.hpp
@@ -5,6 +5,7 @@
 
 namespace pineroad::store {
 
+// Receives the reports.
 class WatchCacheObserver {
    public:
     virtual ~WatchCacheObserver() = default;
--- a/src/store/watch_loop.hpp
+++ b/src/store/watch_loop.hpp
@@ -8,6 +8,7 @@
 
 namespace pineroad::store {
 
+// Keeps one watch cache current.
 class WatchLoop {
    public:
     // All of these must outlive the loop.
@@ -16,9 +17,11 @@
     net::awaitable<void> run();
 
    private:
+    // Loads the cache; false: a request failed.
     net::awaitable<bool> load();
     // The revision of the first page, or nothing if a page could not be read.
     net::awaitable<std::optional<std::uint64_t>> load_rows();
+    // Waits for one watch, applies its events and pauses.
     net::awaitable<void> watch_once();
 
     StoreClient& store_;
