--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -163,9 +163,8 @@
 inline constexpr double max_price_ratio = 4.0;    // beyond, a dearer machine counts as no dearer
 inline constexpr double price_cost_busy_s = 2.0;  // for each unit of the price ratio, on a machine in use
 inline constexpr double price_cost_idle_s = 8.0;  // ... and on an idle one, which could be given back instead
-inline constexpr double unused_capacity_cost_s =
-    0.2;                                            // for each GPU that stays free beside the task: best fit
-inline constexpr double gpus_per_cpu_weight = 0.1;  // ... as which so much of a free CPU counts
+inline constexpr double unused_capacity_cost_s = 0.2;  // for each GPU left free beside the task: best fit
+inline constexpr double gpus_per_cpu_weight = 0.1;     // as so much of a GPU counts a CPU left free
 
 // --- cloud ------------------------------------------------------------------------------------------------
 inline constexpr double cloud_timeout_s = 5.0;
--- a/src/model/dependency_graph.hpp
+++ b/src/model/dependency_graph.hpp
@@ -62,6 +62,7 @@
     [[nodiscard]] bool in_pipeline(const JobSpec& spec) const;
 
    private:
+    // A live job, and what follows for it from the jobs before and after it.
     struct LiveJob {
         std::vector<std::string> dependencies;
         std::size_t pending = 0;          // dependencies that are not known to be done
@@ -80,11 +81,13 @@
     void add_dependencies(const std::string& id, LiveJob& job);
     // Marks every live job after this one as cancelled, and adds it to the change.
     void cancel_dependents(const std::string& id, Change& change);
+    // Marks them, and answers with those that were not marked before.
     [[nodiscard]] std::vector<std::string> mark_dependents_cancelled(const std::string& id);
     // Works out anew what these jobs, and all jobs before them, inherit from the jobs after them.
     void update_inherited(const std::vector<std::string>& changed);
     // The same for one job. True if its priority or deadline changed.
     bool update_inherited_of(const std::string& id, LiveJob& job);
+    // The live job of this id; null where there is none.
     [[nodiscard]] const LiveJob* find(const std::string& id) const;
 
     std::map<std::string, LiveJob> live_;
--- a/src/model/job.hpp
+++ b/src/model/job.hpp
@@ -43,8 +43,8 @@
     std::int64_t accepted_ms = 0;      // time of day at acceptance, Unix time
     // Jobs that must be done before any task of this one starts; none twice.
     std::vector<std::string> dependencies;
-    std::uint32_t dependency_records =
-        0;  // stored records beside the job's own that hold the end of that list
+    // Stored records beside the job's own that hold the end of that list.
+    std::uint32_t dependency_records = 0;
 
     // Whether the job accepts machines of this type.
     [[nodiscard]] bool allows_type(const std::string& type) const {
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -95,7 +95,7 @@
     // Whether a job may go to any machine, or only to those that hold its image.
     enum class ImageRule { any_machine, image_present };
     struct AssignedTask {
-        std::uint32_t index;
+        std::uint32_t index;  // of the task in its job
         MachineSnapshot* machine;
     };
 
@@ -119,8 +119,9 @@
     OpenMachine* next_candidate(const PendingJob& job);
     void return_candidate(const PendingJob& job, const PoolTerms& terms, const OpenMachine& open);
 
-    // Accounts for one task of the job on the machine, and takes that back.
+    // Accounts for one task of the job on the machine.
     void assign(PendingJob& job, MachineSnapshot& machine);
+    // Takes back what assign() accounted for.
     void unassign(PendingJob& job, MachineSnapshot& machine);
     // Decides that the task starts there: what was assigned is final.
     void decide(const PendingJob& job, std::uint32_t index, MachineSnapshot& machine);
@@ -168,7 +169,8 @@
 void PlacementRound::place_in_bands(const std::vector<PendingJob*>& queue) {
     for (std::size_t first = 0, last = 0; first < queue.size(); first = last) {
         const double floor = queue[first]->xfactor / snapshot_.tuning->image_locality_band;
-        for (last = first + 1; last < queue.size() && queue[last]->xfactor > floor;) ++last;
+        last = first + 1;
+        while (last < queue.size() && queue[last]->xfactor > floor) ++last;
         const bool alone = last - first == 1;
         for (const auto rule : {ImageRule::image_present, ImageRule::any_machine}) {
             if (alone && rule == ImageRule::image_present) continue;
--- a/src/scheduling/snapshot.hpp
+++ b/src/scheduling/snapshot.hpp
@@ -43,10 +43,10 @@
     std::map<std::string, std::uint32_t> tasks_by_zone;  // its placed tasks by zone, unknown tasks included
     double xfactor = 1;                                  // see xfactor.hpp
     double waited_s = 0;  // since it was accepted, or since it last ran: decides who gets a reservation
-    double expected_s =
-        1;  // run time of a task: the user's estimate, corrected by what its class was seen to take
+    // Run time of a task: the user's estimate, corrected by what tasks of its class were seen to take.
+    double expected_s = 1;
     double slack_s = 0;  // how long its start may still take without missing a service-level objective
-    std::set<std::string> excluded_machines;  // machines that failed it
+    std::set<std::string> excluded_machines;  // on which it failed, or which its gang has just left
     bool in_pipeline = false;                 // one task lost with its machine is late for all jobs after it
     std::uint32_t max_placements = UINT32_MAX;  // tasks that may be placed now (value size of its record)
 };
