--- a/src/store/progress_view.cpp
+++ b/src/store/progress_view.cpp
@@ -16,10 +16,11 @@
         auto& latest = latest_[entry];  // a new entry's {0, 0} is less than any sequence
         if (latest > segment.sequence) continue;
         latest = segment.sequence;
-        if (progress)
+        if (progress) {
             entries_[entry] = {std::move(*progress), mod_revision, name};
-        else  // a tombstone: no task of it is left anywhere
+        } else {  // a tombstone: no task of it is left anywhere
             entries_.erase(entry);
+        }
     }
 }
 
--- a/src/store/watch_cache.cpp
+++ b/src/store/watch_cache.cpp
@@ -28,10 +28,11 @@
 void WatchCache::apply(const wire::WatchEvents& events, double now) {
     for (const auto& event : events.events) {
         if (event.mod_revision <= revision) continue;
-        if (event.value)
+        if (event.value) {
             apply_row(event.key, *event.value, event.mod_revision, now);
-        else
+        } else {
             apply_drop(event.key);
+        }
     }
     revision = std::max(revision, events.revision);
     now_ = now;
