--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -72,11 +72,12 @@
 
 AdmissionResult Admission::check_dependency_list(const model::JobSpec& spec) {
     if (spec.dependencies.size() > c::max_dependencies)
-        return AdmissionError{AdmissionErrorKind::malformed, 400,
-                              fmt::format("WaitsOn names more than {} jobs", c::max_dependencies)};
+        return AdmissionError{
+            AdmissionErrorKind::malformed, 400,
+            fmt::format("{} names more than {} jobs", wire::dependencies_field, c::max_dependencies)};
     if (std::find(spec.dependencies.begin(), spec.dependencies.end(), spec.id) != spec.dependencies.end())
         return AdmissionError{AdmissionErrorKind::bad_dependency, 422,
-                              fmt::format("{} names itself in WaitsOn", spec.id)};
+                              fmt::format("{} names itself in {}", spec.id, wire::dependencies_field)};
     // An earlier version would start the job at once.
     if (!dependencies_.record_format.agreed()) {
         dependencies_.record_format.request_dependencies();
--- a/src/api/router.cpp
+++ b/src/api/router.cpp
@@ -13,7 +13,7 @@
     if (path == wire::heartbeat_path) return {Endpoint::heartbeat, {}};
     if (path == wire::health_path) return {Endpoint::health, {}};
     if (path == wire::submissions_path) return {Endpoint::submit, {}};
-    constexpr std::string_view separator = "/", cancel_suffix = "/cancel";
+    constexpr std::string_view separator = "/", cancel_suffix = wire::cancellation_suffix;
     if (!path.starts_with(wire::submissions_path)) return {};
     path.remove_prefix(wire::submissions_path.size());
     if (!path.starts_with(separator)) return {};
--- a/src/cluster/segment_store.cpp
+++ b/src/cluster/segment_store.cpp
@@ -17,7 +17,8 @@
         for (const auto& entry : segment.entries) {
             ++references_[entry];
             auto& latest = latest_segment_[entry];
-            if (latest.empty() || watch_cache.progress.segments().at(latest).sequence < segment.sequence) latest = name;
+            if (latest.empty() || watch_cache.progress.segments().at(latest).sequence < segment.sequence)
+                latest = name;
         }
     }
 }
--- a/src/model/heartbeat.hpp
+++ b/src/model/heartbeat.hpp
@@ -57,6 +57,7 @@
 // A command to an agent, in the answer to a heartbeat or sent directly. Each may be repeated, but a start
 // after a forget of the same attempt starts it once more.
 struct Command {
+    // What the agent is to do with the task.
     enum class Kind {
         start,  // start the task; nothing happens where the agent has this attempt already
         stop,   // stop the task, and save a checkpoint if the grace suffices for it
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -17,7 +17,8 @@
     using period = duration::period;
     using time_point = std::chrono::time_point<Clock>;
     static constexpr bool is_steady = true;
-    inline static std::optional<time_point> simulated;  // nothing: the real clocks count
+    // The time that tests set; nothing: the real clocks count. Asio calls a clock's static functions only.
+    inline static std::optional<time_point> simulated;  // NOLINT: not constant, for the tests
     // The steady clock's time.
     static time_point now() {
         return simulated ? *simulated : time_point(std::chrono::steady_clock::now().time_since_epoch());
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -41,6 +41,8 @@
         }
         Permit(const Permit&) = delete;
         Permit& operator=(const Permit&) = delete;
+        Permit(Permit&&) = delete;
+        Permit& operator=(Permit&&) = delete;
 
        private:
         State& state_;
@@ -128,8 +130,8 @@
         auto response = parser.release();
         reply.status = static_cast<int>(response.result_int());
         reply.body = std::move(response.body());
-        if (response.keep_alive() && idle.size() < constants::client_connections)
-            keep_idle(std::move(stream));
+        const bool reusable = response.keep_alive() && idle.size() < constants::client_connections;
+        if (reusable) keep_idle(std::move(stream));
         co_return reply;
     }
 };
@@ -137,7 +139,6 @@
 HttpClient::HttpClient(asio::any_io_executor executor, config::Endpoint endpoint, std::size_t max_body_bytes)
     : state_(std::make_shared<State>(
           State{std::move(executor), std::move(endpoint), max_body_bytes, {}, 0, {}})) {}
-HttpClient::~HttpClient() = default;
 
 awaitable<std::optional<Reply>> HttpClient::request(std::string method, std::string target, std::string body,
                                                     double timeout_s) {
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -16,7 +16,6 @@
    public:
     // Connects to nothing yet. Answers with bodies of more than so many bytes are given as `too_large`.
     HttpClient(asio::any_io_executor executor, config::Endpoint endpoint, std::size_t max_body_bytes);
-    ~HttpClient() override;
 
     // Gives nothing also for a request that was not sent: the queue is full, no connection came free in time,
     // or none could be made.
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -119,10 +119,11 @@
         Request request{std::string(message.method_string()), std::string(message.target()),
                         std::move(message.body())};
         Reply reply;
-        if (connection_class.admit(request.target))
+        if (connection_class.admit(request.target)) {
             reply = co_await handler(std::move(request));
-        else
+        } else {
             reply = limits.full();
+        }
         auto response = to_response(std::move(reply), keep_alive);
         const bool stay = response.keep_alive();
         stream.expires_after(seconds(constants::write_timeout_s));
--- a/src/net/scoped_count.hpp
+++ b/src/net/scoped_count.hpp
@@ -14,6 +14,8 @@
     // A copy would take off more than it added.
     ScopedCount(const ScopedCount&) = delete;
     ScopedCount& operator=(const ScopedCount&) = delete;
+    ScopedCount(ScopedCount&&) = delete;
+    ScopedCount& operator=(ScopedCount&&) = delete;
 
    private:
     std::size_t& count_;
--- a/src/wire/category_averages_record.cpp
+++ b/src/wire/category_averages_record.cpp
@@ -21,8 +21,8 @@
     for (const auto& [category, item] : *object) {
         const auto* pair = item.if_array();
         if (!pair || pair->size() != 2) continue;
-        const auto mean = read::number(&(*pair)[0]);
-        const auto count = read::count(&(*pair)[1]);
+        const auto mean = read::number(pair->if_contains(0));
+        const auto count = read::count(pair->if_contains(1));
         if (mean && count) out[std::string(category)] = {*mean, *count};
     }
     return out;
--- a/src/wire/cloud_protocol.cpp
+++ b/src/wire/cloud_protocol.cpp
@@ -1,5 +1,6 @@
 #include "wire/cloud_protocol.hpp"
 
+#include <array>
 #include <boost/json/array.hpp>
 #include <boost/json/serialize.hpp>
 #include <utility>
@@ -18,9 +19,10 @@
 constexpr double default_price = 1;
 constexpr double default_boot_s = 60;
 
-constexpr EnumName<model::MachineStatus> machine_statuses[] = {{"booting", model::MachineStatus::booting},
-                                                               {"running", model::MachineStatus::running},
-                                                               {"failed", model::MachineStatus::failed}};
+constexpr auto machine_statuses =
+    std::to_array<EnumName<model::MachineStatus>>({{"booting", model::MachineStatus::booting},
+                                                   {"running", model::MachineStatus::running},
+                                                   {"failed", model::MachineStatus::failed}});
 
 // Strings, each of which must be one; nothing if there is no list or something else in it.
 std::optional<std::vector<std::string>> parse_strings(const json::array* list) {
@@ -123,9 +125,10 @@
 }
 
 std::string machine_list_target(std::string_view after, int page) {
-    std::string out = std::string(machines_path) + "?Page=" + std::to_string(page);
-    if (!after.empty()) out += "&Since=" + escape_query_value(after);
-    return out;
+    std::string target(machines_path);
+    add_query_parameter(target, query_name::page_size, std::to_string(page));
+    if (!after.empty()) add_query_parameter(target, query_name::after, after);
+    return target;
 }
 
 std::optional<MachineList> parse_machine_list(std::string_view body) {
--- a/src/wire/field_names.hpp
+++ b/src/wire/field_names.hpp
@@ -1,6 +1,6 @@
-// The protocol's names of JSON fields, each mapped once to the term that the code uses for it. Internal to
-// src/wire: nothing outside this folder sees a name of the wire. The names of enumerated values stand in the
-// tables of the protocol that uses them; paths and their parameters likewise.
+// The protocol's names of JSON fields and of query parameters, each mapped once to the term that the code
+// uses for it. Internal to src/wire: other folders see no name of the wire. The names of enumerated values
+// stand in the tables of the protocol that uses them, and paths in its header.
 #pragma once
 
 #include <string_view>
@@ -36,7 +36,6 @@
 inline constexpr Name checkpoint_interval_s = "NotchS";
 inline constexpr Name checkpoint_save_s = "StashS";
 inline constexpr Name deadline_s = "DueS";
-inline constexpr Name dependencies = "WaitsOn";
 inline constexpr Name done_tasks = "done";
 inline constexpr Name running_tasks = "running";
 inline constexpr Name error = "error";
@@ -85,3 +84,12 @@
 inline constexpr Name failed_conditions = "failed";
 
 }  // namespace pineroad::wire::field_name
+
+namespace pineroad::wire::query_name {
+
+inline constexpr std::string_view prefix = "Under";
+inline constexpr std::string_view after = "Since";  // a machine, a key or a revision
+inline constexpr std::string_view page_size = "Page";
+inline constexpr std::string_view block_ms = "BlockMs";
+
+}  // namespace pineroad::wire::query_name
--- a/src/wire/field_reader.hpp
+++ b/src/wire/field_reader.hpp
@@ -3,6 +3,7 @@
 #pragma once
 
 #include <boost/json/object.hpp>
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -30,12 +31,11 @@
     // An integer within the bounds, both included.
     void read_count(std::string_view key, std::uint32_t min, std::uint32_t max, std::uint32_t& into);
     // A name of the table.
-    template <class Enum, std::size_t size>
-    void read_enum(std::string_view key, const EnumName<Enum> (&table)[size], Enum& into) {
-        if (const auto value = value_of(table, read::text(object_, key)))
-            into = *value;
-        else
-            reject(key);
+    template <class Enum, std::size_t Size>
+    void read_enum(std::string_view key, const EnumTable<Enum, Size>& table, Enum& into) {
+        const auto value = value_of(table, read::text(object_, key));
+        if (!value) return reject(key);
+        into = *value;
     }
     // As read_text, but null and missing are valid and leave nothing.
     void read_optional_text(std::string_view key, std::optional<std::string>& into);
--- a/src/wire/job_id.cpp
+++ b/src/wire/job_id.cpp
@@ -18,7 +18,7 @@
     if (id.size() <= job_id_prefix.size() || id.size() > max_job_id_size) return false;
     if (!id.starts_with(job_id_prefix)) return false;
     const auto rest = id.substr(job_id_prefix.size());
-    return std::all_of(rest.begin(), rest.end(), [](unsigned char c) { return std::isalnum(c); });
+    return std::all_of(rest.begin(), rest.end(), [](unsigned char byte) { return std::isalnum(byte) != 0; });
 }
 
 std::string task_name(const model::TaskId& task) {
@@ -30,7 +30,8 @@
     if (slash == std::string_view::npos || !valid_job_id(name.substr(0, slash))) return std::nullopt;
     const auto digits = name.substr(slash + 1);
     if (digits.empty() || digits.size() > max_index_digits) return std::nullopt;
-    if (!std::all_of(digits.begin(), digits.end(), [](unsigned char c) { return std::isdigit(c); }))
+    if (!std::all_of(digits.begin(), digits.end(),
+                     [](unsigned char byte) { return std::isdigit(byte) != 0; }))
         return std::nullopt;
     const auto index = std::stoul(std::string(digits));
     if (index >= constants::max_tasks) return std::nullopt;
--- a/src/wire/job_record.cpp
+++ b/src/wire/job_record.cpp
@@ -39,7 +39,8 @@
 
 // The end of the longest run of ids from `first` on whose text fits into so many bytes.
 std::size_t end_of_fitting_ids(const std::vector<std::string>& ids, std::size_t first, std::size_t bytes) {
-    std::size_t last = first, used = 0;
+    std::size_t last = first;
+    std::size_t used = 0;
     while (last < ids.size() && used + ids[last].size() - id_prefix.size() + 1 <= bytes)
         used += ids[last++].size() - id_prefix.size() + 1;
     return last;
--- a/src/wire/peer_protocol.cpp
+++ b/src/wire/peer_protocol.cpp
@@ -2,6 +2,7 @@
 
 #include <cbor.h>
 
+#include <array>
 #include <memory>
 
 namespace pineroad::wire {
@@ -19,8 +20,8 @@
 constexpr NumberField heartbeat_field{"report_age_ms", &PeerMessage::heartbeat_age_ms, true};
 constexpr NumberField revision_field{"epoch", &PeerMessage::revision, true};
 constexpr NumberField format_field{"format", &PeerMessage::format, false};
-constexpr const NumberField* number_fields[] = {&token_field,     &uptime_field,   &store_contact_field,
-                                                &heartbeat_field, &revision_field, &format_field};
+constexpr std::array number_fields{&token_field,     &uptime_field,   &store_contact_field,
+                                   &heartbeat_field, &revision_field, &format_field};
 
 struct TextField {
     std::string_view name;
@@ -28,7 +29,7 @@
 };
 constexpr TextField node_field{"node", &PeerMessage::node};
 constexpr TextField leader_field{"leader", &PeerMessage::leader};
-constexpr const TextField* text_fields[] = {&node_field, &leader_field};  // required, all of them
+constexpr std::array text_fields{&node_field, &leader_field};  // required, all of them
 
 struct FlagField {
     std::string_view name;
@@ -37,7 +38,7 @@
 };
 constexpr FlagField confirms_field{"vouches", &PeerMessage::confirms_cancellations, true};
 constexpr FlagField dependencies_field{"asked_to_depend", &PeerMessage::dependencies_requested, false};
-constexpr const FlagField* flag_fields[] = {&confirms_field, &dependencies_field};
+constexpr std::array flag_fields{&confirms_field, &dependencies_field};
 
 constexpr std::string_view cancelled_name = "cancelled";  // required
 
@@ -77,7 +78,8 @@
 void add_cancelled(cbor_item_t* map, const PeerMessage& message) {
     const Item list(cbor_new_definite_array(2 * message.cancelled.size()));
     for (const auto& [revision, job] : message.cancelled) {
-        const Item revision_item = number_item(revision), job_item = text_item(job);
+        const Item revision_item = number_item(revision);
+        const Item job_item = text_item(job);
         (void)!cbor_array_push(list.get(), revision_item.get());
         (void)!cbor_array_push(list.get(), job_item.get());
     }
@@ -138,14 +140,17 @@
 }
 
 FieldRead read_field(std::string_view name, const cbor_item_t* item, PeerMessage& message) {
-    for (const auto* field : number_fields)
+    for (const auto* field : number_fields) {
         if (field->name == name)
             return field_read(read_number(item, message.*(field->member)), field->required);
-    for (const auto* field : text_fields)
+    }
+    for (const auto* field : text_fields) {
         if (field->name == name) return field_read(read_text(item, message.*(field->member)), true);
-    for (const auto* field : flag_fields)
+    }
+    for (const auto* field : flag_fields) {
         if (field->name == name)
             return field_read(read_flag(item, message.*(field->member)), field->required);
+    }
     if (name == cancelled_name) return field_read(read_cancelled(item, message), true);
     return FieldRead::unknown;
 }
--- a/src/wire/progress_record.cpp
+++ b/src/wire/progress_record.cpp
@@ -18,8 +18,8 @@
     for (const auto& item : ranges) {
         const auto* range = item.if_array();
         if (!range || range->size() != 2) return false;
-        const auto first = read::count(&(*range)[0]);
-        const auto last = read::count(&(*range)[1]);
+        const auto first = read::count(range->if_contains(0));
+        const auto last = read::count(range->if_contains(1));
         if (!first || !last) return false;
         done += boost::icl::discrete_interval<std::uint32_t>::closed(static_cast<std::uint32_t>(*first),
                                                                      static_cast<std::uint32_t>(*last));
@@ -31,8 +31,8 @@
     for (const auto& item : list) {
         const auto* placement = item.if_array();
         if (!placement || placement->size() != 3 || !(*placement)[2].is_string()) return false;
-        const auto index = read::count(&(*placement)[0]);
-        const auto attempt = read::count(&(*placement)[1]);
+        const auto index = read::count(placement->if_contains(0));
+        const auto attempt = read::count(placement->if_contains(1));
         if (!index || !attempt) return false;
         placements.push_back(
             {static_cast<std::uint32_t>(*index), *attempt, std::string((*placement)[2].get_string())});
@@ -58,7 +58,8 @@
 }
 
 Json progress_json(const model::Progress& progress, std::uint32_t shard) {
-    json::array done, placements;
+    json::array done;
+    json::array placements;
     for (const auto& range : progress.done)
         done.push_back(json::array{boost::icl::first(range), boost::icl::last(range)});
     for (const auto& placement : progress.placements)
--- a/src/wire/store_protocol.cpp
+++ b/src/wire/store_protocol.cpp
@@ -12,6 +12,9 @@
 
 namespace json = boost::json;
 
+constexpr std::string_view store_path = "/store";
+constexpr std::string_view watch_path = "/follow";
+
 // The value may be JSON's null, which counts as a value here.
 std::optional<Row> read_row(const json::object& object) {
     auto key = read::text(object, field_name::key);
@@ -45,25 +48,32 @@
 }  // namespace
 
 std::string store_target(std::string_view key) {
-    return "/store/" + std::string(key);
+    return std::string(store_path) + "/" + std::string(key);
 }
 
 std::string list_store_target(std::string_view prefix, std::string_view after, int page) {
-    std::string out = "/store?Under=" + escape_query_value(prefix) + "&Page=" + std::to_string(page);
-    if (!after.empty()) out += "&Since=" + escape_query_value(after);
-    return out;
+    std::string target(store_path);
+    add_query_parameter(target, query_name::prefix, prefix);
+    add_query_parameter(target, query_name::page_size, std::to_string(page));
+    if (!after.empty()) add_query_parameter(target, query_name::after, after);
+    return target;
 }
 
 std::string watch_target(std::string_view prefix, std::uint64_t since, int block_ms) {
-    return "/follow?Under=" + escape_query_value(prefix) + "&Since=" + std::to_string(since) +
-           "&BlockMs=" + std::to_string(block_ms);
+    std::string target(watch_path);
+    add_query_parameter(target, query_name::prefix, prefix);
+    add_query_parameter(target, query_name::after, std::to_string(since));
+    add_query_parameter(target, query_name::block_ms, std::to_string(block_ms));
+    return target;
 }
 
 std::string commit_request(const Transaction& transaction) {
-    json::array conditions, changes;
-    for (const auto& condition : transaction.conditions)
+    json::array conditions;
+    json::array changes;
+    for (const auto& condition : transaction.conditions) {
         conditions.push_back(json::object{{field_name::key, condition.key},
                                           {field_name::mod_revision, condition.mod_revision}});
+    }
     for (const auto& change : transaction.changes) changes.push_back(change_json(change));
     return json::serialize(json::object{{field_name::conditions, std::move(conditions)},
                                         {field_name::changes, std::move(changes)}});
--- a/src/wire/url.cpp
+++ b/src/wire/url.cpp
@@ -3,21 +3,32 @@
 #include <cctype>
 
 namespace pineroad::wire {
+namespace {
 
-std::string escape_query_value(std::string_view value) {
+// The value with every byte percent-encoded except letters, digits and "-_./~". Our keys and the names of
+// machines hardly need it.
+std::string escape(std::string_view value) {
     static constexpr std::string_view hex = "0123456789ABCDEF";
     static constexpr std::string_view unescaped_marks = "-_./~";
     std::string out;
-    for (const unsigned char c : value) {
-        if (std::isalnum(c) || unescaped_marks.find(static_cast<char>(c)) != std::string_view::npos) {
-            out += static_cast<char>(c);
+    for (const char character : value) {
+        const auto byte = static_cast<unsigned char>(character);
+        if (std::isalnum(byte) != 0 || unescaped_marks.find(character) != std::string_view::npos) {
+            out += character;
         } else {
             out += '%';
-            out += hex[c >> 4];
-            out += hex[c & 15];
+            out += hex[byte / hex.size()];
+            out += hex[byte % hex.size()];
         }
     }
     return out;
 }
 
+}  // namespace
+
+void add_query_parameter(std::string& target, std::string_view name, std::string_view value) {
+    target += target.find('?') == std::string::npos ? '?' : '&';
+    target.append(name).append("=").append(escape(value));
+}
+
 }  // namespace pineroad::wire
--- a/src/wire/url.hpp
+++ b/src/wire/url.hpp
@@ -1,4 +1,4 @@
-// Values in the query of a URL.
+// Targets of requests: a path and its query.
 #pragma once
 
 #include <string>
@@ -6,8 +6,7 @@
 
 namespace pineroad::wire {
 
-// The value with every byte percent-encoded except letters, digits and "-_./~". Our keys and the names of
-// machines hardly need it.
-std::string escape_query_value(std::string_view value);
+// Adds a parameter to the target's query. Its value is escaped, its name is not.
+void add_query_parameter(std::string& target, std::string_view name, std::string_view value);
 
 }  // namespace pineroad::wire
--- a/src/wire/user_protocol.cpp
+++ b/src/wire/user_protocol.cpp
@@ -1,5 +1,6 @@
 #include "wire/user_protocol.hpp"
 
+#include <array>
 #include <boost/json/serialize.hpp>
 #include <set>
 #include <utility>
@@ -15,16 +16,17 @@
 
 namespace json = boost::json;
 
-constexpr EnumName<model::Shape> shapes[] = {
-    {"batch", model::Shape::array}, {"group", model::Shape::gang}, {"standing", model::Shape::service}};
-constexpr EnumName<model::Priority> priorities[] = {{"production", model::Priority::production},
-                                                    {"high", model::Priority::high},
-                                                    {"standard", model::Priority::normal},
-                                                    {"best_effort", model::Priority::low}};
-constexpr EnumName<JobStatus> job_statuses[] = {{"queued", JobStatus::queued},
-                                                {"running", JobStatus::running},
-                                                {"done", JobStatus::done},
-                                                {"withdrawn", JobStatus::cancelled}};
+constexpr auto shapes = std::to_array<EnumName<model::Shape>>(
+    {{"batch", model::Shape::array}, {"group", model::Shape::gang}, {"standing", model::Shape::service}});
+constexpr auto priorities =
+    std::to_array<EnumName<model::Priority>>({{"production", model::Priority::production},
+                                              {"high", model::Priority::high},
+                                              {"standard", model::Priority::normal},
+                                              {"best_effort", model::Priority::low}});
+constexpr auto job_statuses = std::to_array<EnumName<JobStatus>>({{"queued", JobStatus::queued},
+                                                                  {"running", JobStatus::running},
+                                                                  {"done", JobStatus::done},
+                                                                  {"withdrawn", JobStatus::cancelled}});
 
 // Ids of jobs, each once, in the order of their first mention; nothing if it is no list of valid ids.
 std::optional<std::vector<std::string>> parse_job_ids(const Json& value) {
@@ -88,10 +90,10 @@
 }
 
 void read_dependencies(FieldReader& reader, model::JobSpec& spec) {
-    const auto* value = reader.field(field_name::dependencies);
+    const auto* value = reader.field(dependencies_field);
     if (!value) return;
     auto ids = parse_job_ids(*value);
-    if (!ids) return reader.reject(field_name::dependencies);
+    if (!ids) return reader.reject(dependencies_field);
     spec.dependencies = std::move(*ids);
 }
 
--- a/src/wire/user_protocol.hpp
+++ b/src/wire/user_protocol.hpp
@@ -2,6 +2,7 @@
 //
 //   wire name                term
 //   /submissions             jobs: idempotent submission, poll, cancellation
+//   .../cancel               cancellation
 //   /up                      health probe
 //   NameId                   id of the job
 //   Jobclass, Crew           job class, team
@@ -33,6 +34,10 @@
 
 inline constexpr std::string_view submissions_path = "/submissions";
 inline constexpr std::string_view health_path = "/up";
+// What a cancellation's path has after the job's.
+inline constexpr std::string_view cancellation_suffix = "/cancel";
+// The field of a submission that names its dependencies, for the reasons of a refusal.
+inline constexpr std::string_view dependencies_field = "WaitsOn";
 
 // The job of a submission, or the first field that is wrong. Every field must have its type and range; fields
 // of other names are ignored. `accepted_ms` and `dependency_records` are not the user's and stay as they are.
--- a/src/wire/worker_protocol.cpp
+++ b/src/wire/worker_protocol.cpp
@@ -1,5 +1,6 @@
 #include "wire/worker_protocol.hpp"
 
+#include <array>
 #include <boost/json/array.hpp>
 #include <boost/json/serialize.hpp>
 #include <optional>
@@ -16,22 +17,25 @@
 
 namespace json = boost::json;
 
-constexpr EnumName<model::TaskState> task_states[] = {{"fetching", model::TaskState::fetching},
-                                                      {"waiting", model::TaskState::waiting_for_gang},
-                                                      {"running", model::TaskState::running},
-                                                      {"saving", model::TaskState::checkpointing},
-                                                      {"ended", model::TaskState::exited}};
-constexpr EnumName<model::ExitCause> exit_causes[] = {{"done", model::ExitCause::done},
-                                                      {"stopped", model::ExitCause::stopped},
-                                                      {"mates_gone", model::ExitCause::gang_member_lost},
-                                                      {"alone", model::ExitCause::gang_incomplete},
-                                                      {"error", model::ExitCause::error},
-                                                      {"full", model::ExitCause::insufficient_resources},
-                                                      {"busy", model::ExitCause::already_running},
-                                                      {"unknown", model::ExitCause::unknown_task}};
-constexpr EnumName<model::Command::Kind> command_kinds[] = {{"start", model::Command::Kind::start},
-                                                            {"stop", model::Command::Kind::stop},
-                                                            {"reap", model::Command::Kind::forget}};
+constexpr auto task_states =
+    std::to_array<EnumName<model::TaskState>>({{"fetching", model::TaskState::fetching},
+                                               {"waiting", model::TaskState::waiting_for_gang},
+                                               {"running", model::TaskState::running},
+                                               {"saving", model::TaskState::checkpointing},
+                                               {"ended", model::TaskState::exited}});
+constexpr auto exit_causes =
+    std::to_array<EnumName<model::ExitCause>>({{"done", model::ExitCause::done},
+                                               {"stopped", model::ExitCause::stopped},
+                                               {"mates_gone", model::ExitCause::gang_member_lost},
+                                               {"alone", model::ExitCause::gang_incomplete},
+                                               {"error", model::ExitCause::error},
+                                               {"full", model::ExitCause::insufficient_resources},
+                                               {"busy", model::ExitCause::already_running},
+                                               {"unknown", model::ExitCause::unknown_task}});
+constexpr auto command_kinds =
+    std::to_array<EnumName<model::Command::Kind>>({{"start", model::Command::Kind::start},
+                                                   {"stop", model::Command::Kind::stop},
+                                                   {"reap", model::Command::Kind::forget}});
 
 json::array commands_json(const std::vector<model::Command>& commands) {
     json::array out;
@@ -81,9 +85,10 @@
     const auto state = value_of(task_states, read::text(*object, field_name::status));
     if (!task || !attempt || !state) return std::nullopt;
     model::ReportedTask out{std::move(*task), *attempt, *state, model::ExitCause::none, false};
-    if (*state == model::TaskState::exited)
-        out.cause = value_of(exit_causes, read::text(*object, field_name::exit_cause))
-                        .value_or(model::ExitCause::error);
+    if (*state == model::TaskState::exited) {
+        const auto cause = value_of(exit_causes, read::text(*object, field_name::exit_cause));
+        out.cause = cause.value_or(model::ExitCause::error);
+    }
     out.saved = read::flag(*object, field_name::checkpoint_saved).value_or(false);
     return out;
 }
