--- a/src/cluster/heartbeat_reconciler.cpp
+++ b/src/cluster/heartbeat_reconciler.cpp
@@ -104,7 +104,7 @@
     return job;
 }
 
-// A task that ended. The worker keeps it until it is told to forget it.
+// A task that ended. The worker reports it until it gets the command to forget it.
 void HeartbeatReconciler::apply_exit(Machine& machine, Job* job, bool is_placed_here,
                                      const model::ReportedTask& task,
                                      CommandAcknowledgement& acknowledgement) {
@@ -155,7 +155,7 @@
                  machine.unacknowledged.heartbeats, context_.fencing_token);
 }
 
-// A spot notice: what can save, saves at once; the rest runs on as long as the machine stands.
+// What can save, saves at once; the rest runs on until the machine is interrupted.
 void HeartbeatReconciler::checkpoint_before_interruption(Machine& machine) {
     for (const auto& task : machine.tasks) {
         Job& job = *task.job;
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -21,7 +21,7 @@
     current_token,  // its latest heartbeat carried this term's token: it refuses commands of earlier terms
 };
 
-// The cloud will take a spot machine.
+// The cloud will interrupt a spot machine.
 struct InterruptionNotice {
     double remaining_s = 0;  // at the latest heartbeat
     double reported_at_s = 0;
@@ -36,7 +36,7 @@
     [[nodiscard]] TaskPlacement& placement() const { return job->placements.at(index); }
 };
 
-// A placement that ended and that the worker keeps until it is told to forget it.
+// A task that ended and that the worker reports until it gets the command to forget it.
 struct ExitedTask {
     model::TaskId task;
     std::uint64_t attempt = 0;
--- a/src/cluster/write_batch_builder.cpp
+++ b/src/cluster/write_batch_builder.cpp
@@ -14,22 +14,6 @@
 namespace c = constants;
 namespace records = wire::records;
 
-namespace {
-// Bytes of keys, conditions and punctuation around a value in a transaction, at most.
-constexpr std::size_t machine_types_frame_bytes = 100;
-constexpr std::size_t provisioning_frame_bytes = 200;
-constexpr std::size_t segment_frame_bytes = 200;
-constexpr std::size_t segment_reserve_bytes = 400;  // two frames: an entry may have to open a segment
-constexpr std::size_t removal_frame_bytes = 40;
-constexpr std::size_t entry_frame_bytes = 10;
-constexpr std::size_t tombstone_reserve_bytes = 40;
-constexpr std::size_t outcome_bytes = 600;             // a job's end with all its keys
-constexpr std::size_t dependency_removal_bytes = 100;  // of each further record of its dependencies
-constexpr std::size_t outcome_value_bytes = 100;
-constexpr std::size_t progress_removal_bytes = 200;
-constexpr std::size_t category_averages_bytes = 2000;
-}  // namespace
-
 BatchLimits BatchLimits::after_rejections(int rejections, std::size_t changes,
                                           const config::Settings& settings) {
     BatchLimits limits;
@@ -71,7 +55,7 @@
 void WriteBatchBuilder::remove(const std::string& key, std::uint64_t mod_revision) {
     batch_.txn.conditions.push_back({key, mod_revision});
     batch_.txn.changes.push_back({key, std::nullopt, std::nullopt});
-    bytes_ += 2 * key.size() + removal_frame_bytes;
+    bytes_ += 2 * key.size() + c::removal_frame_bytes;
 }
 
 void WriteBatchBuilder::add_leader_condition() {
@@ -90,7 +74,7 @@
     const auto& types = state_.machines.types();
     if (!types.is_changed()) return;
     auto value = wire::machine_types_json(types.all());
-    const auto bytes = boost::json::serialize(value).size() + machine_types_frame_bytes;
+    const auto bytes = boost::json::serialize(value).size() + c::machine_types_frame_bytes;
     if (static_cast<double>(bytes) < state_.context.settings.value_kb * 1024)
         put(std::string(records::machine_types_key), std::move(value), types.mod_revision(), bytes);
     else
@@ -102,16 +86,16 @@
     auto record = state_.provisioning.record(limits_.value_bytes);
     if (!record) return;
     put(std::string(records::provisioning_requests_key), record->value, record->mod_revision,
-        record->bytes + provisioning_frame_bytes);
+        record->bytes + c::provisioning_frame_bytes);
     for (const auto& [key, mod_revision] : record->single) remove(key, mod_revision);
     batch_.provisioning_requests = std::move(record);
 }
 
 void WriteBatchBuilder::add_category_averages() {
     const auto& averages = state_.averages;
-    if (!averages.is_write_due(state_.context.now_s) || !fits(1, category_averages_bytes)) return;
+    if (!averages.is_write_due(state_.context.now_s) || !fits(1, c::category_averages_bytes)) return;
     put(std::string(records::category_averages_key), records::category_averages_json(averages.values()),
-        averages.mod_revision(), category_averages_bytes);
+        averages.mod_revision(), c::category_averages_bytes);
     batch_.category_averages = true;
 }
 
@@ -158,13 +142,13 @@
     const records::EntryName entry{job.id, number};
     auto value = records::progress_json(progress_of_shard(job, number), number);
     const auto name = records::entry_name(entry);
-    const auto bytes = boost::json::serialize(value).size() + name.size() + entry_frame_bytes;
+    const auto bytes = boost::json::serialize(value).size() + name.size() + c::entry_frame_bytes;
     if (!fits_value(entry, bytes)) return true;
     const bool fills_segment = static_cast<double>(segment_bytes_ + bytes) > limits_.value_bytes;
     if (!segment_entries_.empty() && fills_segment) close_segment();
     // The other half of the changes is left for what users wait for.
     const bool segments_fill_half = (batch_.segments.size() + 1) * 2 > limits_.changes;
-    if (!fits(2, segment_bytes_ + bytes + segment_reserve_bytes) || segments_fill_half) return false;
+    if (!fits(2, segment_bytes_ + bytes + c::segment_reserve_bytes) || segments_fill_half) return false;
     segment_bytes_ += bytes;
     segment_[name] = std::move(value);
     segment_entries_.push_back(entry);
@@ -192,12 +176,12 @@
     if (segment_entries_.empty()) return;
     for (const auto& entry : state_.segments.pending_tombstones()) {
         const auto name = records::entry_name(entry);
-        if (static_cast<double>(segment_bytes_ + name.size() + tombstone_reserve_bytes) >=
+        if (static_cast<double>(segment_bytes_ + name.size() + c::tombstone_reserve_bytes) >=
             limits_.value_bytes)
             break;
         segment_[name] = nullptr;
         segment_entries_.push_back(entry);
-        segment_bytes_ += name.size() + entry_frame_bytes;
+        segment_bytes_ += name.size() + c::entry_frame_bytes;
         batch_.tombstones.push_back(entry);
     }
 }
@@ -207,7 +191,7 @@
     const auto name = state_.segments.writable_segment(taken_segments_);
     const auto sequence = state_.segments.next_sequence();
     put(records::segment_key(name), records::segment_json(sequence, std::move(segment_)),
-        state_.segments.mod_revision(name), segment_bytes_ + segment_frame_bytes);
+        state_.segments.mod_revision(name), segment_bytes_ + c::segment_frame_bytes);
     batch_.segments.push_back({name, sequence, std::move(segment_entries_)});
     taken_segments_.push_back(name);
     segment_ = {};
@@ -244,7 +228,7 @@
     }
     if (job.placements.empty()) {
         if (job.progress_revision) {
-            if (!fits(1, progress_removal_bytes)) return false;
+            if (!fits(1, c::progress_removal_bytes)) return false;
             remove(records::progress_key(job.id), job.progress_revision);
         }
         batch_.removed_jobs.push_back(job.id);
@@ -258,13 +242,14 @@
 bool WriteBatchBuilder::add_outcome(Job& job, model::FinalStatus status) {
     const auto dependency_records = job.spec->dependency_records;
     const std::size_t changes = (job.progress_revision ? 3 : 2) + dependency_records;
-    if (!fits(changes, outcome_bytes + dependency_removal_bytes * dependency_records)) return false;
+    if (!fits(changes, c::outcome_reserve_bytes + c::dependency_removal_bytes * dependency_records))
+        return false;
     // The cancellation of a user and this compare the same revision: one of the two wins.
     remove(records::job_key(job.id), job.mod_revision);
     for (std::uint32_t number = 1; number <= dependency_records; ++number)
         batch_.txn.changes.push_back({records::dependencies_key(job.id, number), std::nullopt, std::nullopt});
     const model::JobOutcome outcome{status, std::max<std::int64_t>(state_.context.wall_ms(), 0)};
-    put(records::outcome_key(job.id), records::outcome_json(outcome), 0, outcome_value_bytes);
+    put(records::outcome_key(job.id), records::outcome_json(outcome), 0, c::outcome_bytes);
     batch_.finished_jobs.push_back({job.id, outcome});
     return true;
 }
--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -51,6 +51,19 @@
 // its own share it keeps this part however many they are, since decisions go before submissions.
 inline constexpr double write_share = 0.95, leader_reserved_share = 0.55;
 inline constexpr double store_contact_fresh_s = 4.0;  // contact within this: the node can serve users
+// What a change takes in a transaction beside its value, estimated from above: keys, conditions, punctuation.
+inline constexpr std::size_t machine_types_frame_bytes = 100;
+inline constexpr std::size_t provisioning_frame_bytes = 200;
+inline constexpr std::size_t segment_frame_bytes = 200;
+inline constexpr std::size_t segment_reserve_bytes = 400;   // free beside a segment before an entry is added
+inline constexpr std::size_t entry_frame_bytes = 10;        // of an entry in a segment, beside its name
+inline constexpr std::size_t tombstone_reserve_bytes = 40;  // free beside a tombstone's name in a segment
+inline constexpr std::size_t removal_frame_bytes = 40;      // of a removal, beside its key twice
+inline constexpr std::size_t outcome_reserve_bytes = 600;   // of a job's final record and its removals
+inline constexpr std::size_t dependency_removal_bytes = 100;  // ... and of each further dependency record
+inline constexpr std::size_t outcome_bytes = 100;             // counted for a final record
+inline constexpr std::size_t progress_removal_bytes = 200;    // of a progress record of version 0.1
+inline constexpr std::size_t category_averages_bytes = 2000;  // of all categories
 
 // --- users ------------------------------------------------------------------------------------------------
 inline constexpr std::size_t max_body = 64UL * 1024;      // protocol
