--- a/lint.sh
+++ b/lint.sh
@@ -1,20 +1,67 @@
 #!/usr/bin/env bash
-# Fails on a file that clang-format would change and on a warning of clang-tidy in our own sources. Needs the
-# compile commands that test.sh leaves in target/test.
+# Fails on a file that clang-format would change, on a finding of clang-tidy in our sources, on a name
+# in backquotes on our pages that doesn't exist, and when one of the tools fails itself. Needs the compile commands
+# that test.sh leaves in target/test.
 set -euo pipefail
 cd "$(dirname "$0")"
-mapfile -t sources < <(git ls-files 'src/*.cpp' 'src/*.hpp' 'tests/*.cpp' 'tests/*.hpp')
-clang-format --dry-run --Werror "${sources[@]}"
-findings=target/test/clang-tidy.txt
-# Its exit status also tells of warnings inside the headers of libraries, which are printed and don't count.
-git ls-files 'src/*.cpp' | xargs -P "$(nproc)" -n 1 clang-tidy -p target/test --quiet --extra-arg=-Wno-unknown-warning-option >"$findings" 2>target/test/clang-tidy.log || true
-if grep -q "error:" "$findings" target/test/clang-tidy.log; then
-    cat "$findings" target/test/clang-tidy.log
-    echo "clang-tidy could not read the sources"
+compile_commands=target/test/compile_commands.json
+reports=target/test/clang-tidy  # of each file: what clang-tidy said, and its exit status
+
+python3 tools/check_docs_names.py --self-test
+python3 tools/check_docs_names.py
+
+mapfile -t formatted < <(git ls-files 'src/*.cpp' 'src/*.hpp' 'tests/*.cpp' 'tests/*.hpp')
+mapfile -t compiled < <(git ls-files 'src/*.cpp')
+if [ "${#compiled[@]}" -eq 0 ]; then
+    echo "no sources found"
     exit 1
 fi
-grep "warning:" "$findings" | sort -u || true
-if grep -qE "^$PWD/(src|tests)/.*warning:" "$findings"; then
-    echo "clang-tidy has warnings in our sources"
+printf '%s\0' "${formatted[@]}" | xargs -0 -P "$(nproc)" -n 16 clang-format --dry-run --Werror
+
+# Without a command of its own clang-tidy would guess a file's from a neighbour's.
+without_command=0
+for source in "${compiled[@]}"; do
+    if ! grep -qF "\"file\": \"$PWD/$source\"" "$compile_commands"; then
+        echo "$source has no compile command in $compile_commands"
+        without_command=1
+    fi
+done
+[ "$without_command" -eq 0 ]
+
+rm -rf "$reports"
+mkdir -p "$reports"
+# --config-file: a .clang-tidy that can't be read is an error, otherwise it would be passed over with a message.
+# -Wno-unknown-warning-option: the compile commands hold options of GCC.
+tidy_one() {
+    local source=$1 report="$2/${1//\//_}" status=0
+    clang-tidy -p target/test --config-file=.clang-tidy --quiet --extra-arg=-Wno-unknown-warning-option "$source" \
+        >"$report.findings" 2>"$report.log" || status=$?
+    echo "$status" >"$report.status"
+    return "$status"
+}
+export -f tidy_one
+tidy_status=0
+printf '%s\0' "${compiled[@]}" | xargs -0 -P "$(nproc)" -I{} bash -c 'tidy_one "$1" "$2"' tidy_one {} "$reports" ||
+    tidy_status=$?
+
+# A finding in a header is in the report of every file that includes it; it is printed once.
+finding='^([^ ]+:[0-9]+:[0-9]+: )?(warning|error): '
+findings=$(cat "$reports"/*.findings | grep -E "$finding" | sort -u || true)
+if [ -n "$findings" ]; then
+    echo "$findings"
+    echo "clang-tidy: $(wc -l <<<"$findings") findings"
+fi
+# A file that failed without a finding: the tool itself did.
+tool_failures=0
+for source in "${compiled[@]}"; do
+    report="$reports/${source//\//_}"
+    if [ "$(cat "$report.status" || echo none)" != 0 ] && ! grep -qE "$finding" "$report.findings"; then
+        echo "clang-tidy failed itself on $source:"
+        cat "$report.findings" "$report.log"
+        tool_failures=1
+    fi
+done
+if [ -n "$findings" ] || [ "$tool_failures" -ne 0 ] || [ "$tidy_status" -ne 0 ]; then
     exit 1
 fi
+echo "lint: ${#formatted[@]} files formatted, ${#compiled[@]} without findings"
