--- a/lint.sh
+++ b/lint.sh
@@ -40,28 +40,33 @@
     return "$status"
 }
 export -f tidy_one
-tidy_status=0
-printf '%s\0' "${compiled[@]}" | xargs -0 -P "$(nproc)" -I{} bash -c 'tidy_one "$1" "$2"' tidy_one {} "$reports" ||
-    tidy_status=$?
+# What failed is told by the status kept of each file, below.
+printf '%s\0' "${compiled[@]}" | xargs -0 -P "$(nproc)" -I{} bash -c 'tidy_one "$1" "$2"' tidy_one {} "$reports" || true
 
-# A finding in a header is in the report of every file that includes it; it is printed once.
+# A finding in a header is in the report of every file that includes it; it is printed once. One inside a library's
+# header is printed and doesn't count (clang's analyzer takes Asio's coroutine frames for uninitialized objects);
+# a file that can't be read does, wherever the fault stands.
 finding='^([^ ]+:[0-9]+:[0-9]+: )?(warning|error): '
 findings=$(cat "$reports"/*.findings | grep -E "$finding" | sort -u || true)
+own_findings=$(grep -E "^$PWD/|^(warning|error): |clang-diagnostic-error" <<<"$findings" || true)
 if [ -n "$findings" ]; then
     echo "$findings"
-    echo "clang-tidy: $(wc -l <<<"$findings") findings"
 fi
-# A file that failed without a finding: the tool itself did.
+if [ -n "$own_findings" ]; then
+    echo "clang-tidy: $(wc -l <<<"$own_findings") findings in our sources"
+fi
+# A file that failed without a finding, or with a status that isn't that of findings: the tool itself did.
 tool_failures=0
 for source in "${compiled[@]}"; do
     report="$reports/${source//\//_}"
-    if [ "$(cat "$report.status" || echo none)" != 0 ] && ! grep -qE "$finding" "$report.findings"; then
+    status=$(cat "$report.status" || echo none)
+    if [ "$status" != 0 ] && { [ "$status" != 1 ] || ! grep -qE "$finding" "$report.findings"; }; then
         echo "clang-tidy failed itself on $source:"
         cat "$report.findings" "$report.log"
         tool_failures=1
     fi
 done
-if [ -n "$findings" ] || [ "$tool_failures" -ne 0 ] || [ "$tidy_status" -ne 0 ]; then
+if [ -n "$own_findings" ] || [ "$tool_failures" -ne 0 ]; then
     exit 1
 fi
 echo "lint: ${#formatted[@]} files formatted, ${#compiled[@]} without findings"
