--- a/src/api/event_loop_lag.hpp
+++ b/src/api/event_loop_lag.hpp
@@ -8,7 +8,7 @@
 // Measures by a timer how late it fires.
 class EventLoopLagMonitor {
    public:
-    // Measures every lag_period_s. Never returns.
+    // Measures every lag_sample_period_s. Never returns.
     net::awaitable<void> run();
     // Seconds by which timers lately fired late: rises at once, and falls as a moving average.
     [[nodiscard]] double lag_s() const { return lag_s_; }
--- a/src/api/job_lookup.cpp
+++ b/src/api/job_lookup.cpp
@@ -27,7 +27,7 @@
 net::awaitable<JobState> JobLookup::look_up(std::string id) {
     if (!co_await linearizable_read_.catch_up()) co_return JobState::undecidable;
     if (watch_cache_.jobs.contains(id)) {
-        if (!co_await resolve(watch_cache_.dependencies().unresolved_before(id)))
+        if (!co_await resolve(watch_cache_.dependencies().unresolved_ancestors(id)))
             co_return JobState::undecidable;
         if (const auto outcome = remembered_outcome(id)) co_return *outcome;
         if (watch_cache_.jobs.contains(id)) co_return JobState::live;
@@ -59,7 +59,7 @@
 net::awaitable<void> JobLookup::resolve_dependencies() {
     for (;;) {
         if (watch_cache_.ready) co_await resolve(watch_cache_.dependencies().unresolved());
-        co_await net::sleep_for(c::dependency_period_s);
+        co_await net::sleep_for(c::dependency_lookup_period_s);
     }
 }
 
--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -40,7 +40,7 @@
     // there is no record of its end.
     net::awaitable<JobState> look_up_outcome(std::string id);
     // Looks up how the dependencies of live jobs ended where the watch cache does not tell, every
-    // dependency_period_s. Never returns.
+    // dependency_lookup_period_s. Never returns.
     net::awaitable<void> resolve_dependencies();
 
    private:
--- a/src/api/load_shedding.cpp
+++ b/src/api/load_shedding.cpp
@@ -13,15 +13,16 @@
     : store_(store), event_loop_lag_(event_loop_lag), random_(random) {}
 
 bool LoadShedding::submissions_overloaded() const {
-    return event_loop_lag_.lag_s() > c::lag_rejects_submissions_s || submissions_ >= c::max_user_inflight;
+    return event_loop_lag_.lag_s() > c::max_lag_for_submissions_s ||
+           submissions_ >= c::max_inflight_submissions;
 }
 
 bool LoadShedding::cancellations_overloaded() const {
-    return event_loop_lag_.lag_s() > c::lag_rejects_polls_s || submissions_ >= c::max_user_inflight;
+    return event_loop_lag_.lag_s() > c::max_lag_for_polls_s || submissions_ >= c::max_inflight_submissions;
 }
 
 bool LoadShedding::polls_overloaded() const {
-    return event_loop_lag_.lag_s() > c::lag_rejects_polls_s || polls_ >= c::max_poll_inflight;
+    return event_loop_lag_.lag_s() > c::max_lag_for_polls_s || polls_ >= c::max_inflight_polls;
 }
 
 // A controller that the store does not serve, or that has too much to do, closes the connection as well, so
--- a/src/api/worker_api.cpp
+++ b/src/api/worker_api.cpp
@@ -65,7 +65,7 @@
     const double deadline = response_deadline(cluster_state, heartbeat, steady_now_s());
     while (term.may_start() && is_latest(cluster_state, heartbeat) && steady_now_s() < deadline &&
            !cluster_state.has_pending_commands(heartbeat.machine) &&
-           dependencies_.event_loop_lag.lag_s() < c::lag_disables_hold_s) {
+           dependencies_.event_loop_lag.lag_s() < c::max_lag_for_hold_s) {
         const double wait_s = std::max(deadline - steady_now_s(), c::min_wait_s);
         net::Timer timer(dependencies_.executor, net::seconds(wait_s));
         const leadership::HeldResponses::Hold hold(term.held_responses, heartbeat.machine, timer);
--- a/src/cluster/command_delivery.cpp
+++ b/src/cluster/command_delivery.cpp
@@ -50,7 +50,8 @@
     for (const auto& task : machine.tasks_under_older_token) {
         const Job* job = std::as_const(jobs_).find(task.task.job);
         const bool is_cancelled = !job || !job->spec || job->is_cancelled();
-        if (is_cancelled && task.state != model::TaskState::exited && commands.size() < c::max_commands)
+        if (is_cancelled && task.state != model::TaskState::exited &&
+            commands.size() < c::max_commands_per_response)
             commands.push_back({Command::Kind::stop, task.task, task.attempt, 0});
     }
     return commands;
@@ -64,7 +65,7 @@
         if (job && durable_version_of_task(*job, exited.task.index) < exited.version) continue;
         commands.push_back({Command::Kind::forget, exited.task, exited.attempt, 0});
         machine.sent_forgets.push_back({exited.task, exited.attempt});
-        if (commands.size() >= c::max_commands) return false;
+        if (commands.size() >= c::max_commands_per_response) return false;
     }
     return true;
 }
@@ -72,7 +73,7 @@
 void CommandDelivery::add_starts_and_stops(Machine& machine, bool may_start,
                                            std::vector<Command>& commands) const {
     for (const auto& task : machine.tasks) {
-        if (commands.size() >= c::max_commands) break;
+        if (commands.size() >= c::max_commands_per_response) break;
         const Job& job = *task.job;
         TaskPlacement& placement = task.placement();
         if (placement.is_stopping()) {
@@ -113,7 +114,7 @@
         direct.machine = placement->machine;
         direct.address = machine->address;
         direct.agent_epoch = machine->agent_epoch;
-        if (direct.commands.size() >= c::max_commands) {
+        if (direct.commands.size() >= c::max_commands_per_response) {
             deferred.push_back(std::move(stop));
             continue;
         }
--- a/src/cluster/failure_detector.cpp
+++ b/src/cluster/failure_detector.cpp
@@ -68,7 +68,7 @@
 }
 
 bool FailureDetector::FleetContact::commands_reach_most() const {
-    return receiving_nothing <= std::max<std::size_t>(c::partitioned_machines_tolerated, reporting / 5);
+    return receiving_nothing <= std::max<std::size_t>(c::max_partitioned_machines, reporting / 5);
 }
 
 FailureDetector::FleetContact FailureDetector::count_contact() const {
@@ -132,7 +132,7 @@
     // Old enough is not enough: after a failover no machine has reported yet (found by incident: a new leader
     // released running machines 0.3 s into its term).
     const auto* type = machines_.types().find(machine.type);
-    const double boot_s = std::max(c::boot_patience * (type ? type->boot_s : 0), c::boot_patience_min_s);
+    const double boot_s = std::max(c::boot_timeout_factor * (type ? type->boot_s : 0), c::min_boot_timeout_s);
     if (silent_s > detection_s() && context_.now_s - machine.provisioned_at_s > boot_s)
         return ReleaseReason::never_booted;
     return std::nullopt;
--- a/src/cluster/job_shards.cpp
+++ b/src/cluster/job_shards.cpp
@@ -47,7 +47,7 @@
     model::Progress progress = job.record;
     if (job.sharded) {
         const auto first = shard * c::tasks_per_shard;
-        progress.partial = true;
+        progress.is_shard = true;
         progress.done = done_between(job.record.done, first, first + c::tasks_per_shard);
     }
     for (const auto& [task, placement] : placements_in_shard(job, shard))
--- a/src/cluster/machine_lifecycle.cpp
+++ b/src/cluster/machine_lifecycle.cpp
@@ -65,7 +65,7 @@
     // Whatever ran a task in an earlier term is older than the list's lag by now: not listed, it does not
     // exist any more.
     const bool caught_up =
-        context_.now_s - context_.started_at_s > 2 * context_.settings.list_lag_s + c::list_period_s;
+        context_.now_s - context_.started_at_s > 2 * context_.settings.list_lag_s + c::machine_list_period_s;
     for (auto& [id, machine] : machines_.all()) {
         const bool has_inherited_tasks = !machine.has_reported() && !machine.tasks.empty();
         const bool should_be_listed = machine.listed_status || (caught_up && has_inherited_tasks);
--- a/src/cluster/machine_table.cpp
+++ b/src/cluster/machine_table.cpp
@@ -29,7 +29,7 @@
 }
 
 bool MachineTable::is_usable(const Machine& machine, double now) const {
-    const double contact_s = c::heartbeat_periods_usable * context_.settings.heartbeat_period_s;
+    const double contact_s = c::schedulable_heartbeat_periods * context_.settings.heartbeat_period_s;
     return machine.token_confirmed() && !machine.releasing && !machine.quarantined &&
            !machine.interruption_notice && !machine.is_listed_as(model::MachineStatus::failed) &&
            machine.unknown_tasks.empty() && now - machine.last_heartbeat_s < contact_s &&
--- a/src/cluster/planner.cpp
+++ b/src/cluster/planner.cpp
@@ -18,7 +18,7 @@
     remember_smallest_request(demand);
     place_tasks(snapshot);
     preempt(snapshot);
-    if (context_.now_s - last_autoscaling_s_ < c::capacity_period_s) return;
+    if (context_.now_s - last_autoscaling_s_ < c::autoscaling_period_s) return;
     last_autoscaling_s_ = context_.now_s;
     autoscale(std::move(snapshot));
 }
@@ -84,7 +84,8 @@
     if (!preemption) return;
     for (const auto& victim : preemption->victims) {
         Job& job = state_.jobs.at(victim);
-        spdlog::info("job {} preempted for {} (term {})", victim, preemption->waiter, context_.fencing_token);
+        spdlog::info("job {} preempted for {} (term {})", victim, preemption->preemptor,
+                     context_.fencing_token);
         state_.stop_requests.request_all(job, job.spec->checkpoint_save_s + 1);
     }
 }
--- a/src/cluster/snapshot_builder.cpp
+++ b/src/cluster/snapshot_builder.cpp
@@ -61,7 +61,7 @@
         for (const auto& zone : type.zones)
             for (const bool spot : {true, false}) {
                 auto& pool = snapshot.pools.emplace_back(scheduling::MachinePool{&type, zone, spot});
-                pool.refused = provisioning_.lacks_capacity(pool, context_.now_s);
+                pool.lacks_capacity = provisioning_.lacks_capacity(pool, context_.now_s);
             }
 }
 
@@ -157,7 +157,7 @@
     out.free = type.capacity;
     for (const auto& [job, task] : machine.tasks) {
         out.free -= job->record.task_resources;
-        if (job->spec) out.classes.insert(job->spec->job_class);
+        if (job->spec) out.job_classes.insert(job->spec->job_class);
     }
     for (const auto& image : machine.images) out.images.push_back(image.name);
     out.busy = !machine.tasks.empty();
@@ -192,8 +192,9 @@
 
 // How many more tasks an entry of the whole job can name: it must stay within one value.
 std::uint32_t SnapshotBuilder::free_entry_capacity(const Job& job) const {
-    const double bytes = context_.settings.value_kb * 1024 * c::value_fill_ratio - c::record_frame_bytes;
-    const double free = bytes / c::record_entry_bytes - static_cast<double>(job.placements.size()) -
+    const double bytes =
+        context_.settings.value_kb * 1024 * c::value_fill_ratio - c::progress_record_overhead_bytes;
+    const double free = bytes / c::max_progress_entry_bytes - static_cast<double>(job.placements.size()) -
                         static_cast<double>(job.record.done.iterative_size());
     return static_cast<std::uint32_t>(std::max(0.0, free));
 }
--- a/src/cluster/task_lifecycle.cpp
+++ b/src/cluster/task_lifecycle.cpp
@@ -54,7 +54,8 @@
 
 // After so many failures of the job, how long until it is tried again.
 double retry_pause_s(int failures) {
-    return std::min(c::error_pause_s * std::pow(2.0, std::min(failures - 1, 10)), c::error_pause_max_s);
+    return std::min(c::task_retry_backoff_s * std::pow(2.0, std::min(failures - 1, 10)),
+                    c::task_retry_backoff_max_s);
 }
 }  // namespace
 
@@ -99,7 +100,7 @@
 void TaskLifecycle::handle_exit(Job& job, const model::ReportedTask& task, Machine& machine) {
     const TaskPlacement placement = remove_placement(job, job.placements.find(task.task.index));
     spdlog::debug("task {}/{} attempt {} exited on {}: {}{} (term {})", job.id, placement.index,
-                  placement.attempt, machine.id, text(task.cause), task.saved ? ", saved" : "",
+                  placement.attempt, machine.id, text(task.cause), task.checkpoint_saved ? ", saved" : "",
                   context_.fencing_token);
     jobs_.mark_changed(job, placement.index);
     if (!job.spec || job.is_cancelled()) return;
@@ -126,7 +127,7 @@
 void TaskLifecycle::handle_failure(Job& job, const TaskPlacement& placement, const model::ReportedTask& task,
                                    Machine& machine) {
     const double now = context_.now_s;
-    if (task.cause == ExitCause::stopped && task.saved && placement.running_since_s)
+    if (task.cause == ExitCause::stopped && task.checkpoint_saved && placement.running_since_s)
         job.record.checkpointed_run_s += now - *placement.running_since_s;
     if (task.cause == ExitCause::error) record_failure(job, machine);
     if (task.cause == ExitCause::insufficient_resources || task.cause == ExitCause::already_running ||
@@ -172,8 +173,8 @@
 void TaskLifecycle::record_failure(Job& job, Machine& machine) {
     ++job.failures.count;
     job.failures.machines.insert(machine.id);
-    const bool job_at_fault = job.record.done.empty() &&
-                              static_cast<int>(job.failures.machines.size()) >= c::max_job_error_machines;
+    const bool job_at_fault = job.record.done.empty() && static_cast<int>(job.failures.machines.size()) >=
+                                                             c::max_failed_machines_per_job;
     if (job_at_fault) {
         job.failures.retry_at_s = context_.now_s + retry_pause_s(job.failures.count);
         machines_.forget_failures_of(job.id);
@@ -181,9 +182,10 @@
     }
     ++machine.consecutive_failures;
     machine.failed_jobs.insert(job.id);
-    const bool several_jobs_failed = static_cast<int>(machine.failed_jobs.size()) >= c::max_machine_errors;
+    const bool several_jobs_failed =
+        static_cast<int>(machine.failed_jobs.size()) >= c::max_consecutive_machine_failures;
     const bool a_good_job_failed =
-        machine.consecutive_failures >= c::max_machine_errors && !job.record.done.empty();
+        machine.consecutive_failures >= c::max_consecutive_machine_failures && !job.record.done.empty();
     if (several_jobs_failed || a_good_job_failed) quarantine(machine);
 }
 
--- a/src/cluster/write_batch_builder.cpp
+++ b/src/cluster/write_batch_builder.cpp
@@ -55,7 +55,7 @@
 void WriteBatchBuilder::remove(const std::string& key, std::uint64_t mod_revision) {
     batch_.txn.conditions.push_back({key, mod_revision});
     batch_.txn.changes.push_back({key, std::nullopt, std::nullopt});
-    bytes_ += 2 * key.size() + c::removal_frame_bytes;
+    bytes_ += 2 * key.size() + c::removal_overhead_bytes;
 }
 
 void WriteBatchBuilder::add_leader_condition() {
@@ -74,7 +74,7 @@
     const auto& types = state_.machines.types();
     if (!types.is_changed()) return;
     auto value = wire::machine_types_json(types.all());
-    const auto bytes = boost::json::serialize(value).size() + c::machine_types_frame_bytes;
+    const auto bytes = boost::json::serialize(value).size() + c::machine_types_overhead_bytes;
     if (static_cast<double>(bytes) < state_.context.settings.value_kb * 1024)
         put(std::string(records::machine_types_key), std::move(value), types.mod_revision(), bytes);
     else
@@ -86,7 +86,7 @@
     auto record = state_.provisioning.record(limits_.value_bytes);
     if (!record) return;
     put(std::string(records::provisioning_requests_key), record->value, record->mod_revision,
-        record->bytes + c::provisioning_frame_bytes);
+        record->bytes + c::provisioning_overhead_bytes);
     for (const auto& [key, mod_revision] : record->single) remove(key, mod_revision);
     batch_.provisioning_requests = std::move(record);
 }
@@ -142,7 +142,7 @@
     const records::EntryName entry{job.id, number};
     auto value = records::progress_json(progress_of_shard(job, number), number);
     const auto name = records::entry_name(entry);
-    const auto bytes = boost::json::serialize(value).size() + name.size() + c::entry_frame_bytes;
+    const auto bytes = boost::json::serialize(value).size() + name.size() + c::segment_entry_overhead_bytes;
     if (!fits_value(entry, bytes)) return true;
     const bool fills_segment = static_cast<double>(segment_bytes_ + bytes) > limits_.value_bytes;
     if (!segment_entries_.empty() && fills_segment) close_segment();
@@ -181,7 +181,7 @@
             break;
         segment_[name] = nullptr;
         segment_entries_.push_back(entry);
-        segment_bytes_ += name.size() + c::entry_frame_bytes;
+        segment_bytes_ += name.size() + c::segment_entry_overhead_bytes;
         batch_.tombstones.push_back(entry);
     }
 }
@@ -191,7 +191,7 @@
     const auto name = state_.segments.writable_segment(taken_segments_);
     const auto sequence = state_.segments.next_sequence();
     put(records::segment_key(name), records::segment_json(sequence, std::move(segment_)),
-        state_.segments.mod_revision(name), segment_bytes_ + c::segment_frame_bytes);
+        state_.segments.mod_revision(name), segment_bytes_ + c::segment_overhead_bytes);
     batch_.segments.push_back({name, sequence, std::move(segment_entries_)});
     taken_segments_.push_back(name);
     segment_ = {};
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -11,10 +11,10 @@
 namespace pineroad::config {
 namespace {
 
-constexpr double max_amount = 1e9;  // far beyond any amount in use: catches slips of the keyboard
-constexpr double day_s = 86400;     // no duration is longer
+constexpr double max_amount = 1e9;        // far beyond any amount in use: catches slips of the keyboard
+constexpr double max_duration_s = 86400;  // no duration is longer
 
-ObjectiveKind objective_kind(const std::string& text) {
+ObjectiveKind parse_objective_kind(const std::string& text) {
     if (text == "wait") return ObjectiveKind::start;
     if (text == "finished") return ObjectiveKind::finish;
     if (text == "deadline") return ObjectiveKind::deadline;
@@ -27,7 +27,7 @@
 }
 
 Objective read_objective(const TomlSection& objective) {
-    return {objective_kind(objective.text("kind")), objective.text("class"),
+    return {parse_objective_kind(objective.text("kind")), objective.text("class"),
             objective.number("within_s", 0, max_amount), objective.number("share", 0, 1),
             objective.number("times", 0, max_amount)};
 }
@@ -46,7 +46,7 @@
 
 void read_teams_and_objectives(const TomlSection& params, Settings& settings) {
     settings.zones = params.texts("zones");
-    settings.time_bound_ms = params.number("time_bound_ms", 0, 1e7).value_or(0);
+    settings.max_clock_error_ms = params.number("time_bound_ms", 0, 1e7).value_or(0);
     for (const auto& team : params.tables("teams")) settings.teams.push_back(read_team(team));
     for (const auto& objective : params.tables("objectives"))
         settings.objectives.push_back(read_objective(objective));
@@ -54,10 +54,10 @@
 
 void read_workers(const TomlSection& workers, Settings& settings) {
     settings.heartbeat_period_s = workers.required_number("report_s", 0.1, 3600);
-    settings.worker_lease_s = workers.required_number("lease_s", 1, day_s);
-    settings.gang_start_timeout_s = workers.required_number("gang_wait_s", 0, day_s);
-    settings.gang_failure_detection_s = workers.required_number("gang_peer_s", 0, day_s);
-    settings.cancellation_timeout_s = workers.required_number("cancel_s", 1, day_s);
+    settings.worker_lease_s = workers.required_number("lease_s", 1, max_duration_s);
+    settings.gang_start_timeout_s = workers.required_number("gang_wait_s", 0, max_duration_s);
+    settings.gang_failure_detection_s = workers.required_number("gang_peer_s", 0, max_duration_s);
+    settings.cancellation_timeout_s = workers.required_number("cancel_s", 1, max_duration_s);
 }
 
 // Lowers a limit in force to the one announced for later, if one is.
@@ -83,7 +83,7 @@
 
 void read_cloud(const TomlSection& cloud, Settings& settings) {
     settings.cloud_requests_per_s = cloud.required_number("rps", 0.1, max_amount);
-    settings.list_lag_s = cloud.required_number("list_lag_s", 0, day_s);
+    settings.list_lag_s = cloud.required_number("list_lag_s", 0, max_duration_s);
 }
 
 void read_process_limits(const TomlSection& limits, Settings& settings) {
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -54,7 +54,7 @@
     std::string job_class;                        // class
     std::optional<double> within_s;               // within_s: seconds
     std::optional<double> share;                  // share: of the class's jobs that are to meet it, 0 to 1
-    std::optional<double> times;                  // times: the multiple, for a deadline
+    std::optional<double> deadline_multiple;      // times: the multiple, for a deadline
 };
 
 // What a controller knows of its deployment from the start. Each field names the key that it stands for;
@@ -68,8 +68,9 @@
     Endpoint store_endpoint;         // external.state: the consensus-backed key-value store
     std::vector<Peer> peers;         // peers: the other controllers
     std::vector<std::string> zones;  // params.zones: where machines can be provisioned
-    double time_bound_ms = 0;        // params.time_bound_ms: of the time of day, to true time; 0: not given
-    std::vector<Team> teams;         // params.teams
+    double max_clock_error_ms =
+        0;                    // params.max_clock_error_ms: of the time of day, to true time; 0: not given
+    std::vector<Team> teams;  // params.teams
     std::vector<Objective> objectives;  // params.objectives
 
     double heartbeat_period_s = 3;     // params.workers.report_s: between heartbeats of one machine
@@ -94,9 +95,9 @@
     int max_sockets = 1000;           // params.limits.max_sockets: open sockets of this process
 
     // The team of that name, or null if the settings name none.
-    [[nodiscard]] const Team* team(const std::string& wanted) const {
+    [[nodiscard]] const Team* team(const std::string& team_name) const {
         for (const auto& team : teams)
-            if (team.name == wanted) return &team;
+            if (team.name == team_name) return &team;
         return nullptr;
     }
 };
--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -26,20 +26,20 @@
 constexpr Parameter parameters[] = {
     {"suspension-factor", &Tuning::preemption_factor, 1.0, 100.0},
     {"suspension-period", &Tuning::preemption_period_s, 1.0, 3600.0},
-    {"width-ratio", &Tuning::width_ratio, 0.1, 100.0},
+    {"width-ratio", &Tuning::max_victim_width_ratio, 0.1, 100.0},
     {"category-multiplier", &Tuning::category_multiplier, 1.0, 100.0},
     {"category-width", &Tuning::category_width_cpus, 1.0, 100000.0},
     {"category-length", &Tuning::category_length_s, 1.0, 86400.0},
     {"holding-wait", &Tuning::reservation_wait_s, 1.0, 86400.0},
     {"image-band", &Tuning::image_locality_band, 1.0, 100.0},
     {"idle-hold", &Tuning::idle_timeout_s, 0.0, 86400.0},
-    {"headroom", &Tuning::headroom, 0.0, 100.0},
+    {"headroom", &Tuning::headroom_factor, 0.0, 100.0},
     {"drain", &Tuning::drain_boot_times, 0.0, 100.0},
-    {"price-patience", &Tuning::price_patience, 0.0, 4.0},
-    {"queue-patience", &Tuning::queue_patience, 0.0, 10.0},
+    {"price-patience", &Tuning::price_ratio_exponent, 0.0, 4.0},
+    {"queue-patience", &Tuning::queue_slack_share, 0.0, 10.0},
 };
 
-struct DestroySexp {
+struct SexpDeleter {
     void operator()(sexp_t* expression) const { destroy_sexp(expression); }
 };
 
@@ -50,11 +50,11 @@
 }
 
 // Reads one text and knows it for its errors.
-class Reader {
+class TuningParser {
    public:
-    Reader(const std::string& text, const std::string& path) : text_(text), path_(path) {}
+    TuningParser(const std::string& text, const std::string& path) : text_(text), path_(path) {}
 
-    [[nodiscard]] Tuning read() const;
+    [[nodiscard]] Tuning parse() const;
 
    private:
     [[noreturn]] void fail(std::size_t line, const std::string& what) const {
@@ -69,14 +69,15 @@
     const std::string& path_;
 };
 
-std::size_t Reader::line_of(const std::string& key) const {
-    const auto place = text_.find("(" + key);
-    if (place == std::string::npos) return 1;
-    const auto newlines = std::count(text_.begin(), text_.begin() + static_cast<std::ptrdiff_t>(place), '\n');
+std::size_t TuningParser::line_of(const std::string& key) const {
+    const auto position = text_.find("(" + key);
+    if (position == std::string::npos) return 1;
+    const auto newlines =
+        std::count(text_.begin(), text_.begin() + static_cast<std::ptrdiff_t>(position), '\n');
     return 1 + static_cast<std::size_t>(newlines);
 }
 
-double Reader::number(const Parameter& parameter, const char* value, std::size_t line) const {
+double TuningParser::number(const Parameter& parameter, const char* value, std::size_t line) const {
     const std::string key = parameter.key;
     char* end = nullptr;
     const double number = std::strtod(value, &end);
@@ -89,7 +90,7 @@
     return number;
 }
 
-void Reader::read_item(const sexp_t& item, std::set<std::string>& seen, Tuning& tuning) const {
+void TuningParser::read_item(const sexp_t& item, std::set<std::string>& seen, Tuning& tuning) const {
     const sexp_t* key = item.ty == SEXP_LIST ? item.list : nullptr;
     if (!key || key->ty != SEXP_VALUE) fail(1, "(KEY VALUE) is needed");
     const std::string name = key->val;
@@ -102,9 +103,9 @@
     tuning.*(parameter->field) = number(*parameter, value->val, line);
 }
 
-Tuning Reader::read() const {
-    std::string writable = text_;  // the library parses in place
-    const std::unique_ptr<sexp_t, DestroySexp> root(parse_sexp(writable.data(), writable.size()));
+Tuning TuningParser::parse() const {
+    std::string buffer = text_;  // the library parses in place
+    const std::unique_ptr<sexp_t, SexpDeleter> root(parse_sexp(buffer.data(), buffer.size()));
     const sexp_t* head = root && root->ty == SEXP_LIST ? root->list : nullptr;
     if (!head || head->ty != SEXP_VALUE || std::string(head->val) != "pineroad")
         fail(1, "(pineroad (KEY VALUE) ...) is needed");
@@ -117,7 +118,7 @@
 }  // namespace
 
 Tuning parse_tuning(const std::string& text, const std::string& path) {
-    return Reader(text, path).read();
+    return TuningParser(text, path).parse();
 }
 
 Tuning load_tuning(const std::string& path) {
--- a/src/config/tuning.hpp
+++ b/src/config/tuning.hpp
@@ -15,7 +15,7 @@
     // suspension-period: seconds between rounds of preemption.
     double preemption_period_s = 10.0;
     // width-ratio: a victim has at most so many times the pending job's CPUs.
-    double width_ratio = 2.0;
+    double max_victim_width_ratio = 2.0;
     // category-multiplier: a gang whose xfactor is above so many times its category's average slowdown is no
     // victim.
     double category_multiplier = 1.5;
@@ -33,16 +33,16 @@
     double idle_timeout_s = 15.0;
     // headroom: machines kept spare for classes with an objective for starting, as a multiple of the arrivals
     // for which a machine that still has to boot would come too late.
-    double headroom = 2.0;
+    double headroom_factor = 2.0;
     // drain: a queue of short tasks should empty within so many boot times before more machines are
     // provisioned.
     double drain_boot_times = 1.5;
     // price-patience: how much longer a queue may be before dearer machines are provisioned, as the power to
     // which the price ratio is raised.
-    double price_patience = 0.5;
+    double price_ratio_exponent = 0.5;
     // queue-patience: share of a job's slack that may pass in the queue before a machine is provisioned for
     // it.
-    double queue_patience = 0.5;
+    double queue_slack_share = 0.5;
 };
 
 // Reads a tuning file. Throws SettingsError if it cannot be read, or as parse_tuning does.
--- a/src/controller/cloud_client.cpp
+++ b/src/controller/cloud_client.cpp
@@ -11,7 +11,7 @@
 using store::steady_now_s;
 
 CloudClient::CloudClient(std::unique_ptr<net::Client> client, double requests_per_s)
-    : client_(std::move(client)), interval_s_(1.0 / (requests_per_s * constants::cloud_share)) {}
+    : client_(std::move(client)), interval_s_(1.0 / (requests_per_s * constants::cloud_request_share)) {}
 
 net::awaitable<void> CloudClient::wait_for_turn() {
     const double turn = std::max(steady_now_s(), next_turn_);
--- a/src/controller/cloud_client.hpp
+++ b/src/controller/cloud_client.hpp
@@ -12,7 +12,7 @@
 // Sends requests to the cloud and keeps to their rate.
 class CloudClient {
    public:
-    // `requests_per_s`: of which cloud_share is used.
+    // `requests_per_s`: of which cloud_request_share is used.
     CloudClient(std::unique_ptr<net::Client> client, double requests_per_s);
     // Waits until the next request may be sent, and takes that turn.
     net::awaitable<void> wait_for_turn();
--- a/src/controller/commit_loop.cpp
+++ b/src/controller/commit_loop.cpp
@@ -56,7 +56,7 @@
         for (const auto& machine : cluster_state.take_machines_with_durable_starts())
             term.held_responses.release(machine);
         term.cloud_due.notify();
-        co_await sleep_for(c::commit_gap_s);
+        co_await sleep_for(c::commit_interval_s);
     }
 }
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -49,9 +49,9 @@
     limits.connections = sockets.public_api;
     limits.ordinary = sockets.users;
     limits.first_request_s = c::first_request_s;
-    limits.ordinary_idle_s = c::user_idle_s;
+    limits.ordinary_idle_s = c::user_idle_timeout_s;
     limits.prioritized_idle_s =
-        c::heartbeat_periods_idle * settings.heartbeat_period_s + c::heartbeat_response_s;
+        c::idle_timeout_heartbeat_periods * settings.heartbeat_period_s + c::heartbeat_response_timeout_s;
     limits.prioritized = [](const std::string& target) {
         const auto endpoint = api::find_route(target).endpoint;
         return endpoint == api::Endpoint::heartbeat || endpoint == api::Endpoint::health;
@@ -186,7 +186,8 @@
 
 void run(const config::Settings& settings, const config::Tuning& tuning) {
     net::asio::io_context io(1);
-    const auto body_max = static_cast<std::size_t>(settings.memory_mb * 1024 * 1024 * c::answer_memory_share);
+    const auto body_max =
+        static_cast<std::size_t>(settings.memory_mb * 1024 * 1024 * c::response_memory_share);
     const auto connect = [&io, body_max](const config::Endpoint& to) -> std::unique_ptr<net::Client> {
         return std::make_unique<net::HttpClient>(io.get_executor(), to, body_max);
     };
--- a/src/controller/format_loop.cpp
+++ b/src/controller/format_loop.cpp
@@ -30,7 +30,7 @@
         auto readers = record_format_.readers();
         if (term.may_start() && readers != watch_cache_.format.value)
             co_await record(term, std::move(readers));
-        co_await net::sleep_for(c::format_period_s);
+        co_await net::sleep_for(c::format_check_period_s);
     }
     if (!term.over()) spdlog::info("every controller reads record format {}", records::format);
 }
--- a/src/controller/planning_loop.cpp
+++ b/src/controller/planning_loop.cpp
@@ -26,8 +26,9 @@
     bool lease_was_provable = true;
     while (!leader->term->over()) {
         plan(*leader, *dispatcher, lease_was_provable);
-        co_await net::sleep_for(c::plan_gap_s + std::min(event_loop_lag_.lag_s(), c::plan_period_s));
-        co_await leader->term->plan_due.wait(c::plan_period_s);
+        co_await net::sleep_for(c::min_plan_interval_s +
+                                std::min(event_loop_lag_.lag_s(), c::max_plan_interval_s));
+        co_await leader->term->plan_due.wait(c::max_plan_interval_s);
     }
 }
 
--- a/src/controller/provisioning_loops.cpp
+++ b/src/controller/provisioning_loops.cpp
@@ -50,7 +50,7 @@
     while (!term.over()) {
         const auto machines = co_await list_machines(term);
         if (machines && !term.over()) leader->cluster_state.apply_machine_list(*machines, steady_now_s());
-        co_await sleep_for(c::list_period_s);
+        co_await sleep_for(c::machine_list_period_s);
     }
 }
 
--- a/src/leadership/election.cpp
+++ b/src/leadership/election.cpp
@@ -151,7 +151,7 @@
             term->end(*reason);
             break;
         }
-        co_await state_.changed().wait(renewed ? c::lease_renew_s : c::store_retry_s);
+        co_await state_.changed().wait(renewed ? c::lease_renewal_period_s : c::store_retry_s);
     }
 }
 
--- a/src/leadership/lease_guard.cpp
+++ b/src/leadership/lease_guard.cpp
@@ -13,7 +13,7 @@
                                      c::min_disconnected_grace_s)) {}
 
 void LeaseGuard::renewed(double sent) {
-    constexpr double shortest_s = c::lease_ttl_ms / 1000.0 * (1 - c::clock_drift);
+    constexpr double shortest_s = c::lease_ttl_ms / 1000.0 * (1 - c::max_clock_drift);
     lease_until_ = std::max(lease_until_, sent + shortest_s - c::lease_margin_s);
 }
 
@@ -29,7 +29,7 @@
     if (peers.empty() || cancellations_known_until_ < 0) return;
     double oldest = peers.front().requested_at;
     for (const auto& peer : peers) {
-        const double began_by = peer.answered_at - peer.uptime_s * (1 - c::clock_drift);
+        const double began_by = peer.answered_at - peer.uptime_s * (1 - c::max_clock_drift);
         if (peer.requested_at < 0 || !peer.confirms_cancellations || began_by >= cancellations_known_until_)
             return;
         oldest = std::min(oldest, peer.requested_at);
@@ -41,7 +41,7 @@
 // controller's is (found in a day-long load test: a leader ended its term 4 s into an outage, nobody else
 // could lead, and 3,800 tasks were stopped by the expiry of their workers' leases).
 bool LeaseGuard::store_serves_peer(double now, const store::StoreRefusal& own, const PeerStoreContact& peer) {
-    return own.since >= 0 && peer.contacted_at >= now - c::peer_contact_fresh_s &&
+    return own.since >= 0 && peer.contacted_at >= now - c::recent_peer_contact_s &&
            peer.contacted_at - peer.store_contact_age_s > own.since &&
            own.last_sent > peer.contacted_at + c::peer_message_timeout_s;
 }
@@ -60,7 +60,7 @@
         const double served_at = peer.contacted_at - peer.store_contact_age_s;
         if (store_serves_peer(now, own, peer) && served_at > lease_until_ + c::lease_expiry_margin_s)
             return true;
-        any_answers |= peer.contacted_at >= 0 && peer.contacted_at >= now - c::peer_contact_fresh_s;
+        any_answers |= peer.contacted_at >= 0 && peer.contacted_at >= now - c::recent_peer_contact_s;
     }
     return !any_answers && now > lease_until_ + c::isolated_leader_grace_s;
 }
--- a/src/model/dependency_graph.cpp
+++ b/src/model/dependency_graph.cpp
@@ -47,8 +47,8 @@
         dependents_[dependency].insert(id);
         if (const auto outcome = outcomes_.find(dependency); outcome != outcomes_.end())
             apply_outcome(job, outcome->second);
-        else if (const LiveJob* before = find(dependency))
-            job.cancelled |= before->cancelled;
+        else if (const LiveJob* live_dependency = find(dependency))
+            job.cancelled |= live_dependency->cancelled;
         else
             unresolved_.insert(dependency);
     }
@@ -63,7 +63,7 @@
     dependent.ready_since_ms = std::max(dependent.ready_since_ms, outcome.ended_at_ms);
 }
 
-DependencyGraph::Change DependencyGraph::end(const std::string& id, const JobOutcome& outcome) {
+DependencyGraph::Change DependencyGraph::record_outcome(const std::string& id, const JobOutcome& outcome) {
     Change change;
     const auto dependents = dependents_.find(id);
     if (dependents == dependents_.end() || !outcomes_.try_emplace(id, outcome).second) return change;
@@ -83,12 +83,12 @@
 void DependencyGraph::cancel_dependents(const std::string& id, Change& change) {
     const auto marked = mark_dependents_cancelled(id);
     change.cancelled.insert(change.cancelled.end(), marked.begin(), marked.end());
-    std::vector<std::string> before;
+    std::vector<std::string> dependencies_of_marked;
     for (const auto& job : marked) {
         const auto& dependencies = live_.at(job).dependencies;
-        before.insert(before.end(), dependencies.begin(), dependencies.end());
+        dependencies_of_marked.insert(dependencies_of_marked.end(), dependencies.begin(), dependencies.end());
     }
-    update_inherited(before);
+    update_inherited(dependencies_of_marked);
 }
 
 // Each job once, whatever the number of paths to it: a job that is marked already has had its dependents
@@ -134,7 +134,7 @@
     unresolved_.clear();
 }
 
-void DependencyGraph::forget_unneeded() {
+void DependencyGraph::drop_unreferenced_outcomes() {
     std::erase_if(outcomes_, [&](const auto& entry) { return !dependents_.contains(entry.first); });
 }
 
@@ -143,11 +143,11 @@
     auto deadline_ms = job.own_deadline_ms;
     if (const auto dependents = dependents_.find(id); dependents != dependents_.end())
         for (const auto& dependent : dependents->second) {
-            const LiveJob& later = live_.at(dependent);
-            if (later.cancelled) continue;
-            priority = std::min(priority, later.priority);
-            if (!later.deadline_ms) continue;
-            const auto latest_start_ms = *later.deadline_ms - later.duration_ms;
+            const LiveJob& dependent_job = live_.at(dependent);
+            if (dependent_job.cancelled) continue;
+            priority = std::min(priority, dependent_job.priority);
+            if (!dependent_job.deadline_ms) continue;
+            const auto latest_start_ms = *dependent_job.deadline_ms - dependent_job.duration_ms;
             deadline_ms = deadline_ms ? std::min(*deadline_ms, latest_start_ms) : latest_start_ms;
         }
     if (priority == job.priority && deadline_ms == job.deadline_ms) return false;
@@ -216,7 +216,7 @@
     return {unresolved_.begin(), unresolved_.end()};
 }
 
-std::vector<std::string> DependencyGraph::unresolved_before(const std::string& id) const {
+std::vector<std::string> DependencyGraph::unresolved_ancestors(const std::string& id) const {
     std::set<std::string> seen, found;
     std::vector<std::string> stack{id};
     while (!stack.empty() && !unresolved_.empty()) {
--- a/src/model/dependency_graph.hpp
+++ b/src/model/dependency_graph.hpp
@@ -33,13 +33,13 @@
     // the job is there already.
     Change add(const JobSpec& spec);
     // Tells the final state of a job. Kept while live jobs depend on it; the first one told counts.
-    Change end(const std::string& id, const JobOutcome& outcome);
+    Change record_outcome(const std::string& id, const JobOutcome& outcome);
     // Removes a live job whose record is gone.
     void remove(const std::string& id);
     // Removes all live jobs, but not the final states that they depend on.
     void clear();
     // Drops final states that no live job depends on, once the live jobs are added again after clear().
-    void forget_unneeded();
+    void drop_unreferenced_outcomes();
 
     // Whether every dependency is known to be done. False for a job that is not live.
     [[nodiscard]] bool is_ready(const std::string& id) const;
@@ -56,7 +56,7 @@
     // Dependencies of live jobs that are neither live nor known to be over, by id.
     [[nodiscard]] std::vector<std::string> unresolved() const;
     // The same, of one job and of the live jobs before it.
-    [[nodiscard]] std::vector<std::string> unresolved_before(const std::string& id) const;
+    [[nodiscard]] std::vector<std::string> unresolved_ancestors(const std::string& id) const;
     // Whether its lateness is that of a pipeline: it has jobs before it, or live jobs after it and no
     // deadline of its own.
     [[nodiscard]] bool in_pipeline(const JobSpec& spec) const;
--- a/src/model/heartbeat.hpp
+++ b/src/model/heartbeat.hpp
@@ -38,7 +38,7 @@
     std::uint64_t attempt = 0;
     TaskState state = TaskState::running;
     ExitCause cause = ExitCause::none;
-    bool saved = false;  // stopped, and its progress was saved in a checkpoint
+    bool checkpoint_saved = false;  // stopped, and its progress was saved in a checkpoint
 };
 
 // A heartbeat with status: everything a machine's agent reports of itself.
--- a/src/model/progress.hpp
+++ b/src/model/progress.hpp
@@ -28,7 +28,7 @@
     double checkpointed_run_s = 0;      // run time kept by orderly stops; everything else counts as wait
     Resources task_resources;           // repeated here: a cancelled job has no other record left
     std::string team;                   // as the resources
-    bool partial = false;               // speaks of the tasks of one shard of the job only
+    bool is_shard = false;              // speaks of the tasks of one shard of the job only
     // Number of tasks that completed.
     [[nodiscard]] std::uint32_t done_count() const { return static_cast<std::uint32_t>(done.size()); }
 };
--- a/src/model/resources.hpp
+++ b/src/model/resources.hpp
@@ -4,7 +4,7 @@
 namespace pineroad::model {
 
 // Sums of amounts, which are decimal numbers, are not exact: two that differ by less count as equal.
-inline constexpr double amount_slack = 1e-6;
+inline constexpr double amount_tolerance = 1e-6;
 
 // CPUs, GPUs and gigabytes of memory: a machine's capacity, or what one task takes of it. Decimal numbers.
 struct Resources {
@@ -12,8 +12,8 @@
 
     // Whether this much can be taken from `available`.
     [[nodiscard]] bool fits_in(const Resources& available) const {
-        return cpus <= available.cpus + amount_slack && gpus <= available.gpus + amount_slack &&
-               memory_gb <= available.memory_gb + amount_slack;
+        return cpus <= available.cpus + amount_tolerance && gpus <= available.gpus + amount_tolerance &&
+               memory_gb <= available.memory_gb + amount_tolerance;
     }
 
     Resources& operator+=(const Resources& other) {
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -50,8 +50,10 @@
 
     // Waits until a permit can be taken. False: too many wait already, or the time is over.
     awaitable<bool> wait_for_permit(SteadyClock::time_point deadline) {
-        while (in_use >= constants::client_connections) {
-            if (waiting.size() >= constants::client_queue || SteadyClock::now() >= deadline) co_return false;
+        while (in_use >= constants::max_connections_per_endpoint) {
+            if (waiting.size() >= constants::max_queued_requests_per_endpoint ||
+                SteadyClock::now() >= deadline)
+                co_return false;
             asio::steady_timer timer(executor, deadline);
             const auto position = waiting.insert(waiting.end(), &timer);
             co_await timer.async_wait(tuple_awaitable);
@@ -130,7 +132,7 @@
         auto response = parser.release();
         reply.status = static_cast<int>(response.result_int());
         reply.body = std::move(response.body());
-        const bool reusable = response.keep_alive() && idle.size() < constants::client_connections;
+        const bool reusable = response.keep_alive() && idle.size() < constants::max_connections_per_endpoint;
         if (reusable) keep_idle(std::move(stream));
         co_return reply;
     }
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -93,10 +93,10 @@
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     beast::tcp_stream stream(std::move(socket));
-    beast::flat_buffer buffer(2 * constants::max_body);
+    beast::flat_buffer buffer(2 * constants::max_request_body_bytes);
     for (;;) {
         http::request_parser<http::string_body> parser;
-        parser.body_limit(constants::max_body);
+        parser.body_limit(constants::max_request_body_bytes);
         stream.expires_after(seconds(connection_class.idle_s()));
         auto [head_error, head_size] =
             co_await http::async_read_header(stream, buffer, parser, tuple_awaitable);
@@ -158,7 +158,7 @@
         auto [error, socket] = co_await state->acceptor.async_accept(tuple_awaitable);
         if (error) {
             spdlog::warn("accept on {} failed: {}", state->endpoint.text(), error.message());
-            co_await sleep_for(constants::accept_pause_s);
+            co_await sleep_for(constants::accept_retry_s);
             continue;
         }
         if (state->connections >= state->limits.connections) {
--- a/src/peers/peer_directory.cpp
+++ b/src/peers/peer_directory.cpp
@@ -61,7 +61,7 @@
 bool PeerDirectory::store_down_for_all(const store::StoreRefusal& own) const {
     const double now = steady_now_s();
     return std::all_of(contacts_.begin(), contacts_.end(), [&](const PeerContact& peer) {
-        return peer.contacted_at >= now - c::peer_contact_fresh_s &&
+        return peer.contacted_at >= now - c::recent_peer_contact_s &&
                !leadership::LeaseGuard::store_serves_peer(now, own, store_contact(peer));
     });
 }
@@ -73,7 +73,7 @@
 }
 
 bool PeerDirectory::heartbeats_reach_peer() const {
-    const double fresh = steady_now_s() - c::peer_contact_fresh_s;
+    const double fresh = steady_now_s() - c::recent_peer_contact_s;
     return std::any_of(contacts_.begin(), contacts_.end(), [&](const PeerContact& peer) {
         return peer.contacted_at > fresh && peer.last.heartbeat_age_ms < heartbeat_fresh_ms &&
                peer.last.uptime_ms > heartbeat_fresh_ms;
--- a/src/peers/record_format.cpp
+++ b/src/peers/record_format.cpp
@@ -33,7 +33,7 @@
 std::set<std::string> RecordFormat::readers() const {
     auto readers = watch_cache_.format.value;
     readers.insert(settings_.name);
-    const double before = store::steady_now_s() - constants::format_silence_s;
+    const double before = store::steady_now_s() - constants::format_silence_timeout_s;
     for (std::size_t i = 0; i < directory_.size(); ++i) {
         const auto& contact = directory_.contact(i);
         const bool silent = contact.silent_since(before) && started_at_ < before;
--- a/src/scheduling/autoscaling.cpp
+++ b/src/scheduling/autoscaling.cpp
@@ -50,12 +50,12 @@
     void measure_queues();
 
     // Finds room for the job's waiting tasks, or requests machines for them.
-    void provide_for(PendingJob& job);
+    void provision_for(PendingJob& job);
     // Drops the tasks of an array that running tasks of its class make room for in time.
     void drop_tasks_served_in_time(PendingJob& job);
     // Puts waiting tasks on expected machines from the given index on. True when none is left.
-    bool put_on_expected(PendingJob& job, std::size_t first_machine);
-    std::size_t tasks_put_on(PendingJob& job, ExpectedMachine& machine, std::size_t max_tasks);
+    bool place_on_expected(PendingJob& job, std::size_t first_machine);
+    std::size_t place_tasks_on(PendingJob& job, ExpectedMachine& machine, std::size_t max_tasks);
     void request_machines_for(PendingJob& job);
     [[nodiscard]] bool queue_is_short(const PendingJob& job, const MachinePool& pool) const;
 
@@ -66,13 +66,13 @@
 
     // Spare machines for classes whose objective for starts is shorter than a boot: idle ones are added to
     // `kept`, then expected ones are claimed, then machines are requested.
-    void provide_headroom(std::set<std::string>& kept);
+    void provision_headroom(std::set<std::string>& kept);
     int keep_idle_machines(const model::JobSpec& sample, int missing, std::set<std::string>& kept) const;
     int claim_expected_machines(const model::JobSpec& sample, int missing);
     void request_headroom(const model::JobSpec& sample, int missing);
 
     void scale_in(const std::set<std::string>& kept);
-    [[nodiscard]] double worth_for_demand(const MachineSnapshot& machine) const;
+    [[nodiscard]] double idle_timeout_factor(const MachineSnapshot& machine) const;
 
     Snapshot snapshot_;
     AutoscalingPlan plan_;
@@ -93,9 +93,9 @@
     shrink_reservation_holder(reservation);
     queue_ = pending_queue(snapshot_.jobs);
     measure_queues();
-    for (auto* job : queue_) provide_for(*job);
+    for (auto* job : queue_) provision_for(*job);
     auto kept = reservation.machines;
-    provide_headroom(kept);
+    provision_headroom(kept);
     scale_in(kept);
     return std::move(plan_);
 }
@@ -127,9 +127,9 @@
     for (const auto& pool : snapshot_.pools) longest_boot_s_ = std::max(longest_boot_s_, pool.type->boot_s);
 }
 
-void AutoscalingRound::provide_for(PendingJob& job) {
+void AutoscalingRound::provision_for(PendingJob& job) {
     if (job.spec->shape == model::Shape::array) drop_tasks_served_in_time(job);
-    if (job.pending_tasks.empty() || put_on_expected(job, 0)) return;
+    if (job.pending_tasks.empty() || place_on_expected(job, 0)) return;
     request_machines_for(job);
 }
 
@@ -140,7 +140,7 @@
     const auto& tuning = *snapshot_.tuning;
     const double running_tasks = running_tasks_for(job, zone);
     const double horizon_s =
-        std::max(tuning.queue_patience * job.slack_s, tuning.drain_boot_times * longest_boot_s_);
+        std::max(tuning.queue_slack_share * job.slack_s, tuning.drain_boot_times * longest_boot_s_);
     const auto waiting_tasks = static_cast<double>(job.pending_tasks.size());
     double work_s = waiting_tasks * job.expected_s;
     auto& counted_s = served_by_running_s_[{job.spec->job_class, zone}];
@@ -152,7 +152,7 @@
     job.pending_tasks.resize(static_cast<std::size_t>(std::clamp(needed, 0.0, waiting_tasks)));
 }
 
-bool AutoscalingRound::put_on_expected(PendingJob& job, std::size_t first_machine) {
+bool AutoscalingRound::place_on_expected(PendingJob& job, std::size_t first_machine) {
     const auto& spec = *job.spec;
     std::size_t placed = 0;
     const int eligible_pools = eligible_pool_count(snapshot_, spec);
@@ -161,7 +161,7 @@
         if (!spec.task_resources.fits_in(machine.free) || eligible_pools > machine.reserved_for_pool_count ||
             !allowed_on(spec, machine.type, machine.zone, machine.spot) || !zone_allowed(job, machine.zone))
             continue;
-        placed += tasks_put_on(job, machine, job.pending_tasks.size() - placed);
+        placed += place_tasks_on(job, machine, job.pending_tasks.size() - placed);
     }
     job.pending_tasks.erase(job.pending_tasks.begin(),
                             job.pending_tasks.begin() + static_cast<std::ptrdiff_t>(placed));
@@ -169,11 +169,12 @@
 }
 
 // Accounts for as many tasks as the machine, the team's limit and the job's wishes for zones allow.
-std::size_t AutoscalingRound::tasks_put_on(PendingJob& job, ExpectedMachine& machine, std::size_t max_tasks) {
+std::size_t AutoscalingRound::place_tasks_on(PendingJob& job, ExpectedMachine& machine,
+                                             std::size_t max_tasks) {
     const auto& spec = *job.spec;
     std::size_t tasks = 0;
     while (tasks < max_tasks && spec.task_resources.fits_in(machine.free) &&
-           within_limit(snapshot_, spec, 1)) {
+           within_team_quota(snapshot_, spec, 1)) {
         machine.free -= spec.task_resources;
         ++job.tasks_by_zone[machine.zone];
         auto& usage = snapshot_.usage[spec.team];
@@ -189,14 +190,14 @@
 void AutoscalingRound::request_machines_for(PendingJob& job) {
     double class_tasks = waiting_tasks_of(job.spec->job_class);
     while (!job.pending_tasks.empty()) {
-        if (!within_limit(snapshot_, *job.spec, 1)) break;
+        if (!within_team_quota(snapshot_, *job.spec, 1)) break;
         const auto* pool = cheapest_pool(job, class_tasks);
         if (!pool || queue_is_short(job, *pool)) break;
         request(*pool);
-        const auto before = job.pending_tasks.size();
-        put_on_expected(job, expected_.size() - 1);
-        if (job.pending_tasks.size() == before) break;
-        class_tasks -= static_cast<double>(before - job.pending_tasks.size());
+        const auto pending_before = job.pending_tasks.size();
+        place_on_expected(job, expected_.size() - 1);
+        if (job.pending_tasks.size() == pending_before) break;
+        class_tasks -= static_cast<double>(pending_before - job.pending_tasks.size());
     }
 }
 
@@ -207,9 +208,9 @@
     if (spec.shape != model::Shape::array || running_tasks_for(job, required_zone(job)) <= 0) return false;
     const auto& tuning = *snapshot_.tuning;
     const auto& queue = class_queues_.at(spec.job_class);
-    const double longer =
-        std::pow(price_ratio(snapshot_, spec, pool.type->name, pool.spot), tuning.price_patience) - 1;
-    return queue.work_s < queue.servers * tuning.drain_boot_times * longest_boot_s_ * longer;
+    const double extra_queue_factor =
+        std::pow(price_ratio(snapshot_, spec, pool.type->name, pool.spot), tuning.price_ratio_exponent) - 1;
+    return queue.work_s < queue.servers * tuning.drain_boot_times * longest_boot_s_ * extra_queue_factor;
 }
 
 // Tasks of the job's class that run where the job may go: what ends in another zone makes no room for it.
@@ -222,7 +223,7 @@
     if (zone.empty()) return of_class;
     double in_zone = 0;
     for (const auto& machine : snapshot_.machines)
-        if (machine.zone == zone && machine.classes.contains(job_class)) in_zone += machine.running_tasks;
+        if (machine.zone == zone && machine.job_classes.contains(job_class)) in_zone += machine.running_tasks;
     return std::min(of_class, in_zone);
 }
 
@@ -240,7 +241,7 @@
     const MachinePool* best = nullptr;
     double best_price = 0;
     for (const auto& pool : snapshot_.pools) {
-        if (pool.refused || !allowed_on(spec, pool) || !zone_allowed(job, pool.zone)) continue;
+        if (pool.lacks_capacity || !allowed_on(spec, pool) || !zone_allowed(job, pool.zone)) continue;
         const int capacity = task_capacity(spec, pool.type->capacity);
         if (capacity < 1) continue;
         const double price = pool.price() / std::min<double>(capacity, std::max(tasks, 1.0));
@@ -261,9 +262,9 @@
     plan_.scale_out.push_back({pool.type->name, pool.zone, pool.spot, 1});
 }
 
-void AutoscalingRound::provide_headroom(std::set<std::string>& kept) {
+void AutoscalingRound::provision_headroom(std::set<std::string>& kept) {
     for (const auto& [job_class, demand] : snapshot_.demand) {
-        int missing = headroom(snapshot_, demand);
+        int missing = headroom_task_count(snapshot_, demand);
         missing = keep_idle_machines(demand.sample, missing, kept);
         missing = claim_expected_machines(demand.sample, missing);
         request_headroom(demand.sample, missing);
@@ -311,20 +312,21 @@
 void AutoscalingRound::scale_in(const std::set<std::string>& kept) {
     for (const auto& machine : snapshot_.machines) {
         if (!machine.ready || machine.busy || kept.contains(machine.id)) continue;
-        if (machine.idle_s >= snapshot_.tuning->idle_timeout_s * worth_for_demand(machine))
+        if (machine.idle_s >= snapshot_.tuning->idle_timeout_s * idle_timeout_factor(machine))
             plan_.scale_in.push_back(machine.id);
     }
 }
 
 // The dearer a machine for the work that comes, the less it is worth to wait for some: 1 for the cheapest, 0
 // for a machine that no class can use.
-double AutoscalingRound::worth_for_demand(const MachineSnapshot& machine) const {
-    double worth = snapshot_.demand.empty() ? 1.0 : 0.0;
+double AutoscalingRound::idle_timeout_factor(const MachineSnapshot& machine) const {
+    double factor = snapshot_.demand.empty() ? 1.0 : 0.0;
     for (const auto& [job_class, demand] : snapshot_.demand)
         if (demand.arrivals_per_s > 0 && allowed_on(demand.sample, machine) &&
             demand.sample.task_resources.fits_in(machine.free))
-            worth = std::max(worth, 1.0 / price_ratio(snapshot_, demand.sample, machine.type, machine.spot));
-    return worth;
+            factor =
+                std::max(factor, 1.0 / price_ratio(snapshot_, demand.sample, machine.type, machine.spot));
+    return factor;
 }
 
 }  // namespace
--- a/src/scheduling/eligibility.cpp
+++ b/src/scheduling/eligibility.cpp
@@ -8,7 +8,7 @@
 
 namespace pineroad::scheduling {
 
-using model::amount_slack;
+using model::amount_tolerance;
 
 bool allowed_on(const model::JobSpec& spec, const std::string& type, const std::string& zone, bool spot) {
     return spec.allows_type(type) && (!spec.zone || *spec.zone == zone) && (!spot || spec.allows_spot);
@@ -38,20 +38,21 @@
     return true;
 }
 
-bool within_limit(const Snapshot& snapshot, const model::JobSpec& spec, double task_count) {
+bool within_team_quota(const Snapshot& snapshot, const model::JobSpec& spec, double task_count) {
     const auto* team = snapshot.settings->team(spec.team);
     if (!team) return false;
     const auto found = snapshot.usage.find(spec.team);
     const TeamUsage usage = found == snapshot.usage.end() ? TeamUsage{} : found->second;
     const auto& task = spec.task_resources;
-    return (team->cpus_max <= 0 || usage.cpus + task_count * task.cpus <= team->cpus_max + amount_slack) &&
-           (team->gpus_max <= 0 || usage.gpus + task_count * task.gpus <= team->gpus_max + amount_slack);
+    return (team->cpus_max <= 0 ||
+            usage.cpus + task_count * task.cpus <= team->cpus_max + amount_tolerance) &&
+           (team->gpus_max <= 0 || usage.gpus + task_count * task.gpus <= team->gpus_max + amount_tolerance);
 }
 
 int task_capacity(const model::JobSpec& spec, const model::Resources& room) {
     double tasks = 1e6;
     const auto limit = [&tasks](double needed, double available) {
-        if (needed > 0) tasks = std::min(tasks, std::floor((available + amount_slack) / needed));
+        if (needed > 0) tasks = std::min(tasks, std::floor((available + amount_tolerance) / needed));
     };
     limit(spec.task_resources.cpus, room.cpus);
     limit(spec.task_resources.gpus, room.gpus);
@@ -71,7 +72,7 @@
     return cheapest > 0 && own > 0 ? std::max(1.0, own / cheapest) : 1.0;
 }
 
-std::vector<std::size_t> pools_of(const Snapshot& snapshot) {
+std::vector<std::size_t> pool_indices(const Snapshot& snapshot) {
     std::map<std::tuple<std::string_view, std::string_view, bool>, std::size_t> index;
     for (std::size_t i = 0; i < snapshot.pools.size(); ++i) {
         const auto& pool = snapshot.pools[i];
--- a/src/scheduling/eligibility.hpp
+++ b/src/scheduling/eligibility.hpp
@@ -25,7 +25,7 @@
 
 // Whether the limit of the job's team leaves room for so many more tasks of the job. False for a team that
 // the settings don't name.
-bool within_limit(const Snapshot& snapshot, const model::JobSpec& spec, double task_count);
+bool within_team_quota(const Snapshot& snapshot, const model::JobSpec& spec, double task_count);
 
 // How many tasks of the job fit into the room; a million where the job takes nothing.
 int task_capacity(const model::JobSpec& spec, const model::Resources& room);
@@ -35,7 +35,7 @@
 double price_ratio(const Snapshot& snapshot, const model::JobSpec& spec, const std::string& type, bool spot);
 
 // The pool of every machine, as an index into `pools`; `pools.size()` for machines of no known pool.
-std::vector<std::size_t> pools_of(const Snapshot& snapshot);
+std::vector<std::size_t> pool_indices(const Snapshot& snapshot);
 
 // Number of pools (type, zone, kind) that can run a task of the job.
 int eligible_pool_count(const Snapshot& snapshot, const model::JobSpec& spec);
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -17,26 +17,26 @@
 namespace {
 
 // What a job's tasks meet in each pool, by pool index; worked out once for a job, not once for a machine.
-struct PoolTerms {
+struct PoolEvaluation {
     std::vector<double> fetch_s;      // time to fetch the job's image
     std::vector<double> price_ratio;  // as price_ratio(), bounded
     std::vector<bool> allowed;
     int eligible_pool_count = 0;
 };
 
-PoolTerms pool_terms(const Snapshot& snapshot, const model::JobSpec& spec) {
-    PoolTerms terms;
+PoolEvaluation evaluate_pools(const Snapshot& snapshot, const model::JobSpec& spec) {
+    PoolEvaluation evaluation;
     for (const auto& pool : snapshot.pools) {
         const auto& type = *pool.type;
         const bool allowed = allowed_on(spec, pool);
-        terms.allowed.push_back(allowed);
-        terms.eligible_pool_count += allowed && spec.task_resources.fits_in(type.capacity);
-        terms.fetch_s.push_back(type.fetch_gb_per_s > 0 ? spec.image_gb / type.fetch_gb_per_s : 0);
-        terms.price_ratio.push_back(
+        evaluation.allowed.push_back(allowed);
+        evaluation.eligible_pool_count += allowed && spec.task_resources.fits_in(type.capacity);
+        evaluation.fetch_s.push_back(type.fetch_gb_per_s > 0 ? spec.image_gb / type.fetch_gb_per_s : 0);
+        evaluation.price_ratio.push_back(
             allowed ? std::min(price_ratio(snapshot, spec, type.name, pool.spot), constants::max_price_ratio)
                     : constants::max_price_ratio);
     }
-    return terms;
+    return evaluation;
 }
 
 bool has_image(const MachineSnapshot& machine, const model::JobSpec& spec) {
@@ -50,30 +50,30 @@
 }
 
 // What it costs to start a task of the job on the machine, in seconds; the smallest cost wins.
-double placement_cost_s(const PoolTerms& terms, const PendingJob& job, const MachineSnapshot& machine,
-                        std::size_t pool) {
+double placement_cost_s(const PoolEvaluation& evaluation, const PendingJob& job,
+                        const MachineSnapshot& machine, std::size_t pool) {
     const auto& spec = *job.spec;
     double cost_s = job.in_pipeline ? pipeline_cost_s(machine) : 0;
-    if (!has_image(machine, spec)) cost_s += terms.fetch_s[pool];
+    if (!has_image(machine, spec)) cost_s += evaluation.fetch_s[pool];
     // Work goes to cheap machines and to those in use, so that dear and empty ones can be scaled in.
     cost_s += (machine.busy ? constants::price_cost_busy_s : constants::price_cost_idle_s) *
-              terms.price_ratio[pool];
+              evaluation.price_ratio[pool];
     const double unused = machine.free.gpus - spec.task_resources.gpus +
-                          constants::gpus_per_cpu_weight * (machine.free.cpus - spec.task_resources.cpus);
+                          constants::gpus_per_free_cpu * (machine.free.cpus - spec.task_resources.cpus);
     cost_s += constants::unused_capacity_cost_s * unused;  // best fit
     return cost_s;
 }
 
 // The least that any of the jobs takes of each kind of resource.
 model::Resources smallest_task(const std::vector<PendingJob*>& jobs) {
-    model::Resources least = jobs.front()->spec->task_resources;
+    model::Resources smallest = jobs.front()->spec->task_resources;
     for (const auto* job : jobs) {
         const auto& task = job->spec->task_resources;
-        least.cpus = std::min(least.cpus, task.cpus);
-        least.gpus = std::min(least.gpus, task.gpus);
-        least.memory_gb = std::min(least.memory_gb, task.memory_gb);
+        smallest.cpus = std::min(smallest.cpus, task.cpus);
+        smallest.gpus = std::min(smallest.gpus, task.gpus);
+        smallest.memory_gb = std::min(smallest.memory_gb, task.memory_gb);
     }
-    return least;
+    return smallest;
 }
 
 // One round of placement over a snapshot.
@@ -103,28 +103,30 @@
     void place_reservation_holder(const std::vector<PendingJob*>& queue);
     void place_in_bands(const std::vector<PendingJob*>& queue);
     void place_job(PendingJob& job, ImageRule rule);
-    void place_gang(PendingJob& job, const PoolTerms& terms);
-    void place_independent_tasks(PendingJob& job, const PoolTerms& terms, ImageRule rule);
+    void place_gang(PendingJob& job, const PoolEvaluation& evaluation);
+    void place_independent_tasks(PendingJob& job, const PoolEvaluation& evaluation, ImageRule rule);
 
     // Machines for all waiting tasks of a gang, in one zone if one is given. Nothing is assigned, and the
     // answer is empty, where a task finds none.
-    std::vector<AssignedTask> assign_gang(PendingJob& job, const PoolTerms& terms, const std::string* zone);
+    std::vector<AssignedTask> assign_gang(PendingJob& job, const PoolEvaluation& evaluation,
+                                          const std::string* zone);
 
     // Candidates: a job's tasks are alike, so that one pass finds its machines, best first, and a machine
     // that was given a task goes back into the heap with its new cost.
-    void collect_candidates(const PendingJob& job, const PoolTerms& terms, const std::string* zone,
+    void collect_candidates(const PendingJob& job, const PoolEvaluation& evaluation, const std::string* zone,
                             ImageRule rule);
-    [[nodiscard]] bool is_candidate(const OpenMachine& open, const PendingJob& job, const PoolTerms& terms,
-                                    const std::string* zone, ImageRule rule) const;
-    OpenMachine* next_candidate(const PendingJob& job);
-    void return_candidate(const PendingJob& job, const PoolTerms& terms, const OpenMachine& open);
+    [[nodiscard]] bool is_candidate(const OpenMachine& open, const PendingJob& job,
+                                    const PoolEvaluation& evaluation, const std::string* zone,
+                                    ImageRule rule) const;
+    OpenMachine* pop_candidate(const PendingJob& job);
+    void push_candidate(const PendingJob& job, const PoolEvaluation& evaluation, const OpenMachine& open);
 
     // Accounts for one task of the job on the machine.
     void assign(PendingJob& job, MachineSnapshot& machine);
     // Takes back what assign() accounted for.
     void unassign(PendingJob& job, MachineSnapshot& machine);
     // Decides that the task starts there: what was assigned is final.
-    void decide(const PendingJob& job, std::uint32_t index, MachineSnapshot& machine);
+    void record_decision(const PendingJob& job, std::uint32_t index, MachineSnapshot& machine);
 
     Snapshot& snapshot_;
     Reservation reservation_;
@@ -146,11 +148,11 @@
 // Only these are looked at for each job: in a large cluster most machines are full.
 void PlacementRound::find_open_machines(const std::vector<PendingJob*>& queue) {
     const auto reserved = constrained_class_reservations(snapshot_);
-    const auto least = smallest_task(queue);
-    const auto pools = pools_of(snapshot_);
+    const auto smallest = smallest_task(queue);
+    const auto pools = pool_indices(snapshot_);
     for (std::size_t i = 0; i < snapshot_.machines.size(); ++i) {
         auto& machine = snapshot_.machines[i];
-        if (!machine.ready || pools[i] == snapshot_.pools.size() || !least.fits_in(machine.free)) continue;
+        if (!machine.ready || pools[i] == snapshot_.pools.size() || !smallest.fits_in(machine.free)) continue;
         const auto found = reserved.find(machine.id);
         open_.push_back({&machine, pools[i], found == reserved.end() ? INT_MAX : found->second,
                          reservation_.machines.contains(machine.id)});
@@ -168,12 +170,12 @@
 // machine for half as long as a short task does (docs/design.md, exceptions).
 void PlacementRound::place_in_bands(const std::vector<PendingJob*>& queue) {
     for (std::size_t first = 0, last = 0; first < queue.size(); first = last) {
-        const double floor = queue[first]->xfactor / snapshot_.tuning->image_locality_band;
+        const double min_xfactor = queue[first]->xfactor / snapshot_.tuning->image_locality_band;
         last = first + 1;
-        while (last < queue.size() && queue[last]->xfactor > floor) ++last;
-        const bool alone = last - first == 1;
+        while (last < queue.size() && queue[last]->xfactor > min_xfactor) ++last;
+        const bool single_job = last - first == 1;
         for (const auto rule : {ImageRule::image_present, ImageRule::any_machine}) {
-            if (alone && rule == ImageRule::image_present) continue;
+            if (single_job && rule == ImageRule::image_present) continue;
             for (std::size_t i = first; i < last; ++i)
                 if (!queue[i]->pending_tasks.empty()) place_job(*queue[i], rule);
         }
@@ -183,85 +185,88 @@
 void PlacementRound::place_job(PendingJob& job, ImageRule rule) {
     const bool is_gang = job.spec->shape == model::Shape::gang;
     if (is_gang && rule == ImageRule::image_present) return;  // a gang is placed whole: it takes any machines
-    const auto terms = pool_terms(snapshot_, *job.spec);
+    const auto evaluation = evaluate_pools(snapshot_, *job.spec);
     if (is_gang)
-        place_gang(job, terms);
+        place_gang(job, evaluation);
     else
-        place_independent_tasks(job, terms, rule);
+        place_independent_tasks(job, evaluation, rule);
 }
 
 // The whole gang or nothing. A gang that must stay in one zone may fail in all zones together, where the best
 // machine decides on the zone: then every zone is tried on its own.
-void PlacementRound::place_gang(PendingJob& job, const PoolTerms& terms) {
+void PlacementRound::place_gang(PendingJob& job, const PoolEvaluation& evaluation) {
     const auto& spec = *job.spec;
-    if (!within_limit(snapshot_, spec, static_cast<double>(job.pending_tasks.size()))) return;
-    auto assigned = assign_gang(job, terms, nullptr);
+    if (!within_team_quota(snapshot_, spec, static_cast<double>(job.pending_tasks.size()))) return;
+    auto assigned = assign_gang(job, evaluation, nullptr);
     if (assigned.empty() && spec.same_zone && job.pending_tasks.size() > 1)
         for (const auto& zone : snapshot_.settings->zones) {
-            assigned = assign_gang(job, terms, &zone);
+            assigned = assign_gang(job, evaluation, &zone);
             if (!assigned.empty()) break;
         }
     if (assigned.empty()) return;
-    for (const auto& [index, machine] : assigned) decide(job, index, *machine);
+    for (const auto& [index, machine] : assigned) record_decision(job, index, *machine);
     job.pending_tasks.clear();
 }
 
-std::vector<PlacementRound::AssignedTask> PlacementRound::assign_gang(PendingJob& job, const PoolTerms& terms,
+std::vector<PlacementRound::AssignedTask> PlacementRound::assign_gang(PendingJob& job,
+                                                                      const PoolEvaluation& evaluation,
                                                                       const std::string* zone) {
     std::vector<AssignedTask> assigned;
-    collect_candidates(job, terms, zone, ImageRule::any_machine);
+    collect_candidates(job, evaluation, zone, ImageRule::any_machine);
     for (const auto index : job.pending_tasks) {
-        const auto* open = next_candidate(job);
+        const auto* open = pop_candidate(job);
         if (!open) {
             for (const auto& task : assigned) unassign(job, *task.machine);
             return {};
         }
         assign(job, *open->machine);
         assigned.push_back({index, open->machine});
-        return_candidate(job, terms, *open);
+        push_candidate(job, evaluation, *open);
     }
     return assigned;
 }
 
 // Tasks of an array or service, one by one, as far as machines, the team's limit and the record's size allow.
-void PlacementRound::place_independent_tasks(PendingJob& job, const PoolTerms& terms, ImageRule rule) {
+void PlacementRound::place_independent_tasks(PendingJob& job, const PoolEvaluation& evaluation,
+                                             ImageRule rule) {
     std::size_t placed = 0;
-    collect_candidates(job, terms, nullptr, rule);
+    collect_candidates(job, evaluation, nullptr, rule);
     while (placed < job.pending_tasks.size() && placed < job.max_placements &&
-           within_limit(snapshot_, *job.spec, 1)) {
-        const auto* open = next_candidate(job);
+           within_team_quota(snapshot_, *job.spec, 1)) {
+        const auto* open = pop_candidate(job);
         if (!open) break;
         assign(job, *open->machine);
-        decide(job, job.pending_tasks[placed], *open->machine);
+        record_decision(job, job.pending_tasks[placed], *open->machine);
         ++placed;
-        return_candidate(job, terms, *open);
+        push_candidate(job, evaluation, *open);
     }
     job.pending_tasks.erase(job.pending_tasks.begin(),
                             job.pending_tasks.begin() + static_cast<std::ptrdiff_t>(placed));
     job.max_placements -= static_cast<std::uint32_t>(placed);
 }
 
-void PlacementRound::collect_candidates(const PendingJob& job, const PoolTerms& terms,
+void PlacementRound::collect_candidates(const PendingJob& job, const PoolEvaluation& evaluation,
                                         const std::string* zone, ImageRule rule) {
     candidates_.clear();
     for (std::size_t i = 0; i < open_.size(); ++i)
-        if (is_candidate(open_[i], job, terms, zone, rule))
-            candidates_.emplace_back(placement_cost_s(terms, job, *open_[i].machine, open_[i].pool), i);
+        if (is_candidate(open_[i], job, evaluation, zone, rule))
+            candidates_.emplace_back(placement_cost_s(evaluation, job, *open_[i].machine, open_[i].pool), i);
     std::make_heap(candidates_.begin(), candidates_.end(), std::greater<>());
 }
 
-bool PlacementRound::is_candidate(const OpenMachine& open, const PendingJob& job, const PoolTerms& terms,
-                                  const std::string* zone, ImageRule rule) const {
+bool PlacementRound::is_candidate(const OpenMachine& open, const PendingJob& job,
+                                  const PoolEvaluation& evaluation, const std::string* zone,
+                                  ImageRule rule) const {
     const auto& machine = *open.machine;
-    if (!job.spec->task_resources.fits_in(machine.free) || !terms.allowed[open.pool]) return false;
-    if (terms.eligible_pool_count > open.reserved_for_pool_count) return false;
+    if (!job.spec->task_resources.fits_in(machine.free) || !evaluation.allowed[open.pool]) return false;
+    if (evaluation.eligible_pool_count > open.reserved_for_pool_count) return false;
     if (open.reserved_for_gang && job.spec->id != reservation_.job) return false;
     if ((zone && machine.zone != *zone) || job.excluded_machines.contains(machine.id)) return false;
     return rule == ImageRule::any_machine || has_image(machine, *job.spec);
 }
 
 // The best machine whose zone the job may still use, taken off the heap; null where there is none.
-PlacementRound::OpenMachine* PlacementRound::next_candidate(const PendingJob& job) {
+PlacementRound::OpenMachine* PlacementRound::pop_candidate(const PendingJob& job) {
     while (!candidates_.empty()) {
         std::pop_heap(candidates_.begin(), candidates_.end(), std::greater<>());
         auto& open = open_[candidates_.back().second];
@@ -271,10 +276,10 @@
     return nullptr;
 }
 
-void PlacementRound::return_candidate(const PendingJob& job, const PoolTerms& terms,
-                                      const OpenMachine& open) {
+void PlacementRound::push_candidate(const PendingJob& job, const PoolEvaluation& evaluation,
+                                    const OpenMachine& open) {
     if (!job.spec->task_resources.fits_in(open.machine->free)) return;
-    candidates_.emplace_back(placement_cost_s(terms, job, *open.machine, open.pool),
+    candidates_.emplace_back(placement_cost_s(evaluation, job, *open.machine, open.pool),
                              static_cast<std::size_t>(&open - open_.data()));
     std::push_heap(candidates_.begin(), candidates_.end(), std::greater<>());
 }
@@ -297,7 +302,7 @@
     usage.gpus -= task.gpus;
 }
 
-void PlacementRound::decide(const PendingJob& job, std::uint32_t index, MachineSnapshot& machine) {
+void PlacementRound::record_decision(const PendingJob& job, std::uint32_t index, MachineSnapshot& machine) {
     machine.busy = true;
     machine.idle_s = 0;
     if (!has_image(machine, *job.spec)) machine.images.push_back(job.spec->image);
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -11,7 +11,7 @@
 namespace pineroad::scheduling {
 namespace {
 
-using model::amount_slack;
+using model::amount_tolerance;
 
 TeamUsage usage_of(const Snapshot& snapshot, const std::string& team) {
     const auto found = snapshot.usage.find(team);
@@ -20,22 +20,24 @@
 
 // PROTOCOL "Preemption", on top of the design's three tests: work of a lower priority may be stopped, and
 // work of a team beyond its guarantee by a team that stays within its own.
-bool may_preempt(const Snapshot& snapshot, const PendingJob& waiter, const RunningGang& victim) {
-    if (waiter.priority < victim.priority) return true;
-    const auto &waiting = *waiter.spec, &running = *victim.spec;
-    if (waiting.team == running.team) return false;
-    const auto* waiting_team = snapshot.settings->team(waiting.team);
-    const auto* running_team = snapshot.settings->team(running.team);
-    if (!waiting_team || !running_team || (waiting_team->cpus <= 0 && waiting_team->gpus <= 0)) return false;
-    const auto waiting_usage = usage_of(snapshot, waiting.team);
-    const auto running_usage = usage_of(snapshot, running.team);
-    const double tasks = waiting.shape == model::Shape::gang ? waiting.task_count : 1;
-    const auto& task = waiting.task_resources;
-    const bool stays_within = waiting_usage.cpus + tasks * task.cpus <= waiting_team->cpus + amount_slack &&
-                              waiting_usage.gpus + tasks * task.gpus <= waiting_team->gpus + amount_slack;
-    const bool is_beyond = running_usage.cpus > running_team->cpus + amount_slack ||
-                           running_usage.gpus > running_team->gpus + amount_slack;
-    return stays_within && is_beyond;
+bool may_preempt(const Snapshot& snapshot, const PendingJob& preemptor, const RunningGang& victim) {
+    if (preemptor.priority < victim.priority) return true;
+    const auto &preemptor_spec = *preemptor.spec, &victim_spec = *victim.spec;
+    if (preemptor_spec.team == victim_spec.team) return false;
+    const auto* preemptor_team = snapshot.settings->team(preemptor_spec.team);
+    const auto* victim_team = snapshot.settings->team(victim_spec.team);
+    if (!preemptor_team || !victim_team || (preemptor_team->cpus <= 0 && preemptor_team->gpus <= 0))
+        return false;
+    const auto preemptor_usage = usage_of(snapshot, preemptor_spec.team);
+    const auto victim_usage = usage_of(snapshot, victim_spec.team);
+    const double tasks = preemptor_spec.shape == model::Shape::gang ? preemptor_spec.task_count : 1;
+    const auto& task = preemptor_spec.task_resources;
+    const bool within_guarantee =
+        preemptor_usage.cpus + tasks * task.cpus <= preemptor_team->cpus + amount_tolerance &&
+        preemptor_usage.gpus + tasks * task.gpus <= preemptor_team->gpus + amount_tolerance;
+    const bool over_guarantee = victim_usage.cpus > victim_team->cpus + amount_tolerance ||
+                                victim_usage.gpus > victim_team->gpus + amount_tolerance;
+    return within_guarantee && over_guarantee;
 }
 
 // The average slowdown of the job's category. A category nobody has finished in yet counts as one without
@@ -46,21 +48,21 @@
     return unknown ? 1.0 : found->second.mean;
 }
 
-bool is_victim(const Snapshot& snapshot, const PendingJob& waiter, const RunningGang& victim) {
+bool is_eligible_victim(const Snapshot& snapshot, const PendingJob& preemptor, const RunningGang& victim) {
     if (!victim.stoppable || victim.spec->checkpoint_interval_s <= 0) return false;
-    if (!may_preempt(snapshot, waiter, victim)) return false;
+    if (!may_preempt(snapshot, preemptor, victim)) return false;
     const auto& tuning = *snapshot.tuning;
-    if (waiter.xfactor < tuning.preemption_factor * victim.xfactor) return false;
-    if (width(*victim.spec) > tuning.width_ratio * width(*waiter.spec)) return false;
+    if (preemptor.xfactor < tuning.preemption_factor * victim.xfactor) return false;
+    if (width(*victim.spec) > tuning.max_victim_width_ratio * width(*preemptor.spec)) return false;
     // The paper's prose (section 4.5) bounds the victim, its formula the waiter; the design takes the prose.
     return victim.xfactor <= tuning.category_multiplier * category_average(snapshot, *victim.spec);
 }
 
 // All victims that the tests allow for the waiter, the widest first.
-std::vector<const RunningGang*> possible_victims(const Snapshot& snapshot, const PendingJob& waiter) {
+std::vector<const RunningGang*> eligible_victims(const Snapshot& snapshot, const PendingJob& preemptor) {
     std::vector<const RunningGang*> victims;
     for (const auto& gang : snapshot.running_gangs)
-        if (is_victim(snapshot, waiter, gang)) victims.push_back(&gang);
+        if (is_eligible_victim(snapshot, preemptor, gang)) victims.push_back(&gang);
     std::stable_sort(victims.begin(), victims.end(), [](const RunningGang* a, const RunningGang* b) {
         return width(*a->spec) > width(*b->spec);
     });
@@ -69,8 +71,8 @@
 
 // Whether the waiter (a gang whole, an array with one task) can be placed once the first `count` victims have
 // stopped.
-bool fits_without(const Snapshot& snapshot, const PendingJob& waiter,
-                  const std::vector<const RunningGang*>& victims, std::size_t count) {
+bool fits_after_stopping(const Snapshot& snapshot, const PendingJob& preemptor,
+                         const std::vector<const RunningGang*>& victims, std::size_t count) {
     std::map<std::string, model::Resources> freed;
     for (std::size_t i = 0; i < count; ++i)
         for (const auto& machine : victims[i]->machines) freed[machine] += victims[i]->spec->task_resources;
@@ -82,20 +84,20 @@
     trial.tuning = snapshot.tuning;
     for (auto& machine : trial.machines)
         if (const auto found = freed.find(machine.id); found != freed.end()) machine.free += found->second;
-    trial.jobs.push_back(waiter);
+    trial.jobs.push_back(preemptor);
     trial.jobs.back().waited_s = 0;  // no reservation inside the trial
     return !place_tasks(trial).empty();
 }
 
 // How many of the victims, from the first on, make room for the waiter; 0 where all together don't. More
 // victims make more room: the fewest are found by halving, not by trying each number.
-std::size_t fewest_sufficient(const Snapshot& snapshot, const PendingJob& waiter,
-                              const std::vector<const RunningGang*>& victims) {
-    if (victims.empty() || !fits_without(snapshot, waiter, victims, victims.size())) return 0;
+std::size_t min_victim_count(const Snapshot& snapshot, const PendingJob& preemptor,
+                             const std::vector<const RunningGang*>& victims) {
+    if (victims.empty() || !fits_after_stopping(snapshot, preemptor, victims, victims.size())) return 0;
     std::size_t low = 1, high = victims.size();
     while (low < high) {
         const auto middle = (low + high) / 2;
-        if (fits_without(snapshot, waiter, victims, middle))
+        if (fits_after_stopping(snapshot, preemptor, victims, middle))
             high = middle;
         else
             low = middle + 1;
@@ -107,11 +109,11 @@
 
 std::optional<Preemption> select_preemption(const Snapshot& snapshot) {
     auto jobs = snapshot.jobs;
-    for (const auto* waiter : pending_queue(jobs)) {
-        const auto victims = possible_victims(snapshot, *waiter);
-        const auto count = fewest_sufficient(snapshot, *waiter, victims);
+    for (const auto* preemptor : pending_queue(jobs)) {
+        const auto victims = eligible_victims(snapshot, *preemptor);
+        const auto count = min_victim_count(snapshot, *preemptor, victims);
         if (count == 0) continue;  // all of them make no room: no job is stopped
-        Preemption preemption{waiter->spec->id, {}};
+        Preemption preemption{preemptor->spec->id, {}};
         for (std::size_t i = 0; i < count; ++i) preemption.victims.push_back(victims[i]->spec->id);
         return preemption;
     }
--- a/src/scheduling/preemption.hpp
+++ b/src/scheduling/preemption.hpp
@@ -11,7 +11,7 @@
 
 // Running gangs to stop, by job, so that a waiting job can start.
 struct Preemption {
-    std::string waiter;
+    std::string preemptor;
     std::vector<std::string> victims;
 };
 
--- a/src/scheduling/reservation.cpp
+++ b/src/scheduling/reservation.cpp
@@ -19,7 +19,7 @@
         if (!job.pending_tasks.empty() && job.spec->shape == model::Shape::gang &&
             job.waited_s > snapshot.tuning->reservation_wait_s &&
             (!holder || job.waited_s > holder->waited_s) &&
-            within_limit(snapshot, *job.spec, static_cast<double>(job.pending_tasks.size())))
+            within_team_quota(snapshot, *job.spec, static_cast<double>(job.pending_tasks.size())))
             holder = &job;
     return holder;
 }
@@ -36,9 +36,9 @@
     for (const auto& machine : snapshot.machines)
         if (has_room_for(holder, machine))
             tasks_by_zone[machine.zone] += task_capacity(*holder.spec, machine.free);
-    const auto widest = std::max_element(tasks_by_zone.begin(), tasks_by_zone.end(),
-                                         [](const auto& a, const auto& b) { return a.second < b.second; });
-    return widest == tasks_by_zone.end() ? std::string() : widest->first;
+    const auto best_zone = std::max_element(tasks_by_zone.begin(), tasks_by_zone.end(),
+                                            [](const auto& a, const auto& b) { return a.second < b.second; });
+    return best_zone == tasks_by_zone.end() ? std::string() : best_zone->first;
 }
 
 // Which pools can run the class, by index, and how many they are.
@@ -71,7 +71,7 @@
     for (std::size_t i = 0; i < snapshot.machines.size(); ++i) {
         const auto& machine = snapshot.machines[i];
         if ((machine.ready || machine.booting) && pools.eligible[pool_by_machine[i]] &&
-            !machine.classes.contains(job_class))
+            !machine.job_classes.contains(job_class))
             usable.push_back({&machine, pool_by_machine[i]});
     }
     std::stable_sort(usable.begin(), usable.end(), [](const PooledMachine& a, const PooledMachine& b) {
@@ -87,24 +87,24 @@
     if (!holder) return {};
     const auto& spec = *holder->spec;
     // Machines of two zones are of no use to a gang that must stay together.
-    const auto only_zone = spec.same_zone ? zone_with_most_room(snapshot, *holder) : std::string();
+    const auto gang_zone = spec.same_zone ? zone_with_most_room(snapshot, *holder) : std::string();
     Reservation reservation{spec.id, {}};
     auto missing = static_cast<int>(holder->pending_tasks.size());
     for (const auto& machine : snapshot.machines) {
         if (missing <= 0) break;
-        if (!has_room_for(*holder, machine) || (spec.same_zone && machine.zone != only_zone)) continue;
+        if (!has_room_for(*holder, machine) || (spec.same_zone && machine.zone != gang_zone)) continue;
         reservation.machines.insert(machine.id);
         missing -= task_capacity(spec, machine.free);
     }
     return reservation;
 }
 
-int headroom(const Snapshot& snapshot, const ClassDemand& demand) {
+int headroom_task_count(const Snapshot& snapshot, const ClassDemand& demand) {
     if (!demand.start_within_s) return 0;
     double boot_s = 0;
     for (const auto& pool : snapshot.pools)
         if (can_run_on(demand.sample, pool)) boot_s = std::max(boot_s, pool.type->boot_s);
-    return static_cast<int>(std::lround(snapshot.tuning->headroom * demand.arrivals_per_s *
+    return static_cast<int>(std::lround(snapshot.tuning->headroom_factor * demand.arrivals_per_s *
                                         std::max(0.0, boot_s - *demand.start_within_s)));
 }
 
@@ -114,9 +114,9 @@
     std::map<std::string_view, double> waiting_tasks;
     for (const auto& job : snapshot.jobs)
         waiting_tasks[job.spec->job_class] += static_cast<double>(job.pending_tasks.size());
-    const auto pool_by_machine = pools_of(snapshot);
+    const auto pool_by_machine = pool_indices(snapshot);
     for (const auto& [job_class, demand] : snapshot.demand) {
-        double missing = headroom(snapshot, demand);
+        double missing = headroom_task_count(snapshot, demand);
         if (const auto found = waiting_tasks.find(job_class); found != waiting_tasks.end())
             missing += found->second;
         if (missing <= 0) continue;
--- a/src/scheduling/reservation.hpp
+++ b/src/scheduling/reservation.hpp
@@ -25,7 +25,7 @@
 // Arrivals to keep spare machines for, where the class's objective for starts is shorter than a boot: those
 // of the time by which a machine requested for them would come too late. 0 for a class without such an
 // objective.
-int headroom(const Snapshot& snapshot, const ClassDemand& demand);
+int headroom_task_count(const Snapshot& snapshot, const ClassDemand& demand);
 
 // Machines kept from work that more pools can run (docs/design.md, exceptions): for every class, as many of
 // those it is bound to as its waiting tasks and its headroom need. Maps each machine to the number of pools
--- a/src/scheduling/snapshot.hpp
+++ b/src/scheduling/snapshot.hpp
@@ -31,8 +31,8 @@
     std::vector<std::string> images;  // cached, or being fetched
     double idle_s = 0;                // since its last task; 0 while busy
     double running_tasks = 0;         // number of tasks on it
-    std::set<std::string> classes;    // job classes of those tasks
-    bool busy = false;                // has tasks
+    std::set<std::string> job_classes;  // job classes of those tasks
+    bool busy = false;                  // has tasks
 };
 
 // A job with tasks that wait for a machine.
@@ -65,7 +65,7 @@
     const model::MachineType* type = nullptr;  // never null; outlives the snapshot
     std::string zone;
     bool spot = false;
-    bool refused = false;  // the cloud had none of these a moment ago
+    bool lacks_capacity = false;  // the cloud had none of these a moment ago
     // Price of one machine of the pool.
     [[nodiscard]] double price() const { return spot ? type->spot_price : type->price; }
 };
--- a/src/store/arrival_tracker.cpp
+++ b/src/store/arrival_tracker.cpp
@@ -22,21 +22,21 @@
 }  // namespace
 
 void ArrivalTracker::arrived(const model::JobSpec& spec, double now) {
-    if (!classes_.contains(spec.job_class) && classes_.size() >= constants::demand_classes) return;
+    if (!classes_.contains(spec.job_class) && classes_.size() >= constants::max_demand_classes) return;
     auto& job_class = classes_[spec.job_class];
     auto& arrivals = job_class.arrivals;
     if (arrivals.empty() && job_class.first_arrival == 0) job_class.first_arrival = now;
     job_class.sample = spec;
     arrivals.push_back(now);
     const double window_start = now - constants::demand_window_s;
-    while (arrivals.size() > constants::demand_arrivals ||
+    while (arrivals.size() > constants::max_arrivals_per_class ||
            (!arrivals.empty() && arrivals.front() < window_start))
         arrivals.pop_front();
 }
 
 double ArrivalTracker::arrivals_per_s(const ClassArrivals& job_class, double now) {
     const double from =
-        std::max(job_class.first_arrival + constants::demand_settle_s, now - constants::demand_window_s);
+        std::max(job_class.first_arrival + constants::demand_warm_up_s, now - constants::demand_window_s);
     const auto count = std::count_if(job_class.arrivals.begin(), job_class.arrivals.end(),
                                      [from](double arrival) { return arrival >= from; });
     return static_cast<double>(count) / std::max(now - from, constants::min_demand_window_s);
--- a/src/store/arrival_tracker.hpp
+++ b/src/store/arrival_tracker.hpp
@@ -16,9 +16,9 @@
 // steady clock.
 class ArrivalTracker {
    public:
-    // Records that a job became ready for scheduling at `now`. Classes beyond constants::demand_classes are
-    // not tracked, and of one class only the latest constants::demand_arrivals arrivals are kept: both bound
-    // memory.
+    // Records that a job became ready for scheduling at `now`. Classes beyond constants::max_demand_classes
+    // are not tracked, and of one class only the latest constants::max_arrivals_per_class arrivals are kept:
+    // both bound memory.
     void arrived(const model::JobSpec& spec, double now);
     // The demand of each tracked class: arrivals per second, the tightest objective for starting (in seconds)
     // and the latest job as a sample.
--- a/src/store/cancellation_log.hpp
+++ b/src/store/cancellation_log.hpp
@@ -16,7 +16,7 @@
 
 namespace pineroad::store {
 
-// The latest constants::max_cancellations_kept cancellations, by revision.
+// The latest constants::max_logged_cancellations cancellations, by revision.
 class CancellationLog {
    public:
     // A revision of the store, and the id of the job that was cancelled at it.
@@ -25,7 +25,7 @@
     // Records a cancellation, and forgets the oldest where there are too many. True if it was not known.
     bool add(const std::string& job, std::uint64_t revision) {
         if (!entries_.emplace(revision, job).second) return false;
-        while (entries_.size() > constants::max_cancellations_kept) {
+        while (entries_.size() > constants::max_logged_cancellations) {
             forgotten_up_to_ = std::max(forgotten_up_to_, entries_.begin()->first);
             entries_.erase(entries_.begin());
         }
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -61,7 +61,7 @@
 }
 
 bool StoreClient::recently_served() const {
-    return last_contact_ >= 0 && steady_now_s() - last_contact_ < constants::store_contact_fresh_s;
+    return last_contact_ >= 0 && steady_now_s() - last_contact_ < constants::recent_store_contact_s;
 }
 
 double StoreClient::pacing_interval_s(double share) const {
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -67,7 +67,7 @@
 
     // When the latest request was sent that the store has answered; -1: none.
     [[nodiscard]] double last_contact() const { return last_contact_; }
-    // Whether the store served this controller within store_contact_fresh_s.
+    // Whether the store served this controller within recent_store_contact_s.
     [[nodiscard]] bool recently_served() const;
     // Since the last contact.
     [[nodiscard]] const StoreRefusal& refusal() const { return refusal_; }
--- a/src/store/watch_cache.cpp
+++ b/src/store/watch_cache.cpp
@@ -7,7 +7,7 @@
 
 namespace pineroad::store {
 
-WatchCache::WatchCache() : outcomes_(constants::outcome_cache_size) {}
+WatchCache::WatchCache() : outcomes_(constants::max_cached_outcomes) {}
 
 void WatchCache::clear() {
     ready = false;
@@ -40,13 +40,13 @@
 
 void WatchCache::complete() {
     ready = true;
-    dependencies_.forget_unneeded();
+    dependencies_.drop_unreferenced_outcomes();
 }
 
 void WatchCache::record_outcome(const std::string& id, const model::JobOutcome& outcome,
                                 std::uint64_t mod_revision) {
     outcomes_.insert(id, outcome);
-    const auto change = dependencies_.end(id, outcome);
+    const auto change = dependencies_.record_outcome(id, outcome);
     if (outcome.status == model::FinalStatus::cancelled) {
         const bool fresh = cancellations_.add(id, mod_revision);
         if (on_cancelled) on_cancelled(id, fresh);
@@ -79,7 +79,7 @@
     dependencies_changed(change);
     for (const auto& dependency : job.value.dependencies)
         if (const auto outcome = outcomes_.get(dependency))
-            dependencies_changed(dependencies_.end(dependency, *outcome));
+            dependencies_changed(dependencies_.record_outcome(dependency, *outcome));
 }
 
 }  // namespace pineroad::store
--- a/src/store/watch_cache.hpp
+++ b/src/store/watch_cache.hpp
@@ -101,7 +101,7 @@
 
     DependencyAssembler dependency_assembler_;
     model::DependencyGraph dependencies_;
-    // Of jobs that ended lately; the least recently used are dropped beyond constants::outcome_cache_size.
+    // Of jobs that ended lately; the least recently used are dropped beyond constants::max_cached_outcomes.
     boost::compute::detail::lru_cache<std::string, model::JobOutcome> outcomes_;
     CancellationLog cancellations_;
     double now_ = 0;  // when an event was last applied
--- a/src/store/watch_loop.cpp
+++ b/src/store/watch_loop.cpp
@@ -33,9 +33,9 @@
     std::string after;
     std::uint64_t first_revision = 0;
     for (bool more = true; more;) {
-        const auto reply =
-            co_await store_.request("GET", wire::list_store_target(records::live_prefix, after, c::list_page),
-                                    {}, 3 * c::store_timeout_s);
+        const auto reply = co_await store_.request(
+            "GET", wire::list_store_target(records::live_prefix, after, c::list_page_size), {},
+            3 * c::store_timeout_s);
         if (!reply || reply->status != 200) co_return std::nullopt;
         const auto page = wire::parse_rows(reply->body);
         if (!page) co_return std::nullopt;
@@ -89,7 +89,8 @@
     if (watch_cache_.leader) observer_.leader_seen(watch_cache_.leader->value);
     observer_.watch_applied(had_leader && !watch_cache_.leader);
     // Changes come in bursts; a short pause turns many answers into one. The leader needs them sooner.
-    co_await sleep_for(observer_.leads() ? c::watch_gap_leader_s : store_.pacing_interval_s(c::watch_share));
+    co_await sleep_for(observer_.leads() ? c::leader_watch_interval_s
+                                         : store_.pacing_interval_s(c::watch_share));
 }
 
 }  // namespace pineroad::store
--- a/src/store/write_rate_limiter.hpp
+++ b/src/store/write_rate_limiter.hpp
@@ -16,7 +16,7 @@
    public:
     // Starts with a full bucket, at a limit of so many changes per second.
     void start(double changes_per_s, double now) {
-        rate_ = changes_per_s * constants::write_share;
+        rate_ = changes_per_s * constants::store_write_share;
         tokens_ = rate_;
         refilled_at_ = now;
     }
@@ -31,7 +31,7 @@
     double delay_s(std::size_t changes, double now) {
         refill(now);
         const double missing = static_cast<double>(changes) - tokens_;
-        return std::max(0.0, missing / (rate_ * constants::leader_reserved_share));
+        return std::max(0.0, missing / (rate_ * constants::leader_reserved_write_share));
     }
     // The number of changes that may be sent now.
     std::size_t available(double now) {
@@ -44,7 +44,7 @@
     void refill(double now) {
         const double gain = (now - refilled_at_) * rate_;
         refilled_at_ = now;
-        const double taken = std::min(others_, gain * (1 - constants::leader_reserved_share));
+        const double taken = std::min(others_, gain * (1 - constants::leader_reserved_write_share));
         // A burst of submissions delays the leader for a second or so, not for as long as it takes to repay
         // it.
         others_ = std::min(others_ - taken, rate_);
--- a/src/wire/field_reader.cpp
+++ b/src/wire/field_reader.cpp
@@ -12,7 +12,7 @@
 
 void FieldReader::read_text(std::string_view key, std::string& into) {
     auto text = read::text(object_, key);
-    if (!text || text->empty() || text->size() > constants::max_text) return reject(key);
+    if (!text || text->empty() || text->size() > constants::max_name_bytes) return reject(key);
     into = std::move(*text);
 }
 
--- a/src/wire/field_reader.hpp
+++ b/src/wire/field_reader.hpp
@@ -22,7 +22,7 @@
     // Reads from that object.
     explicit FieldReader(const boost::json::object& object) : object_(object) {}
 
-    // A string of 1 to constants::max_text bytes.
+    // A string of 1 to constants::max_name_bytes bytes.
     void read_text(std::string_view key, std::string& into);
     // A finite number, not negative.
     void read_amount(std::string_view key, double& into);
--- a/src/wire/job_id.cpp
+++ b/src/wire/job_id.cpp
@@ -34,7 +34,7 @@
                      [](unsigned char byte) { return std::isdigit(byte) != 0; }))
         return std::nullopt;
     const auto index = std::stoul(std::string(digits));
-    if (index >= constants::max_tasks) return std::nullopt;
+    if (index >= constants::max_tasks_per_job) return std::nullopt;
     return model::TaskId{std::string(name.substr(0, slash)), static_cast<std::uint32_t>(index)};
 }
 
--- a/src/wire/job_id.hpp
+++ b/src/wire/job_id.hpp
@@ -16,7 +16,7 @@
 std::string task_name(const model::TaskId& task);
 
 // The reverse; nothing if the job's id is not valid, or the index is not a decimal number below
-// constants::max_tasks.
+// constants::max_tasks_per_job.
 std::optional<model::TaskId> parse_task_name(std::string_view name);
 
 }  // namespace pineroad::wire
--- a/src/wire/user_protocol.cpp
+++ b/src/wire/user_protocol.cpp
@@ -53,7 +53,7 @@
 }
 
 void read_tasks(FieldReader& reader, model::JobSpec& spec) {
-    reader.read_count(field_name::tasks, 1, constants::max_tasks, spec.task_count);
+    reader.read_count(field_name::tasks, 1, constants::max_tasks_per_job, spec.task_count);
     reader.read_amount(field_name::cpus, spec.task_resources.cpus);
     reader.read_amount(field_name::gpus, spec.task_resources.gpus);
     reader.read_amount(field_name::memory_gb, spec.task_resources.memory_gb);
@@ -65,10 +65,12 @@
     const auto* value = reader.field(field_name::machine_types);
     if (!value) return;
     const auto* list = value->if_array();
-    if (!list || list->size() > constants::max_list) return reader.reject(field_name::machine_types);
+    if (!list || list->size() > constants::max_machine_types_per_job)
+        return reader.reject(field_name::machine_types);
     auto& types = spec.allowed_machine_types.emplace();
     for (const auto& type : *list) {
-        if (!type.is_string() || type.get_string().empty() || type.get_string().size() > constants::max_text)
+        if (!type.is_string() || type.get_string().empty() ||
+            type.get_string().size() > constants::max_name_bytes)
             return reader.reject(field_name::machine_types);
         types.emplace_back(type.get_string());
     }
--- a/src/wire/worker_protocol.cpp
+++ b/src/wire/worker_protocol.cpp
@@ -53,7 +53,7 @@
 std::optional<InvalidRequest> read_machine(const json::object& object, model::Heartbeat& heartbeat) {
     using Kind = InvalidRequest::Kind;
     auto machine = read::text(object, field_name::machine);
-    if (!machine || machine->empty() || machine->size() > constants::max_text)
+    if (!machine || machine->empty() || machine->size() > constants::max_name_bytes)
         return InvalidRequest{Kind::missing_or_invalid, field_name::machine};
     auto address = read::text(object, field_name::machine_address);
     auto type = read::text(object, field_name::machine_type);
@@ -89,7 +89,7 @@
         const auto cause = value_of(exit_causes, read::text(*object, field_name::exit_cause));
         out.cause = cause.value_or(model::ExitCause::error);
     }
-    out.saved = read::flag(*object, field_name::checkpoint_saved).value_or(false);
+    out.checkpoint_saved = read::flag(*object, field_name::checkpoint_saved).value_or(false);
     return out;
 }
 
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -33,10 +33,10 @@
     graph.add(after("j-3", {"j-1", "j-2"}));
     EXPECT_TRUE(graph.is_ready("j-1"));
     EXPECT_FALSE(graph.is_ready("j-3"));
-    EXPECT_TRUE(graph.end("j-1", {FinalStatus::done, 500}).ready.empty());
-    EXPECT_TRUE(graph.end("j-1", {FinalStatus::done, 500}).ready.empty());  // told again
+    EXPECT_TRUE(graph.record_outcome("j-1", {FinalStatus::done, 500}).ready.empty());
+    EXPECT_TRUE(graph.record_outcome("j-1", {FinalStatus::done, 500}).ready.empty());  // told again
     EXPECT_FALSE(graph.is_ready("j-3"));
-    EXPECT_EQ(graph.end("j-2", {FinalStatus::done, 300}).ready, Ids{"j-3"});
+    EXPECT_EQ(graph.record_outcome("j-2", {FinalStatus::done, 300}).ready, Ids{"j-3"});
     EXPECT_TRUE(graph.is_ready("j-3"));
     EXPECT_EQ(graph.ready_since_ms("j-3"), 500);
 }
@@ -49,12 +49,12 @@
     EXPECT_FALSE(graph.is_cancelled("j-2"));
     EXPECT_EQ(graph.unresolved(), Ids{"j-1"});
     graph.add(after("j-3", {"j-2"}));
-    EXPECT_EQ(graph.unresolved_before("j-3"), Ids{"j-1"});
+    EXPECT_EQ(graph.unresolved_ancestors("j-3"), Ids{"j-1"});
     graph.add(after("j-1", {}));  // in whatever order records are read
     EXPECT_TRUE(graph.unresolved().empty());
     graph.remove("j-1");
     EXPECT_EQ(graph.unresolved(), Ids{"j-1"});
-    graph.end("j-1", {FinalStatus::done, 1});
+    graph.record_outcome("j-1", {FinalStatus::done, 1});
     EXPECT_TRUE(graph.unresolved().empty());
 }
 
@@ -64,12 +64,13 @@
     graph.add(after("j-2", {"j-1"}));
     graph.add(after("j-3", {"j-1"}));
     graph.add(after("j-4", {"j-2", "j-3"}));
-    EXPECT_EQ(sorted(graph.end("j-1", {FinalStatus::cancelled}).cancelled), (Ids{"j-2", "j-3", "j-4"}));
+    EXPECT_EQ(sorted(graph.record_outcome("j-1", {FinalStatus::cancelled}).cancelled),
+              (Ids{"j-2", "j-3", "j-4"}));
     EXPECT_FALSE(graph.is_ready("j-4"));
     EXPECT_EQ(graph.add(after("j-5", {"j-4"})).cancelled, Ids{"j-5"});
     // Its own final record says the same, and what comes after it stays cancelled without it.
     graph.remove("j-4");
-    EXPECT_TRUE(graph.end("j-4", {FinalStatus::cancelled}).cancelled.empty());
+    EXPECT_TRUE(graph.record_outcome("j-4", {FinalStatus::cancelled}).cancelled.empty());
     EXPECT_TRUE(graph.is_cancelled("j-5"));
 }
 
@@ -88,8 +89,8 @@
         graph.add(end);
     }
     EXPECT_EQ(graph.priority(after("j-0", {})), Priority::high);
-    EXPECT_TRUE(graph.unresolved_before(last).empty());
-    EXPECT_EQ(graph.end("j-0", {FinalStatus::cancelled}).cancelled.size(), 120U);
+    EXPECT_TRUE(graph.unresolved_ancestors(last).empty());
+    EXPECT_EQ(graph.record_outcome("j-0", {FinalStatus::cancelled}).cancelled.size(), 120U);
     DependencyGraph chain;
     chain.add(after("j-0", {}));
     for (int i = 1; i <= 20000; ++i)
@@ -126,14 +127,14 @@
     graph.add(after("j-2", {"j-1"}));
     graph.add(after("j-3", {"j-2"}));
     graph.remove("j-1");
-    graph.end("j-1", {FinalStatus::cancelled});
+    graph.record_outcome("j-1", {FinalStatus::cancelled});
     graph.clear();
     graph.add(after("j-3", {"j-2"}));
     EXPECT_FALSE(graph.is_cancelled("j-3"));
     EXPECT_EQ(sorted(graph.add(after("j-2", {"j-1"})).cancelled), (Ids{"j-2", "j-3"}));
     EXPECT_EQ(sorted(graph.cancelled()), (Ids{"j-2", "j-3"}));
     graph.clear();
-    graph.forget_unneeded();
+    graph.drop_unreferenced_outcomes();
     graph.add(after("j-2", {"j-1"}));
     EXPECT_EQ(graph.unresolved(), Ids{"j-1"});  // forgotten: it has to be looked up
 }
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -119,7 +119,7 @@
                                    "error", "full", "busy",    "unknown"};
     return task.task.job + "/" + std::to_string(task.task.index) + " try " + print(task.attempt) + " " +
            states[static_cast<int>(task.state)] + " cause " + causes[static_cast<int>(task.cause)] +
-           " saved " + print(task.saved);
+           " saved " + print(task.checkpoint_saved);
 }
 
 std::string print(const model::Heartbeat& report) {
@@ -244,10 +244,10 @@
         out += " " + std::to_string(x.index) + "#" + print(x.attempt) + "@" + print(x.machine);
     return out + " next " + print(p.next_attempt) + " ran " + print(p.checkpointed_run_s) + " need " +
            print(p.task_resources.cpus) + " " + print(p.task_resources.gpus) + " " +
-           print(p.task_resources.memory_gb) + " team " + print(p.team) + " partial " + print(p.partial);
+           print(p.task_resources.memory_gb) + " team " + print(p.team) + " partial " + print(p.is_shard);
 }
 
-model::Progress sample_progress(bool partial) {
+model::Progress sample_progress(bool is_shard) {
     model::Progress p;
     p.done += boost::icl::discrete_interval<std::uint32_t>::closed(0, 4);
     p.done += 9U;
@@ -256,7 +256,7 @@
     p.checkpointed_run_s = 61.25;
     p.task_resources = {8, 1, 32};
     p.team = "team";
-    p.partial = partial;
+    p.is_shard = is_shard;
     return p;
 }
 
@@ -674,10 +674,10 @@
     Golden g("progress_records");
     model::Progress none;
     g.put("none", print(records::progress_json(none)));
-    for (const bool partial : {false, true})
+    for (const bool is_shard : {false, true})
         for (const std::uint32_t shard : {0U, 3U}) {
-            const auto stored = records::progress_json(sample_progress(partial), shard);
-            g.put(std::string(partial ? "partial" : "whole") + ", part " + std::to_string(shard),
+            const auto stored = records::progress_json(sample_progress(is_shard), shard);
+            g.put(std::string(is_shard ? "partial" : "whole") + ", part " + std::to_string(shard),
                   print(stored));
             g.put("read back", print_or_nothing(records::parse_progress(stored)));
         }
--- a/tests/leader_simulator.cpp
+++ b/tests/leader_simulator.cpp
@@ -271,14 +271,15 @@
     }
 }
 
-void LeaderSimulator::set_task_state(const std::string& name, TaskState state, ExitCause cause, bool saved) {
+void LeaderSimulator::set_task_state(const std::string& name, TaskState state, ExitCause cause,
+                                     bool checkpoint_saved) {
     for (auto& [id, worker] : workers)
         for (auto& task : worker.tasks) {
             if (task.task.job + "/" + std::to_string(task.task.index) != name) continue;
             if (task.state == TaskState::exited) continue;
             task.state = state;
             task.cause = cause;
-            task.saved = saved;
+            task.checkpoint_saved = checkpoint_saved;
         }
 }
 
--- a/tests/leader_simulator.hpp
+++ b/tests/leader_simulator.hpp
@@ -89,7 +89,7 @@
     void execute(Worker& worker, const std::vector<model::Command>& commands, std::uint64_t fencing_token);
     void deliver_direct_commands();
     void set_task_state(const std::string& task, model::TaskState state,
-                        model::ExitCause cause = model::ExitCause::none, bool saved = false);
+                        model::ExitCause cause = model::ExitCause::none, bool checkpoint_saved = false);
     /// The worker's lease expires: its tasks have ended, and a new agent epoch begins.
     void expire_worker_lease(const std::string& id);
     /// Two heartbeats: the first shows the worker the token, the second proves what it runs.
--- a/tests/sched_test.cpp
+++ b/tests/sched_test.cpp
@@ -121,7 +121,7 @@
 
 // The last machine that a choosy class can use is not opened by work that has other places.
 TEST_F(Scheduler, ReserveIsNotEatenByFlexibleWork) {
-    tuning.headroom = 1;
+    tuning.headroom_factor = 1;
     machine("m-1");
     auto flexible = array_job("j-1", 1);
     flexible.allows_spot = true;
@@ -247,7 +247,7 @@
     const auto plan = scheduling::plan_autoscaling(p);
     ASSERT_EQ(plan.scale_out.size(), 1U);
     EXPECT_TRUE(plan.scale_out[0].spot);
-    for (auto& pool : p.pools) pool.refused = pool.spot;
+    for (auto& pool : p.pools) pool.lacks_capacity = pool.spot;
     ASSERT_EQ(scheduling::plan_autoscaling(p).scale_out.size(), 1U);
     EXPECT_FALSE(scheduling::plan_autoscaling(p).scale_out[0].spot);
 }
@@ -261,7 +261,7 @@
 }
 
 TEST_F(Scheduler, IdleMachinesGoBackButNotTheReserve) {
-    tuning.headroom = 1;
+    tuning.headroom_factor = 1;
     machine("m-1").idle_s = 500;
     machine("m-2").idle_s = 500;
     EXPECT_EQ(scheduling::plan_autoscaling(p).scale_in.size(), 2U);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -122,7 +122,7 @@
         const auto segment = records::parse_segment(*change.value);
         for (const auto& [entry, progress] : segment->entries) {
             EXPECT_EQ(entry.shard, 0U);
-            EXPECT_TRUE(!progress || !progress->partial);
+            EXPECT_TRUE(!progress || !progress->is_shard);
             whole |= entry.job == "j-000001";
         }
     }
--- a/tests/watch_cache_test.cpp
+++ b/tests/watch_cache_test.cpp
@@ -22,10 +22,10 @@
         log.add("j-" + std::to_string(r), r);
     EXPECT_FALSE(log.after(8));  // one more than a message holds
     EXPECT_EQ(log.after(9)->size(), c::max_cancellations_per_message);
-    for (std::uint64_t r = 100000; r < 100000 + c::max_cancellations_kept; ++r) log.add("j-0", r);
+    for (std::uint64_t r = 100000; r < 100000 + c::max_logged_cancellations; ++r) log.add("j-0", r);
     EXPECT_FALSE(log.after(2008));  // the last that was forgotten is 2009
     EXPECT_FALSE(log.after(2009));  // still more than a message
-    EXPECT_EQ(log.after(100000 + c::max_cancellations_kept - 3)->size(), 2U);
+    EXPECT_EQ(log.after(100000 + c::max_logged_cancellations - 3)->size(), 2U);
     // An entry of an old revision that comes late is not dropped silently either.
     log.add("j-1", 5);
     EXPECT_FALSE(log.after(4));
