--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -11,8 +11,8 @@
 namespace pineroad::config {
 namespace {
 
-constexpr double max_amount = 1e9;        // far beyond any amount in use: catches slips of the keyboard
-constexpr double max_duration_s = 86400;  // no duration is longer
+constexpr double max_amount = 1e9;        // far above any amount in use: catches typing errors
+constexpr double max_duration_s = 86400;  // upper bound of durations
 
 ObjectiveKind parse_objective_kind(const std::string& text) {
     if (text == "wait") return ObjectiveKind::start;
@@ -60,7 +60,7 @@
     settings.cancellation_timeout_s = workers.required_number("cancel_s", 1, max_duration_s);
 }
 
-// Lowers a limit in force to the one announced for later, if one is.
+// Lowers a current limit to the announced one, if there is one.
 void lower_to(double& limit, std::optional<double> announced) {
     if (announced) limit = std::min(limit, *announced);
 }
--- a/src/config/toml_section.hpp
+++ b/src/config/toml_section.hpp
@@ -1,4 +1,4 @@
-// Typed reading of one table of a TOML document, with errors that name file, line and key.
+// Typed access to one table of a TOML document, with errors that name the file, line and key.
 #pragma once
 
 #include <toml++/toml.h>
@@ -11,31 +11,32 @@
 
 namespace pineroad::config {
 
-// One table, and where it stands in the document. Every function throws SettingsError when the key's value is
-// not of the form it reads. Refers to the document and the file's name, which must outlive it.
+// One table and its location in the document. The accessors throw SettingsError if the value of the key is
+// missing or has the wrong type, unless stated otherwise. Keeps references to the document and the file name,
+// which must outlive this object.
 class TomlSection {
    public:
-    // `path` is that of the table's keys in errors, such as "params.state."; `file` is the document's name.
+    // `path` is the prefix of the table's keys in errors, such as "params.state."; `file` is the file name.
     TomlSection(const toml::table& table, std::string path, const std::string& file)
         : table_(table), path_(std::move(path)), file_(file) {}
 
-    // Throws an error about this key.
+    // Throws a SettingsError about this key.
     [[noreturn]] void fail(const std::string& key, const std::string& what) const;
-    // Whether the key is there, with a value of any type.
+    // Returns whether the key exists, with a value of any type.
     [[nodiscard]] bool has(const std::string& key) const { return table_.contains(key); }
-    // A string that must not be empty.
+    // Returns a string, which must not be empty.
     [[nodiscard]] std::string text(const std::string& key) const;
-    // An array of strings.
+    // Returns an array of strings.
     [[nodiscard]] std::vector<std::string> texts(const std::string& key) const;
-    // A number from `low` to `high`, or nothing if the key is missing.
+    // Returns a number from `low` to `high`, or nothing if the key is missing.
     [[nodiscard]] std::optional<double> number(const std::string& key, double low, double high) const;
-    // A number from `low` to `high` that must be there.
+    // Returns a number from `low` to `high`; the key is required.
     [[nodiscard]] double required_number(const std::string& key, double low, double high) const;
-    // An endpoint, as HOST:PORT.
+    // Returns an endpoint, given as HOST:PORT.
     [[nodiscard]] Endpoint endpoint(const std::string& key) const;
-    // A table inside this one.
+    // Returns a nested table.
     [[nodiscard]] TomlSection table(const std::string& key) const;
-    // The tables of an array; none if the key is missing.
+    // Returns the tables of an array; none if the key is missing.
     [[nodiscard]] std::vector<TomlSection> tables(const std::string& key) const;
 
    private:
--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -16,7 +16,7 @@
 namespace pineroad::config {
 namespace {
 
-// A key of the file, the field it sets and the range of its values.
+// A key of the file, the field that it sets and the range of allowed values.
 struct Parameter {
     const char* key;
     double Tuning::*field;
@@ -49,7 +49,7 @@
     return nullptr;
 }
 
-// Reads one text and knows it for its errors.
+// Parses one text and reports errors with its path and line.
 class TuningParser {
    public:
     TuningParser(const std::string& text, const std::string& path) : text_(text), path_(path) {}
@@ -60,7 +60,7 @@
     [[noreturn]] void fail(std::size_t line, const std::string& what) const {
         throw SettingsError(path_ + ":" + std::to_string(line) + ": " + what);
     }
-    // The parser keeps no positions: the line of a key is found by its first mention.
+    // Returns the line of a key. The S-expression parser keeps no positions, so this is its first occurrence.
     [[nodiscard]] std::size_t line_of(const std::string& key) const;
     void read_item(const sexp_t& item, std::set<std::string>& seen, Tuning& tuning) const;
     [[nodiscard]] double number(const Parameter& parameter, const char* value, std::size_t line) const;
