--- a/src/model/category_averages.hpp
+++ b/src/model/category_averages.hpp
@@ -1,4 +1,5 @@
-// Average slowdown of the jobs of a category, which guards victims of preemption (paper, section 4.5).
+// Average slowdown of the jobs of each category, which protects running gangs from preemption (paper,
+// section 4.5).
 #pragma once
 
 #include <cstdint>
@@ -7,13 +8,13 @@
 
 namespace pineroad::model {
 
-// Mean slowdown (expansion factor at the end) of the jobs of one category that completed.
+// Mean slowdown (expansion factor at completion) of the completed jobs of one category.
 struct CategoryAverage {
     double mean = 0;
-    std::uint64_t count = 0;  // jobs it is the mean of
+    std::uint64_t count = 0;  // number of jobs averaged
 };
 
-// Averages by category; scheduling::category() names the categories (width by length).
+// Averages by category; scheduling::category() returns the name of a job's category (width and length band).
 using CategoryAverages = std::map<std::string, CategoryAverage>;
 
 }  // namespace pineroad::model
--- a/src/model/dependency_graph.cpp
+++ b/src/model/dependency_graph.cpp
@@ -91,8 +91,8 @@
     update_inherited(dependencies_of_marked);
 }
 
-// Each job once, whatever the number of paths to it: a job that is marked already has had its dependents
-// marked. (A diamond of diamonds has exponentially many paths.)
+// Visits each job once, regardless of the number of paths to it (nested diamonds have exponentially many):
+// the dependents of a job that is already marked have been marked too.
 std::vector<std::string> DependencyGraph::mark_dependents_cancelled(const std::string& id) {
     std::vector<std::string> stack{id};
     std::vector<std::string> marked;
@@ -156,8 +156,8 @@
     return true;
 }
 
-// First in, first out, and no job twice in the queue: the work is bounded by jobs times dependencies, where a
-// stack would walk every path of a diamond.
+// Uses a FIFO queue that holds no job twice, which bounds the work by jobs times dependencies. A stack would
+// follow every path through a diamond.
 void DependencyGraph::update_inherited(const std::vector<std::string>& changed) {
     std::deque<std::string> queue;
     std::set<std::string> queued;
--- a/src/model/dependency_graph.hpp
+++ b/src/model/dependency_graph.hpp
@@ -1,8 +1,9 @@
-// The dependencies between live jobs: which jobs are ready, which are cancelled because a job before them
-// was, and what priority and deadline a job inherits from the jobs after it. No I/O and no clock.
+// The dependencies between live jobs: determines which jobs are ready, which are cancelled because a
+// dependency was cancelled, and which priority and deadline a job inherits from its dependents. No I/O and no
+// clock.
 //
-// Every state here follows from durable records alone: a live job's dependencies never change, and a final
-// state never does either. So each answer, once positive, stays so, on every controller and after every
+// All state is derived from durable records: the dependencies of a live job and the final state of a job
+// never change. A job that is ready or cancelled therefore remains so, on every controller and after every
 // restart.
 #pragma once
 
@@ -19,81 +20,86 @@
 
 namespace pineroad::model {
 
-// The directed graph of live jobs (nodes) and the jobs that they depend on. A job may be named as a
-// dependency before it is known itself. Times of day are Unix time in milliseconds.
+// The directed graph of live jobs and their dependencies. A job may occur as a dependency before it is added
+// itself. "Ancestors" are the direct and transitive dependencies of a job. Times of day are Unix time in
+// milliseconds.
 class DependencyGraph {
    public:
-    // Jobs whose state an event changed.
+    // Jobs whose state was changed by an update of the graph.
     struct Change {
-        std::vector<std::string> ready;      // their last dependency is done
-        std::vector<std::string> cancelled;  // a job that they depend on, directly or not, was cancelled
+        std::vector<std::string> ready;      // all dependencies are now done
+        std::vector<std::string> cancelled;  // an ancestor was cancelled
     };
 
-    // Adds a live job. Its dependencies may be live, over or not known yet, in any order. Nothing changes if
-    // the job is there already.
+    // Adds a live job. Each of its dependencies may be live, final or not yet known. Does nothing if the job
+    // has already been added.
     Change add(const JobSpec& spec);
-    // Tells the final state of a job. Kept while live jobs depend on it; the first one told counts.
+    // Records the final state of a job, which is kept while live jobs depend on it. Only the first call for a
+    // job has an effect.
     Change record_outcome(const std::string& id, const JobOutcome& outcome);
-    // Removes a live job whose record is gone.
+    // Removes a live job whose record was deleted.
     void remove(const std::string& id);
-    // Removes all live jobs, but not the final states that they depend on.
+    // Removes all live jobs, but keeps the final states of their dependencies.
     void clear();
-    // Drops final states that no live job depends on, once the live jobs are added again after clear().
+    // Drops final states that no live job depends on. To be called when the live jobs have been added again
+    // after clear().
     void drop_unreferenced_outcomes();
 
-    // Whether every dependency is known to be done. False for a job that is not live.
+    // Returns whether all dependencies are known to be done. False for a job that is not live.
     [[nodiscard]] bool is_ready(const std::string& id) const;
-    // Whether a job before it was cancelled. The job itself may not have a final record yet.
+    // Returns whether an ancestor of the job was cancelled. The job itself may not have a final record yet.
     [[nodiscard]] bool is_cancelled(const std::string& id) const;
-    // Live jobs that are cancelled in this way, by id.
+    // Returns the ids of all live jobs for which is_cancelled() holds, in ascending order.
     [[nodiscard]] std::vector<std::string> cancelled() const;
-    // When the last dependency was done; nothing without dependencies, or while one is not done.
+    // Returns when the last dependency was done; nothing if the job has no dependencies or one is not done.
     [[nodiscard]] std::optional<std::int64_t> ready_since_ms(const std::string& id) const;
-    // The highest priority of the job and of all live jobs after it.
+    // Returns the highest priority among the job and its direct and transitive dependents.
     [[nodiscard]] Priority priority(const JobSpec& spec) const;
-    // By when the job should be done so that all jobs after it can meet their deadlines; nothing without any.
+    // Returns by when the job should be done so that it and its direct and transitive dependents can meet
+    // their deadlines; nothing if none of them has a deadline.
     [[nodiscard]] std::optional<std::int64_t> deadline_ms(const JobSpec& spec) const;
-    // Dependencies of live jobs that are neither live nor known to be over, by id.
+    // Returns the ids of the dependencies of live jobs that are neither live nor known to be final, in
+    // ascending order.
     [[nodiscard]] std::vector<std::string> unresolved() const;
-    // The same, of one job and of the live jobs before it.
+    // Returns the same for the dependencies of one job and of its live ancestors.
     [[nodiscard]] std::vector<std::string> unresolved_ancestors(const std::string& id) const;
-    // Whether its lateness is that of a pipeline: it has jobs before it, or live jobs after it and no
-    // deadline of its own.
+    // Returns whether a delay of the job delays a pipeline: it has dependencies, or it has live dependents
+    // and no deadline of its own.
     [[nodiscard]] bool in_pipeline(const JobSpec& spec) const;
 
    private:
-    // A live job, and what follows for it from the jobs before and after it.
+    // A live job and the state derived from its ancestors and dependents.
     struct LiveJob {
         std::vector<std::string> dependencies;
-        std::size_t pending = 0;          // dependencies that are not known to be done
-        std::int64_t ready_since_ms = 0;  // end of the latest dependency that is done
-        bool cancelled = false;           // a job before it was cancelled
+        std::size_t pending = 0;          // number of dependencies that are not known to be done
+        std::int64_t ready_since_ms = 0;  // end of the dependency that was done last
+        bool cancelled = false;           // an ancestor was cancelled
         Priority own_priority = Priority::low;
-        Priority priority = Priority::low;  // its own, or a higher one of a job after it
+        Priority priority = Priority::low;  // its own or a higher, inherited one
         std::optional<std::int64_t> own_deadline_ms;
-        std::optional<std::int64_t> deadline_ms;  // its own, or the earlier one that jobs after it need
-        std::int64_t duration_ms = 0;  // from its start to the start of what comes after, as expected
+        std::optional<std::int64_t> deadline_ms;  // its own or an earlier, inherited one
+        std::int64_t duration_ms = 0;  // estimated time from its start to the start of its dependents
     };
 
-    // Tells a live job of the final state of one of its dependencies.
+    // Updates a live job with the final state of one of its dependencies.
     static void apply_outcome(LiveJob& dependent, const JobOutcome& outcome);
-    // Enters the job's dependencies, in whatever state each of them is.
+    // Adds the edges to the job's dependencies, and applies their current states to the job.
     void add_dependencies(const std::string& id, LiveJob& job);
-    // Marks every live job after this one as cancelled, and adds it to the change.
+    // Marks all direct and transitive dependents as cancelled, and adds those newly marked to the change.
     void cancel_dependents(const std::string& id, Change& change);
-    // Marks them, and answers with those that were not marked before.
+    // Marks all direct and transitive dependents as cancelled, and returns those newly marked.
     [[nodiscard]] std::vector<std::string> mark_dependents_cancelled(const std::string& id);
-    // Works out anew what these jobs, and all jobs before them, inherit from the jobs after them.
+    // Recomputes the inherited priorities and deadlines of these jobs and of their ancestors.
     void update_inherited(const std::vector<std::string>& changed);
-    // The same for one job. True if its priority or deadline changed.
+    // Recomputes the inherited priority and deadline of one job. Returns whether either changed.
     bool update_inherited_of(const std::string& id, LiveJob& job);
-    // The live job of this id; null where there is none.
+    // Returns the live job with this id, or null if there is none.
     [[nodiscard]] const LiveJob* find(const std::string& id) const;
 
     std::map<std::string, LiveJob> live_;
-    std::map<std::string, std::set<std::string>> dependents_;  // live jobs, by what they depend on
-    std::map<std::string, JobOutcome> outcomes_;               // of jobs in `dependents_`
-    std::set<std::string> unresolved_;                         // in `dependents_`, neither live nor over
+    std::map<std::string, std::set<std::string>> dependents_;  // ids of live jobs by dependency
+    std::map<std::string, JobOutcome> outcomes_;               // of the keys of dependents_
+    std::set<std::string> unresolved_;  // keys of dependents_ that are neither live nor final
 };
 
 }  // namespace pineroad::model
--- a/src/model/machine.hpp
+++ b/src/model/machine.hpp
@@ -1,4 +1,4 @@
-// Machines as the cloud offers and lists them, and requests for them.
+// Machine types and machines as listed by the cloud, and requests for machines.
 #pragma once
 
 #include <cstdint>
@@ -13,35 +13,35 @@
 struct MachineType {
     std::string name;
     Resources capacity;
-    double cache_gb = 0;             // room for images
-    double fetch_gb_per_s = 0;       // rate at which images are fetched; 0: not known
-    double price = 0;                // of an hour, on demand; charged by the second, boot time included
-    double spot_price = 0;           // the present one of an hour as a spot instance
+    double cache_gb = 0;             // capacity of the image cache
+    double fetch_gb_per_s = 0;       // rate at which images are fetched; 0: unknown
+    double price = 0;                // per hour on demand; charged by the second, boot time included
+    double spot_price = 0;           // current price per hour of a spot instance
     double boot_s = 0;               // nominal time from the request to the first heartbeat
-    std::vector<std::string> zones;  // where it is offered
+    std::vector<std::string> zones;  // zones that offer this type
 };
 
-// A machine's state in the cloud's list.
+// State of a machine in the cloud's list.
 enum class MachineStatus {
-    booting,  // requested, and charged from then on; it may already be up, as the list lags
+    booting,  // requested and charged; may already be running, because the list lags behind
     running,
-    failed  // stopped on its own: no longer charged, listed until it is deleted
+    failed  // stopped by itself: no longer charged, but listed until it is deleted
 };
 
 // One entry of the cloud's list of machines.
 struct ListedMachine {
-    // Its name, the address of its worker ("host:port"), its machine type and its zone.
+    // Machine name, address of its worker ("host:port"), machine type, zone.
     std::string id, address, type, zone;
     bool spot = false;
     MachineStatus status = MachineStatus::booting;
-    double age_s = 0;  // since it was requested
+    double age_s = 0;  // time since it was requested
 };
 
-// A request to the cloud for machines, under a name that is never used twice: repeated, it is idempotent.
+// A request to the cloud for machines. Its unique name makes repeating it idempotent.
 struct ProvisioningRequest {
     std::string name, type, zone;
     bool spot = false;
-    std::uint32_t count = 1;  // of machines; the cloud may give fewer
+    std::uint32_t count = 1;  // number of machines; the cloud may provide fewer
 };
 
 }  // namespace pineroad::model
--- a/src/model/model.hpp
+++ b/src/model/model.hpp
@@ -1,4 +1,4 @@
-// All of the plain data that users want, and that agents and the cloud were seen to do.
+// Includes all types of the data model: jobs, machines, heartbeats and progress.
 #pragma once
 
 #include "model/category_averages.hpp"
--- a/src/model/resources.hpp
+++ b/src/model/resources.hpp
@@ -1,16 +1,17 @@
-// Amounts of what machines have and tasks take.
+// Amounts of resources that machines provide and tasks use.
 #pragma once
 
 namespace pineroad::model {
 
-// Sums of amounts, which are decimal numbers, are not exact: two that differ by less count as equal.
+// Amounts are floating-point numbers whose sums are inexact: two that differ by less than this count as
+// equal.
 inline constexpr double amount_tolerance = 1e-6;
 
-// CPUs, GPUs and gigabytes of memory: a machine's capacity, or what one task takes of it. Decimal numbers.
+// CPUs, GPUs and gigabytes of memory: the capacity of a machine or the use of one task. May be fractional.
 struct Resources {
     double cpus = 0, gpus = 0, memory_gb = 0;
 
-    // Whether this much can be taken from `available`.
+    // Returns whether these resources can be taken from `available`.
     [[nodiscard]] bool fits_in(const Resources& available) const {
         return cpus <= available.cpus + amount_tolerance && gpus <= available.gpus + amount_tolerance &&
                memory_gb <= available.memory_gb + amount_tolerance;
