--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -95,7 +95,7 @@
     chain.add(after("j-0", {}));
     for (int i = 1; i <= 20000; ++i)
         chain.add(after("j-" + std::to_string(i), {"j-" + std::to_string(i - 1)}));
-    EXPECT_EQ(chain.end("j-0", {FinalStatus::cancelled}).cancelled.size(), 20000U);
+    EXPECT_EQ(chain.record_outcome("j-0", {FinalStatus::cancelled}).cancelled.size(), 20000U);
 }
 
 // The highest priority and the earliest deadline of what comes after count, until that is over.
