--- a/src/scheduling/autoscaling.cpp
+++ b/src/scheduling/autoscaling.cpp
@@ -15,21 +15,21 @@
 namespace pineroad::scheduling {
 namespace {
 
-// A machine that is expected to come up: booting already, or requested by this plan.
+// A machine that will become available: already booting, or requested by this plan.
 struct ExpectedMachine {
     std::string type, zone;
     bool spot = false;
-    model::Resources free;                  // capacity less what this plan puts on it
+    model::Resources free;                  // capacity minus the tasks that this plan places on it
     int reserved_for_pool_count = INT_MAX;  // jobs with more eligible pools may not use it
 };
 
-// A job class, as a queue before the machines that serve it.
+// A job class as a queue with servers.
 struct ClassQueue {
-    double work_s = 0;   // task-seconds that wait
-    double servers = 0;  // its tasks that run, or that this plan puts on expected machines
+    double work_s = 0;   // pending work in task-seconds
+    double servers = 0;  // tasks that run, or that this plan places on expected machines
 };
 
-// The only zone that the job may still use; empty where it has a choice.
+// Returns the only zone that the job may still use; empty if there are several.
 std::string required_zone(const PendingJob& job) {
     if (job.spec->zone) return *job.spec->zone;
     if (job.spec->same_zone)
@@ -38,7 +38,8 @@
     return "";
 }
 
-// One round of autoscaling over its own snapshot, in which it accounts for the tasks it finds room for.
+// One round of autoscaling. Works on its own copy of the snapshot, in which it accounts for the tasks that it
+// places.
 class AutoscalingRound {
    public:
     explicit AutoscalingRound(Snapshot snapshot) : snapshot_(std::move(snapshot)) {}
@@ -49,11 +50,12 @@
     void shrink_reservation_holder(const Reservation& reservation);
     void measure_queues();
 
-    // Finds room for the job's waiting tasks, or requests machines for them.
+    // Finds room for the job's pending tasks on expected machines, or requests machines for them.
     void provision_for(PendingJob& job);
-    // Drops the tasks of an array that running tasks of its class make room for in time.
+    // Drops the tasks of an array that can start in time on machines freed by running tasks of its class.
     void drop_tasks_served_in_time(PendingJob& job);
-    // Puts waiting tasks on expected machines from the given index on. True when none is left.
+    // Places pending tasks on the expected machines from index `first_machine` on. Returns whether none is
+    // left.
     bool place_on_expected(PendingJob& job, std::size_t first_machine);
     std::size_t place_tasks_on(PendingJob& job, ExpectedMachine& machine, std::size_t max_tasks);
     void request_machines_for(PendingJob& job);
@@ -64,8 +66,8 @@
     [[nodiscard]] const MachinePool* cheapest_pool(const PendingJob& job, double tasks) const;
     void request(const MachinePool& pool);
 
-    // Spare machines for classes whose objective for starts is shorter than a boot: idle ones are added to
-    // `kept`, then expected ones are claimed, then machines are requested.
+    // Provides spare machines for classes whose objective for the start time is shorter than the boot time:
+    // first adds idle machines to `kept`, then claims expected ones, then requests machines.
     void provision_headroom(std::set<std::string>& kept);
     int keep_idle_machines(const model::JobSpec& sample, int missing, std::set<std::string>& kept) const;
     int claim_expected_machines(const model::JobSpec& sample, int missing);
@@ -76,19 +78,19 @@
 
     Snapshot snapshot_;
     AutoscalingPlan plan_;
-    std::vector<ExpectedMachine> expected_;  // booting machines, then those requested here
+    std::vector<ExpectedMachine> expected_;  // booting machines, followed by those that this round requests
     std::vector<PendingJob*> queue_;
     std::map<std::string, ClassQueue> class_queues_;
     double longest_boot_s_ = 0;
-    // Task-seconds of a class, by zone (empty: any), that its running tasks are already counted on for.
+    // Pending task-seconds by class and zone (empty: any) that are already assigned to machines of running
+    // tasks.
     std::map<std::pair<std::string, std::string>, double> served_by_running_s_;
 };
 
 AutoscalingPlan AutoscalingRound::run() {
     collect_booting_machines();
-    // Worked out anew, though place_tasks() had a reservation too: placement may since have served its
-    // holder, filled machines or used up a team's limit, and the reservation that counts now is that of what
-    // is left.
+    // The reservation used by place_tasks() may be outdated: since then its holder may have been placed,
+    // machines filled or a team's quota used up. It is therefore recomputed from the remaining pending jobs.
     const auto reservation = reserve_machines(snapshot_);
     shrink_reservation_holder(reservation);
     queue_ = pending_queue(snapshot_.jobs);
@@ -110,7 +112,7 @@
     }
 }
 
-// A gang that has machines reserved needs so many fewer.
+// A gang with reserved machines needs fewer new ones.
 void AutoscalingRound::shrink_reservation_holder(const Reservation& reservation) {
     for (auto& job : snapshot_.jobs)
         if (job.spec->id == reservation.job)
@@ -133,8 +135,8 @@
     request_machines_for(job);
 }
 
-// A server takes several short tasks one after the other while a new machine would boot, or while the
-// objective can wait: that many machines are needed less.
+// While a new machine boots, or until the objective requires a start, a server can run several short tasks
+// one after another. No machines are needed for these tasks.
 void AutoscalingRound::drop_tasks_served_in_time(PendingJob& job) {
     const auto zone = required_zone(job);
     const auto& tuning = *snapshot_.tuning;
@@ -147,7 +149,7 @@
     const double served_s = std::clamp(running_tasks * horizon_s - counted_s, 0.0, work_s);
     counted_s += served_s;
     work_s -= served_s;
-    // Less a hundredth: work that fits but for rounding needs no further task.
+    // The 0.01 avoids an additional task due to rounding errors.
     const double needed = std::ceil(work_s / std::max(horizon_s, job.expected_s) - 0.01);
     job.pending_tasks.resize(static_cast<std::size_t>(std::clamp(needed, 0.0, waiting_tasks)));
 }
@@ -168,7 +170,8 @@
     return job.pending_tasks.empty();
 }
 
-// Accounts for as many tasks as the machine, the team's limit and the job's wishes for zones allow.
+// Places as many tasks as the machine, the team's quota and the job's zone constraints allow. Returns their
+// number.
 std::size_t AutoscalingRound::place_tasks_on(PendingJob& job, ExpectedMachine& machine,
                                              std::size_t max_tasks) {
     const auto& spec = *job.spec;
@@ -201,8 +204,8 @@
     }
 }
 
-// Whether the class's queue is too short for a machine of the pool. A dear machine is worth a longer queue
-// than a cheap one: others may come free before it has booted.
+// Returns whether the class's queue is too short to justify a machine of the pool. Expensive machines need a
+// longer queue than cheap ones, because other machines may become free before they have booted.
 bool AutoscalingRound::queue_is_short(const PendingJob& job, const MachinePool& pool) const {
     const auto& spec = *job.spec;
     if (spec.shape != model::Shape::array || running_tasks_for(job, required_zone(job)) <= 0) return false;
@@ -213,9 +216,9 @@
     return queue.work_s < queue.servers * tuning.drain_boot_times * longest_boot_s_ * extra_queue_factor;
 }
 
-// Tasks of the job's class that run where the job may go: what ends in another zone makes no room for it.
-// (Found by a test of a lost zone: a job bound to it waited for ever behind tasks of its class in the other
-// one.)
+// Returns the number of running tasks of the job's class in `zone` (empty: any). Tasks that end in another
+// zone make no room for a job that is bound to one: after the loss of a zone, such a job waited forever
+// behind tasks of its class in the other zone.
 double AutoscalingRound::running_tasks_for(const PendingJob& job, const std::string& zone) const {
     const auto& job_class = job.spec->job_class;
     const auto demand = snapshot_.demand.find(job_class);
@@ -234,8 +237,8 @@
     return tasks;
 }
 
-// The pool that costs least for each task, counting only as many tasks on a machine as wait; null where none
-// can be requested.
+// Returns the pool with the lowest price per task, counting at most `tasks` tasks per machine; null if no
+// machine can be requested.
 const MachinePool* AutoscalingRound::cheapest_pool(const PendingJob& job, double tasks) const {
     const auto& spec = *job.spec;
     const MachinePool* best = nullptr;
@@ -271,7 +274,7 @@
     }
 }
 
-// Idle machines nearest to use: cheapest to keep. The answer is how many are still missing.
+// Keeps idle machines, which are the cheapest headroom. Returns how many are still missing.
 int AutoscalingRound::keep_idle_machines(const model::JobSpec& sample, int missing,
                                          std::set<std::string>& kept) const {
     for (const auto& machine : snapshot_.machines) {
@@ -284,7 +287,7 @@
     return missing;
 }
 
-// One task's room on each expected machine that has it. The answer is how many are still missing.
+// Claims room for one task on each expected machine that has it. Returns how many are still missing.
 int AutoscalingRound::claim_expected_machines(const model::JobSpec& sample, int missing) {
     for (auto& machine : expected_) {
         if (missing <= 0) break;
@@ -308,7 +311,7 @@
     }
 }
 
-// Idle machines are released after the idle timeout, sooner the less they are worth.
+// Releases machines that have been idle for the idle timeout, scaled by idle_timeout_factor().
 void AutoscalingRound::scale_in(const std::set<std::string>& kept) {
     for (const auto& machine : snapshot_.machines) {
         if (!machine.ready || machine.busy || kept.contains(machine.id)) continue;
@@ -317,8 +320,8 @@
     }
 }
 
-// The dearer a machine for the work that comes, the less it is worth to wait for some: 1 for the cheapest, 0
-// for a machine that no class can use.
+// The more expensive a machine is for the expected work, the sooner it is released: returns 1 for the
+// cheapest machine and 0 for one that no class can use.
 double AutoscalingRound::idle_timeout_factor(const MachineSnapshot& machine) const {
     double factor = snapshot_.demand.empty() ? 1.0 : 0.0;
     for (const auto& [job_class, demand] : snapshot_.demand)
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -16,10 +16,11 @@
 namespace pineroad::scheduling {
 namespace {
 
-// What a job's tasks meet in each pool, by pool index; worked out once for a job, not once for a machine.
+// Properties of all pools for the tasks of one job, by pool index. Computed once per job rather than per
+// machine.
 struct PoolEvaluation {
     std::vector<double> fetch_s;      // time to fetch the job's image
-    std::vector<double> price_ratio;  // as price_ratio(), bounded
+    std::vector<double> price_ratio;  // price_ratio(), at most constants::max_price_ratio
     std::vector<bool> allowed;
     int eligible_pool_count = 0;
 };
@@ -43,19 +44,21 @@
     return std::find(machine.images.begin(), machine.images.end(), spec.image) != machine.images.end();
 }
 
-// Of a hundred small tasks of a stage one or two are lost with spot machines, and all that comes after waits.
+// Returns the additional cost for a job in a pipeline. Of a hundred small tasks of a stage, one or two are
+// lost with spot machines, which delays all later stages.
 double pipeline_cost_s(const MachineSnapshot& machine) {
     if (!machine.busy) return constants::pipeline_empty_cost_s;
     return machine.spot ? constants::pipeline_spot_cost_s : 0;
 }
 
-// What it costs to start a task of the job on the machine, in seconds; the smallest cost wins.
+// Returns the cost, in seconds, of starting a task of the job on the machine; the machine with the lowest
+// cost is chosen.
 double placement_cost_s(const PoolEvaluation& evaluation, const PendingJob& job,
                         const MachineSnapshot& machine, std::size_t pool) {
     const auto& spec = *job.spec;
     double cost_s = job.in_pipeline ? pipeline_cost_s(machine) : 0;
     if (!has_image(machine, spec)) cost_s += evaluation.fetch_s[pool];
-    // Work goes to cheap machines and to those in use, so that dear and empty ones can be scaled in.
+    // Prefers cheap and busy machines, so that expensive and idle ones can be released.
     cost_s += (machine.busy ? constants::price_cost_busy_s : constants::price_cost_idle_s) *
               evaluation.price_ratio[pool];
     const double unused = machine.free.gpus - spec.task_resources.gpus +
@@ -64,7 +67,7 @@
     return cost_s;
 }
 
-// The least that any of the jobs takes of each kind of resource.
+// Returns, for each kind of resource, the smallest amount that a task of any of the jobs needs.
 model::Resources smallest_task(const std::vector<PendingJob*>& jobs) {
     model::Resources smallest = jobs.front()->spec->task_resources;
     for (const auto* job : jobs) {
@@ -83,19 +86,19 @@
     std::vector<PlacementDecision> run();
 
    private:
-    // A machine with room for the smallest waiting task.
+    // A machine with room for the smallest pending task.
     struct OpenMachine {
         MachineSnapshot* machine;
-        std::size_t pool;             // index into the snapshot's pools
+        std::size_t pool;             // index into Snapshot::pools
         int reserved_for_pool_count;  // jobs with more eligible pools may not use it
-        bool reserved_for_gang;       // kept for the holder of the reservation
+        bool reserved_for_gang;       // reserved for the holder of the reservation
     };
-    // A machine that the job at hand may use: its cost in seconds, and its index in `open_`.
+    // A machine that the current job may use: its cost in seconds, and its index in `open_`.
     using Candidate = std::pair<double, std::size_t>;
-    // Whether a job may go to any machine, or only to those that hold its image.
+    // Whether a job may use any machine or only those that have its image.
     enum class ImageRule { any_machine, image_present };
     struct AssignedTask {
-        std::uint32_t index;  // of the task in its job
+        std::uint32_t index;  // index of the task in its job
         MachineSnapshot* machine;
     };
 
@@ -106,13 +109,13 @@
     void place_gang(PendingJob& job, const PoolEvaluation& evaluation);
     void place_independent_tasks(PendingJob& job, const PoolEvaluation& evaluation, ImageRule rule);
 
-    // Machines for all waiting tasks of a gang, in one zone if one is given. Nothing is assigned, and the
-    // answer is empty, where a task finds none.
+    // Assigns machines to all pending tasks of a gang, in `zone` only if it is given. If a task finds no
+    // machine, nothing is assigned and the result is empty.
     std::vector<AssignedTask> assign_gang(PendingJob& job, const PoolEvaluation& evaluation,
                                           const std::string* zone);
 
-    // Candidates: a job's tasks are alike, so that one pass finds its machines, best first, and a machine
-    // that was given a task goes back into the heap with its new cost.
+    // Candidates: the tasks of a job are identical, so one pass over the machines builds a heap of
+    // candidates. A machine that was assigned a task is pushed back onto the heap with its new cost.
     void collect_candidates(const PendingJob& job, const PoolEvaluation& evaluation, const std::string* zone,
                             ImageRule rule);
     [[nodiscard]] bool is_candidate(const OpenMachine& open, const PendingJob& job,
@@ -121,17 +124,17 @@
     OpenMachine* pop_candidate(const PendingJob& job);
     void push_candidate(const PendingJob& job, const PoolEvaluation& evaluation, const OpenMachine& open);
 
-    // Accounts for one task of the job on the machine.
+    // Accounts for one task of the job on the machine: resources, zone and team usage.
     void assign(PendingJob& job, MachineSnapshot& machine);
-    // Takes back what assign() accounted for.
+    // Reverts assign().
     void unassign(PendingJob& job, MachineSnapshot& machine);
-    // Decides that the task starts there: what was assigned is final.
+    // Adds the decision that an assigned task starts on the machine.
     void record_decision(const PendingJob& job, std::uint32_t index, MachineSnapshot& machine);
 
     Snapshot& snapshot_;
     Reservation reservation_;
     std::vector<OpenMachine> open_;
-    std::vector<Candidate> candidates_;  // a heap, the smallest cost on top
+    std::vector<Candidate> candidates_;  // a min-heap by cost
     std::vector<PlacementDecision> decisions_;
 };
 
@@ -145,7 +148,7 @@
     return std::move(decisions_);
 }
 
-// Only these are looked at for each job: in a large cluster most machines are full.
+// Only open machines are considered for each job, because most machines of a large cluster are full.
 void PlacementRound::find_open_machines(const std::vector<PendingJob*>& queue) {
     const auto reserved = constrained_class_reservations(snapshot_);
     const auto smallest = smallest_task(queue);
@@ -159,15 +162,16 @@
     }
 }
 
-// Reserved machines serve nobody until there are enough of them: then the holder goes first, whatever its
-// xfactor.
+// Reserved machines remain unused until there are enough of them. The holder is therefore placed first,
+// regardless of its xfactor.
 void PlacementRound::place_reservation_holder(const std::vector<PendingJob*>& queue) {
     for (auto* job : queue)
         if (job->spec->id == reservation_.job) place_job(*job, ImageRule::any_machine);
 }
 
-// Falling xfactor, but among jobs within a band of it those go first whose image is there: a fetch occupies a
-// machine for half as long as a short task does (docs/design.md, exceptions).
+// Places jobs in descending order of xfactor, but within a band of similar xfactors first on machines that
+// have their images: a fetch occupies a machine for half as long as a short task (docs/design.md,
+// exceptions).
 void PlacementRound::place_in_bands(const std::vector<PendingJob*>& queue) {
     for (std::size_t first = 0, last = 0; first < queue.size(); first = last) {
         const double min_xfactor = queue[first]->xfactor / snapshot_.tuning->image_locality_band;
@@ -184,7 +188,7 @@
 
 void PlacementRound::place_job(PendingJob& job, ImageRule rule) {
     const bool is_gang = job.spec->shape == model::Shape::gang;
-    if (is_gang && rule == ImageRule::image_present) return;  // a gang is placed whole: it takes any machines
+    if (is_gang && rule == ImageRule::image_present) return;  // a gang is placed as a whole, on any machines
     const auto evaluation = evaluate_pools(snapshot_, *job.spec);
     if (is_gang)
         place_gang(job, evaluation);
@@ -192,8 +196,8 @@
         place_independent_tasks(job, evaluation, rule);
 }
 
-// The whole gang or nothing. A gang that must stay in one zone may fail in all zones together, where the best
-// machine decides on the zone: then every zone is tried on its own.
+// Places the whole gang or nothing. For a gang that must run in one zone, the first attempt considers all
+// zones, and the best machine determines the zone. If this zone lacks room, each zone is tried separately.
 void PlacementRound::place_gang(PendingJob& job, const PoolEvaluation& evaluation) {
     const auto& spec = *job.spec;
     if (!within_team_quota(snapshot_, spec, static_cast<double>(job.pending_tasks.size()))) return;
@@ -226,7 +230,8 @@
     return assigned;
 }
 
-// Tasks of an array or service, one by one, as far as machines, the team's limit and the record's size allow.
+// Places tasks of an array or service individually, as far as machines, the team's quota and the record size
+// allow.
 void PlacementRound::place_independent_tasks(PendingJob& job, const PoolEvaluation& evaluation,
                                              ImageRule rule) {
     std::size_t placed = 0;
@@ -265,7 +270,8 @@
     return rule == ImageRule::any_machine || has_image(machine, *job.spec);
 }
 
-// The best machine whose zone the job may still use, taken off the heap; null where there is none.
+// Removes candidates from the heap until one is in a zone that the job may still use. Returns this machine,
+// or null if there is none.
 PlacementRound::OpenMachine* PlacementRound::pop_candidate(const PendingJob& job) {
     while (!candidates_.empty()) {
         std::pop_heap(candidates_.begin(), candidates_.end(), std::greater<>());
--- a/src/scheduling/placement.hpp
+++ b/src/scheduling/placement.hpp
@@ -1,4 +1,4 @@
-// Placement: which waiting task starts on which machine.
+// Placement: decides which pending task starts on which machine.
 #pragma once
 
 #include <cstdint>
@@ -9,17 +9,17 @@
 
 namespace pineroad::scheduling {
 
-// One task of a job that is to start on a machine.
+// A decision to start one task of a job on a machine.
 struct PlacementDecision {
     std::string job;
-    std::uint32_t index = 0;  // of the task in its job
+    std::uint32_t index = 0;  // index of the task in its job
     std::string machine;
 };
 
-// Places waiting jobs in falling xfactor, each task where it costs least: gangs whole or not at all, arrays
-// as far as there is room. A gang with a reservation goes first, and among jobs of like xfactor those whose
-// image a machine holds. Updates machines, team usage and waiting tasks in the snapshot, so that preemption
-// and autoscaling see what is left.
+// Places pending jobs in descending order of xfactor, each task where its cost is lowest: gangs as a whole or
+// not at all, arrays as far as there is room. A gang with a reservation is placed first. Among jobs with
+// similar xfactors, those whose image is cached on a machine take precedence there. Updates machines, team
+// usage and pending tasks in the snapshot, so that preemption and autoscaling see what remains.
 std::vector<PlacementDecision> place_tasks(Snapshot& snapshot);
 
 }  // namespace pineroad::scheduling
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -18,8 +18,9 @@
     return found == snapshot.usage.end() ? TeamUsage{} : found->second;
 }
 
-// PROTOCOL "Preemption", on top of the design's three tests: work of a lower priority may be stopped, and
-// work of a team beyond its guarantee by a team that stays within its own.
+// Checks the rules of the protocol ("Preemption"), which apply in addition to the three tests of the design:
+// a job may preempt jobs of a lower priority. A team that stays within its guarantee may also preempt jobs of
+// a team that exceeds its own.
 bool may_preempt(const Snapshot& snapshot, const PendingJob& preemptor, const RunningGang& victim) {
     if (preemptor.priority < victim.priority) return true;
     const auto &preemptor_spec = *preemptor.spec, &victim_spec = *victim.spec;
@@ -40,8 +41,8 @@
     return within_guarantee && over_guarantee;
 }
 
-// The average slowdown of the job's category. A category nobody has finished in yet counts as one without
-// any.
+// Returns the average slowdown of the job's category; 1 (no slowdown) if no job of the category has
+// completed.
 double category_average(const Snapshot& snapshot, const model::JobSpec& spec) {
     const auto found = snapshot.category_averages.find(category(spec, *snapshot.tuning));
     const bool unknown = found == snapshot.category_averages.end() || found->second.count == 0;
@@ -54,11 +55,12 @@
     const auto& tuning = *snapshot.tuning;
     if (preemptor.xfactor < tuning.preemption_factor * victim.xfactor) return false;
     if (width(*victim.spec) > tuning.max_victim_width_ratio * width(*preemptor.spec)) return false;
-    // The paper's prose (section 4.5) bounds the victim, its formula the waiter; the design takes the prose.
+    // In section 4.5 of the paper, the text bounds the victim's xfactor but the formula bounds the
+    // preemptor's. The design follows the text.
     return victim.xfactor <= tuning.category_multiplier * category_average(snapshot, *victim.spec);
 }
 
-// All victims that the tests allow for the waiter, the widest first.
+// Returns all running gangs that the preemptor may stop, widest first.
 std::vector<const RunningGang*> eligible_victims(const Snapshot& snapshot, const PendingJob& preemptor) {
     std::vector<const RunningGang*> victims;
     for (const auto& gang : snapshot.running_gangs)
@@ -69,14 +71,14 @@
     return victims;
 }
 
-// Whether the waiter (a gang whole, an array with one task) can be placed once the first `count` victims have
-// stopped.
+// Returns whether the preemptor (a whole gang, or one task of an array) can be placed once the first `count`
+// victims have stopped.
 bool fits_after_stopping(const Snapshot& snapshot, const PendingJob& preemptor,
                          const std::vector<const RunningGang*>& victims, std::size_t count) {
     std::map<std::string, model::Resources> freed;
     for (std::size_t i = 0; i < count; ++i)
         for (const auto& machine : victims[i]->machines) freed[machine] += victims[i]->spec->task_resources;
-    Snapshot trial;  // without demand and running gangs: the waiter alone, no machines reserved for classes
+    Snapshot trial;  // only the preemptor: no demand, so no machines are reserved for job classes
     trial.machines = snapshot.machines;
     trial.pools = snapshot.pools;
     trial.usage = snapshot.usage;
@@ -85,12 +87,12 @@
     for (auto& machine : trial.machines)
         if (const auto found = freed.find(machine.id); found != freed.end()) machine.free += found->second;
     trial.jobs.push_back(preemptor);
-    trial.jobs.back().waited_s = 0;  // no reservation inside the trial
+    trial.jobs.back().waited_s = 0;  // no reservation in the trial
     return !place_tasks(trial).empty();
 }
 
-// How many of the victims, from the first on, make room for the waiter; 0 where all together don't. More
-// victims make more room: the fewest are found by halving, not by trying each number.
+// Returns how many victims, in the given order, must be stopped to make room for the preemptor; 0 if stopping
+// all of them is not enough. Uses binary search: more victims free more resources.
 std::size_t min_victim_count(const Snapshot& snapshot, const PendingJob& preemptor,
                              const std::vector<const RunningGang*>& victims) {
     if (victims.empty() || !fits_after_stopping(snapshot, preemptor, victims, victims.size())) return 0;
@@ -112,7 +114,7 @@
     for (const auto* preemptor : pending_queue(jobs)) {
         const auto victims = eligible_victims(snapshot, *preemptor);
         const auto count = min_victim_count(snapshot, *preemptor, victims);
-        if (count == 0) continue;  // all of them make no room: no job is stopped
+        if (count == 0) continue;  // stopping all of them is not enough, so none is stopped
         Preemption preemption{preemptor->spec->id, {}};
         for (std::size_t i = 0; i < count; ++i) preemption.victims.push_back(victims[i]->spec->id);
         return preemption;
--- a/src/scheduling/preemption.hpp
+++ b/src/scheduling/preemption.hpp
@@ -1,4 +1,4 @@
-// Preemption: tuneable selective suspension of the paper (sections 4.2 to 4.5), as docs/design.md adopts it.
+// Preemption: the paper's tunable selective suspension (sections 4.2 to 4.5), as adapted in docs/design.md.
 #pragma once
 
 #include <optional>
@@ -9,15 +9,15 @@
 
 namespace pineroad::scheduling {
 
-// Running gangs to stop, by job, so that a waiting job can start.
+// A pending job (preemptor) and the running gangs (victims) to stop so that it can start, by job id.
 struct Preemption {
     std::string preemptor;
     std::vector<std::string> victims;
 };
 
-// One round of preemption, to be called after place_tasks(): for the first waiter in falling xfactor that
-// victims make room for, the fewest victims that suffice, the widest first. At most one waiter is served in a
-// round; nothing where no waiter can be.
+// Runs one round of preemption, to be called after place_tasks(). Returns the first pending job in descending
+// order of xfactor for which stopping victims makes room, with the smallest sufficient number of victims,
+// widest first. Returns nothing if there is no such job.
 std::optional<Preemption> select_preemption(const Snapshot& snapshot);
 
 }  // namespace pineroad::scheduling
--- a/src/scheduling/reservation.cpp
+++ b/src/scheduling/reservation.cpp
@@ -12,7 +12,8 @@
 namespace pineroad::scheduling {
 namespace {
 
-// The gang that has waited longest, beyond the time after which a gang gets a reservation.
+// Returns the gang that has waited longest, if it has waited longer than `reservation_wait_s`; null
+// otherwise.
 const PendingJob* reservation_holder(const Snapshot& snapshot) {
     const PendingJob* holder = nullptr;
     for (const auto& job : snapshot.jobs)
@@ -30,7 +31,7 @@
            zone_allowed(holder, machine.zone) && !holder.excluded_machines.contains(machine.id);
 }
 
-// The zone with room for most of the holder's tasks; empty where no zone has any.
+// Returns the zone with room for most of the holder's tasks; empty if no zone has room.
 std::string zone_with_most_room(const Snapshot& snapshot, const PendingJob& holder) {
     std::map<std::string, int> tasks_by_zone;
     for (const auto& machine : snapshot.machines)
@@ -41,7 +42,7 @@
     return best_zone == tasks_by_zone.end() ? std::string() : best_zone->first;
 }
 
-// Which pools can run the class, by index, and how many they are.
+// The pools that can run a job class, by index, and their number.
 struct EligiblePools {
     std::vector<bool> eligible;
     int count = 0;
@@ -53,7 +54,7 @@
         pools.eligible.push_back(can_run_on(spec, pool));
         pools.count += pools.eligible.back();
     }
-    pools.eligible.push_back(false);  // machines of no known pool
+    pools.eligible.push_back(false);  // machines of an unknown pool
     return pools;
 }
 
@@ -62,8 +63,8 @@
     std::size_t pool;  // index into the snapshot's pools
 };
 
-// Machines in these pools that have no task of the class yet, the emptiest first: they are free for it
-// soonest.
+// Returns the machines in these pools that have no task of the class yet, those with the fewest tasks first:
+// they become free soonest.
 std::vector<PooledMachine> usable_machines(const Snapshot& snapshot, const std::string& job_class,
                                            const EligiblePools& pools,
                                            const std::vector<std::size_t>& pool_by_machine) {
@@ -86,7 +87,7 @@
     const PendingJob* holder = reservation_holder(snapshot);
     if (!holder) return {};
     const auto& spec = *holder->spec;
-    // Machines of two zones are of no use to a gang that must stay together.
+    // A gang that must run in one zone cannot use machines of several zones.
     const auto gang_zone = spec.same_zone ? zone_with_most_room(snapshot, *holder) : std::string();
     Reservation reservation{spec.id, {}};
     auto missing = static_cast<int>(holder->pending_tasks.size());
--- a/src/scheduling/reservation.hpp
+++ b/src/scheduling/reservation.hpp
@@ -1,5 +1,5 @@
-// Machines kept free for work that would otherwise never find them: for a gang that has waited too long, and
-// for job classes that few pools can run.
+// Machines reserved for jobs that would otherwise starve: for a gang that has waited too long, and for job
+// classes that only few pools can run.
 #pragma once
 
 #include <map>
@@ -10,26 +10,26 @@
 
 namespace pineroad::scheduling {
 
-// Machines reserved for one gang; no job and no machines where none has a reservation.
+// Machines reserved for one gang; empty if no gang has a reservation.
 struct Reservation {
     std::string job;
     std::set<std::string> machines;
 };
 
-// The reservation of DESIGN ("a waiter that finds no victims"): the gang that has waited longest, if longer
-// than `reservation_wait_s`, keeps the first machines with room for its tasks. It is placed first, and
-// nothing else starts there meanwhile. One gang at a time, and none beyond its team's limit (docs/design.md,
-// "Kept at size").
+// Returns the reservation for a gang that finds no victims (docs/design.md): the gang that has waited
+// longest, if longer than `reservation_wait_s`, reserves the first machines with room for its tasks. It is
+// placed first, and no other job starts on these machines. Only one gang has a reservation at a time, and
+// never one that would exceed its team's quota (docs/design.md, "Kept at size").
 Reservation reserve_machines(const Snapshot& snapshot);
 
-// Arrivals to keep spare machines for, where the class's objective for starts is shorter than a boot: those
-// of the time by which a machine requested for them would come too late. 0 for a class without such an
-// objective.
+// Returns the number of tasks for which spare machines are kept if the class's objective for the
+// start time is shorter than the boot time: the expected arrivals during the difference, times
+// Tuning::headroom_factor. 0 for a class without such an objective.
 int headroom_task_count(const Snapshot& snapshot, const ClassDemand& demand);
 
-// Machines kept from work that more pools can run (docs/design.md, exceptions): for every class, as many of
-// those it is bound to as its waiting tasks and its headroom need. Maps each machine to the number of pools
-// eligible for that class: a job with more eligible pools may not start there.
+// Reserves machines for constrained job classes (docs/design.md, exceptions): for every class, as many
+// eligible machines as its pending tasks and its headroom need. Maps each reserved machine to the number of
+// pools that are eligible for the class: a job with more eligible pools may not start there.
 std::map<std::string, int> constrained_class_reservations(const Snapshot& snapshot);
 
 }  // namespace pineroad::scheduling
--- a/src/scheduling/xfactor.cpp
+++ b/src/scheduling/xfactor.cpp
@@ -5,7 +5,7 @@
 namespace pineroad::scheduling {
 namespace {
 
-// Bands grow by a factor of four: below 1, 4 and 16 times the unit, and above.
+// Returns band 0 to 3: below 1, 4 and 16 times the unit, or above.
 int band(double value, double unit) {
     if (value < unit) return 0;
     if (value < 4 * unit) return 1;
--- a/src/scheduling/xfactor.hpp
+++ b/src/scheduling/xfactor.hpp
@@ -1,5 +1,5 @@
-// The order in which jobs are served, and the measures by which jobs are compared: expansion factor, width
-// and category. From "Selective preemption strategies for parallel job scheduling", sections 4 to 4.5.
+// The order of the pending queue and the measures by which jobs are compared: expansion factor, width and
+// category. From "Selective preemption strategies for parallel job scheduling", sections 4 to 4.5.
 #pragma once
 
 #include <string>
@@ -9,19 +9,20 @@
 
 namespace pineroad::scheduling {
 
-// The expansion factor (paper, section 4): wait plus estimated run time, over estimated run time. At least 1;
-// a negative wait counts as none and an estimate below a second as a second.
+// Returns the expansion factor (paper, section 4): (wait + estimated run time) / estimated run time. At least
+// 1: a negative wait counts as 0, and an estimate below one second as one second.
 double xfactor(double waited_s, double estimate_s);
 
-// The jobs that have tasks to place, in falling xfactor, and in the order of `jobs` where it is equal. The
-// answer points into `jobs`.
+// Returns the jobs with pending tasks in descending order of xfactor; jobs with equal xfactors keep their
+// order. The pointers refer to elements of `jobs`.
 std::vector<PendingJob*> pending_queue(std::vector<PendingJob>& jobs);
 
-// CPUs of a whole gang, or of a single task of an array or service: what is started and stopped at once.
+// Returns the CPUs of the unit that is started and stopped together: a whole gang, or one task of an array or
+// service.
 double width(const model::JobSpec& spec);
 
-// The category of jobs whose average slowdown guards a victim (paper, section 4.5): the job's width and its
-// estimated length in four bands each, as "w<band>l<band>". Stored records use this name.
+// Returns the category of a job (paper, section 4.5), whose average slowdown limits preemption: width and
+// estimated run time, in four bands each, as "w<band>l<band>". Stored records use this name.
 std::string category(const model::JobSpec& spec, const config::Tuning& tuning);
 
 }  // namespace pineroad::scheduling
