--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -1,7 +1,7 @@
 // All constants of the service, with their units and, where it is not obvious, the reason for a value. Names
 // that end in `_s` are in seconds, in `_ms` in milliseconds, in `_bytes` in bytes; a `_share` is a fraction
-// between 0 and 1. Names such as `report_s` are keys of the settings file
-// (settings.hpp maps them to fields). Values that an operator may want to change are in Tuning (tuning.hpp).
+// between 0 and 1. Names such as `report_s` are keys of the settings file (settings.hpp maps them to fields).
+// Values that an operator may want to change are in Tuning (tuning.hpp), with their defaults.
 #pragma once
 
 #include <cstddef>
