--- a/src/scheduling/autoscaling.cpp
+++ b/src/scheduling/autoscaling.cpp
@@ -15,21 +15,21 @@
 namespace pineroad::scheduling {
 namespace {
 
-// A machine that is expected to come up: booting already, or requested by this plan.
+// A machine that will become available: already booting, or requested by this plan.
 struct ExpectedMachine {
     std::string type, zone;
     bool spot = false;
-    model::Resources free;                  // capacity less what this plan puts on it
+    model::Resources free;                  // capacity minus the tasks that this plan places on it
     int reserved_for_pool_count = INT_MAX;  // jobs with more eligible pools may not use it
 };
 
-// A job class, as a queue before the machines that serve it.
+// A job class as a queue with servers.
 struct ClassQueue {
-    double work_s = 0;   // task-seconds that wait
-    double servers = 0;  // its tasks that run, or that this plan puts on expected machines
+    double work_s = 0;   // pending work in task-seconds
+    double servers = 0;  // tasks that run, or that this plan places on expected machines
 };
 
-// The only zone that the job may still use; empty where it has a choice.
+// Returns the only zone that the job may still use; empty if there are several.
 std::string required_zone(const PendingJob& job) {
     if (job.spec->zone) return *job.spec->zone;
     if (job.spec->same_zone)
@@ -38,7 +38,8 @@
     return "";
 }
 
-// One round of autoscaling over its own snapshot, in which it accounts for the tasks it finds room for.
+// One round of autoscaling. Works on its own copy of the snapshot, in which it accounts for the tasks that it
+// places.
 class AutoscalingRound {
    public:
     explicit AutoscalingRound(Snapshot snapshot) : snapshot_(std::move(snapshot)) {}
@@ -49,13 +50,14 @@
     void shrink_reservation_holder(const Reservation& reservation);
     void measure_queues();
 
-    // Finds room for the job's waiting tasks, or requests machines for them.
-    void provide_for(PendingJob& job);
-    // Drops the tasks of an array that running tasks of its class make room for in time.
+    // Finds room for the job's pending tasks on expected machines, or requests machines for them.
+    void provision_for(PendingJob& job);
+    // Drops the tasks of an array that can start in time on machines freed by running tasks of its class.
     void drop_tasks_served_in_time(PendingJob& job);
-    // Puts waiting tasks on expected machines from the given index on. True when none is left.
-    bool put_on_expected(PendingJob& job, std::size_t first_machine);
-    std::size_t tasks_put_on(PendingJob& job, ExpectedMachine& machine, std::size_t max_tasks);
+    // Places pending tasks on the expected machines from index `first_machine` on. Returns whether none is
+    // left.
+    bool place_on_expected(PendingJob& job, std::size_t first_machine);
+    std::size_t place_tasks_on(PendingJob& job, ExpectedMachine& machine, std::size_t max_tasks);
     void request_machines_for(PendingJob& job);
     [[nodiscard]] bool queue_is_short(const PendingJob& job, const MachinePool& pool) const;
 
@@ -64,38 +66,38 @@
     [[nodiscard]] const MachinePool* cheapest_pool(const PendingJob& job, double tasks) const;
     void request(const MachinePool& pool);
 
-    // Spare machines for classes whose objective for starts is shorter than a boot: idle ones are added to
-    // `kept`, then expected ones are claimed, then machines are requested.
-    void provide_headroom(std::set<std::string>& kept);
+    // Provides spare machines for classes whose objective for the start time is shorter than the boot time:
+    // first adds idle machines to `kept`, then claims expected ones, then requests machines.
+    void provision_headroom(std::set<std::string>& kept);
     int keep_idle_machines(const model::JobSpec& sample, int missing, std::set<std::string>& kept) const;
     int claim_expected_machines(const model::JobSpec& sample, int missing);
     void request_headroom(const model::JobSpec& sample, int missing);
 
     void scale_in(const std::set<std::string>& kept);
-    [[nodiscard]] double worth_for_demand(const MachineSnapshot& machine) const;
+    [[nodiscard]] double idle_timeout_factor(const MachineSnapshot& machine) const;
 
     Snapshot snapshot_;
     AutoscalingPlan plan_;
-    std::vector<ExpectedMachine> expected_;  // booting machines, then those requested here
+    std::vector<ExpectedMachine> expected_;  // booting machines, followed by those that this round requests
     std::vector<PendingJob*> queue_;
     std::map<std::string, ClassQueue> class_queues_;
     double longest_boot_s_ = 0;
-    // Task-seconds of a class, by zone (empty: any), that its running tasks are already counted on for.
+    // Pending task-seconds by class and zone (empty: any) that are already assigned to machines of running
+    // tasks.
     std::map<std::pair<std::string, std::string>, double> served_by_running_s_;
 };
 
 AutoscalingPlan AutoscalingRound::run() {
     collect_booting_machines();
-    // Worked out anew, though place_tasks() had a reservation too: placement may since have served its
-    // holder, filled machines or used up a team's limit, and the reservation that counts now is that of what
-    // is left.
+    // The reservation used by place_tasks() may be outdated: since then its holder may have been placed,
+    // machines filled or a team's quota used up. It is therefore recomputed from the remaining pending jobs.
     const auto reservation = reserve_machines(snapshot_);
     shrink_reservation_holder(reservation);
     queue_ = pending_queue(snapshot_.jobs);
     measure_queues();
-    for (auto* job : queue_) provide_for(*job);
+    for (auto* job : queue_) provision_for(*job);
     auto kept = reservation.machines;
-    provide_headroom(kept);
+    provision_headroom(kept);
     scale_in(kept);
     return std::move(plan_);
 }
@@ -110,7 +112,7 @@
     }
 }
 
-// A gang that has machines reserved needs so many fewer.
+// A gang with reserved machines needs fewer new ones.
 void AutoscalingRound::shrink_reservation_holder(const Reservation& reservation) {
     for (auto& job : snapshot_.jobs)
         if (job.spec->id == reservation.job)
@@ -127,32 +129,32 @@
     for (const auto& pool : snapshot_.pools) longest_boot_s_ = std::max(longest_boot_s_, pool.type->boot_s);
 }
 
-void AutoscalingRound::provide_for(PendingJob& job) {
+void AutoscalingRound::provision_for(PendingJob& job) {
     if (job.spec->shape == model::Shape::array) drop_tasks_served_in_time(job);
-    if (job.pending_tasks.empty() || put_on_expected(job, 0)) return;
+    if (job.pending_tasks.empty() || place_on_expected(job, 0)) return;
     request_machines_for(job);
 }
 
-// A server takes several short tasks one after the other while a new machine would boot, or while the
-// objective can wait: that many machines are needed less.
+// While a new machine boots, or until the objective requires a start, a server can run several short tasks
+// one after another. No machines are needed for these tasks.
 void AutoscalingRound::drop_tasks_served_in_time(PendingJob& job) {
     const auto zone = required_zone(job);
     const auto& tuning = *snapshot_.tuning;
     const double running_tasks = running_tasks_for(job, zone);
     const double horizon_s =
-        std::max(tuning.queue_patience * job.slack_s, tuning.drain_boot_times * longest_boot_s_);
+        std::max(tuning.queue_slack_share * job.slack_s, tuning.drain_boot_times * longest_boot_s_);
     const auto waiting_tasks = static_cast<double>(job.pending_tasks.size());
     double work_s = waiting_tasks * job.expected_s;
     auto& counted_s = served_by_running_s_[{job.spec->job_class, zone}];
     const double served_s = std::clamp(running_tasks * horizon_s - counted_s, 0.0, work_s);
     counted_s += served_s;
     work_s -= served_s;
-    // Less a hundredth: work that fits but for rounding needs no further task.
+    // The 0.01 avoids an additional task due to rounding errors.
     const double needed = std::ceil(work_s / std::max(horizon_s, job.expected_s) - 0.01);
     job.pending_tasks.resize(static_cast<std::size_t>(std::clamp(needed, 0.0, waiting_tasks)));
 }
 
-bool AutoscalingRound::put_on_expected(PendingJob& job, std::size_t first_machine) {
+bool AutoscalingRound::place_on_expected(PendingJob& job, std::size_t first_machine) {
     const auto& spec = *job.spec;
     std::size_t placed = 0;
     const int eligible_pools = eligible_pool_count(snapshot_, spec);
@@ -161,19 +163,21 @@
         if (!spec.task_resources.fits_in(machine.free) || eligible_pools > machine.reserved_for_pool_count ||
             !allowed_on(spec, machine.type, machine.zone, machine.spot) || !zone_allowed(job, machine.zone))
             continue;
-        placed += tasks_put_on(job, machine, job.pending_tasks.size() - placed);
+        placed += place_tasks_on(job, machine, job.pending_tasks.size() - placed);
     }
     job.pending_tasks.erase(job.pending_tasks.begin(),
                             job.pending_tasks.begin() + static_cast<std::ptrdiff_t>(placed));
     return job.pending_tasks.empty();
 }
 
-// Accounts for as many tasks as the machine, the team's limit and the job's wishes for zones allow.
-std::size_t AutoscalingRound::tasks_put_on(PendingJob& job, ExpectedMachine& machine, std::size_t max_tasks) {
+// Places as many tasks as the machine, the team's quota and the job's zone constraints allow. Returns their
+// number.
+std::size_t AutoscalingRound::place_tasks_on(PendingJob& job, ExpectedMachine& machine,
+                                             std::size_t max_tasks) {
     const auto& spec = *job.spec;
     std::size_t tasks = 0;
     while (tasks < max_tasks && spec.task_resources.fits_in(machine.free) &&
-           within_limit(snapshot_, spec, 1)) {
+           within_team_quota(snapshot_, spec, 1)) {
         machine.free -= spec.task_resources;
         ++job.tasks_by_zone[machine.zone];
         auto& usage = snapshot_.usage[spec.team];
@@ -189,32 +193,32 @@
 void AutoscalingRound::request_machines_for(PendingJob& job) {
     double class_tasks = waiting_tasks_of(job.spec->job_class);
     while (!job.pending_tasks.empty()) {
-        if (!within_limit(snapshot_, *job.spec, 1)) break;
+        if (!within_team_quota(snapshot_, *job.spec, 1)) break;
         const auto* pool = cheapest_pool(job, class_tasks);
         if (!pool || queue_is_short(job, *pool)) break;
         request(*pool);
-        const auto before = job.pending_tasks.size();
-        put_on_expected(job, expected_.size() - 1);
-        if (job.pending_tasks.size() == before) break;
-        class_tasks -= static_cast<double>(before - job.pending_tasks.size());
+        const auto pending_before = job.pending_tasks.size();
+        place_on_expected(job, expected_.size() - 1);
+        if (job.pending_tasks.size() == pending_before) break;
+        class_tasks -= static_cast<double>(pending_before - job.pending_tasks.size());
     }
 }
 
-// Whether the class's queue is too short for a machine of the pool. A dear machine is worth a longer queue
-// than a cheap one: others may come free before it has booted.
+// Returns whether the class's queue is too short to justify a machine of the pool. Expensive machines need a
+// longer queue than cheap ones, because other machines may become free before they have booted.
 bool AutoscalingRound::queue_is_short(const PendingJob& job, const MachinePool& pool) const {
     const auto& spec = *job.spec;
     if (spec.shape != model::Shape::array || running_tasks_for(job, required_zone(job)) <= 0) return false;
     const auto& tuning = *snapshot_.tuning;
     const auto& queue = class_queues_.at(spec.job_class);
-    const double longer =
-        std::pow(price_ratio(snapshot_, spec, pool.type->name, pool.spot), tuning.price_patience) - 1;
-    return queue.work_s < queue.servers * tuning.drain_boot_times * longest_boot_s_ * longer;
+    const double extra_queue_factor =
+        std::pow(price_ratio(snapshot_, spec, pool.type->name, pool.spot), tuning.price_ratio_exponent) - 1;
+    return queue.work_s < queue.servers * tuning.drain_boot_times * longest_boot_s_ * extra_queue_factor;
 }
 
-// Tasks of the job's class that run where the job may go: what ends in another zone makes no room for it.
-// (Found by a test of a lost zone: a job bound to it waited for ever behind tasks of its class in the other
-// one.)
+// Returns the number of running tasks of the job's class in `zone` (empty: any). Tasks that end in another
+// zone make no room for a job that is bound to one: after the loss of a zone, such a job waited forever
+// behind tasks of its class in the other zone.
 double AutoscalingRound::running_tasks_for(const PendingJob& job, const std::string& zone) const {
     const auto& job_class = job.spec->job_class;
     const auto demand = snapshot_.demand.find(job_class);
@@ -222,7 +226,7 @@
     if (zone.empty()) return of_class;
     double in_zone = 0;
     for (const auto& machine : snapshot_.machines)
-        if (machine.zone == zone && machine.classes.contains(job_class)) in_zone += machine.running_tasks;
+        if (machine.zone == zone && machine.job_classes.contains(job_class)) in_zone += machine.running_tasks;
     return std::min(of_class, in_zone);
 }
 
@@ -233,14 +237,14 @@
     return tasks;
 }
 
-// The pool that costs least for each task, counting only as many tasks on a machine as wait; null where none
-// can be requested.
+// Returns the pool with the lowest price per task, counting at most `tasks` tasks per machine; null if no
+// machine can be requested.
 const MachinePool* AutoscalingRound::cheapest_pool(const PendingJob& job, double tasks) const {
     const auto& spec = *job.spec;
     const MachinePool* best = nullptr;
     double best_price = 0;
     for (const auto& pool : snapshot_.pools) {
-        if (pool.refused || !allowed_on(spec, pool) || !zone_allowed(job, pool.zone)) continue;
+        if (pool.lacks_capacity || !allowed_on(spec, pool) || !zone_allowed(job, pool.zone)) continue;
         const int capacity = task_capacity(spec, pool.type->capacity);
         if (capacity < 1) continue;
         const double price = pool.price() / std::min<double>(capacity, std::max(tasks, 1.0));
@@ -261,16 +265,16 @@
     plan_.scale_out.push_back({pool.type->name, pool.zone, pool.spot, 1});
 }
 
-void AutoscalingRound::provide_headroom(std::set<std::string>& kept) {
+void AutoscalingRound::provision_headroom(std::set<std::string>& kept) {
     for (const auto& [job_class, demand] : snapshot_.demand) {
-        int missing = headroom(snapshot_, demand);
+        int missing = headroom_task_count(snapshot_, demand);
         missing = keep_idle_machines(demand.sample, missing, kept);
         missing = claim_expected_machines(demand.sample, missing);
         request_headroom(demand.sample, missing);
     }
 }
 
-// Idle machines nearest to use: cheapest to keep. The answer is how many are still missing.
+// Keeps idle machines, which are the cheapest headroom. Returns how many are still missing.
 int AutoscalingRound::keep_idle_machines(const model::JobSpec& sample, int missing,
                                          std::set<std::string>& kept) const {
     for (const auto& machine : snapshot_.machines) {
@@ -283,7 +287,7 @@
     return missing;
 }
 
-// One task's room on each expected machine that has it. The answer is how many are still missing.
+// Claims room for one task on each expected machine that has it. Returns how many are still missing.
 int AutoscalingRound::claim_expected_machines(const model::JobSpec& sample, int missing) {
     for (auto& machine : expected_) {
         if (missing <= 0) break;
@@ -307,24 +311,25 @@
     }
 }
 
-// Idle machines are released after the idle timeout, sooner the less they are worth.
+// Releases machines that have been idle for the idle timeout, scaled by idle_timeout_factor().
 void AutoscalingRound::scale_in(const std::set<std::string>& kept) {
     for (const auto& machine : snapshot_.machines) {
         if (!machine.ready || machine.busy || kept.contains(machine.id)) continue;
-        if (machine.idle_s >= snapshot_.tuning->idle_timeout_s * worth_for_demand(machine))
+        if (machine.idle_s >= snapshot_.tuning->idle_timeout_s * idle_timeout_factor(machine))
             plan_.scale_in.push_back(machine.id);
     }
 }
 
-// The dearer a machine for the work that comes, the less it is worth to wait for some: 1 for the cheapest, 0
-// for a machine that no class can use.
-double AutoscalingRound::worth_for_demand(const MachineSnapshot& machine) const {
-    double worth = snapshot_.demand.empty() ? 1.0 : 0.0;
+// The more expensive a machine is for the expected work, the sooner it is released: returns 1 for the
+// cheapest machine and 0 for one that no class can use.
+double AutoscalingRound::idle_timeout_factor(const MachineSnapshot& machine) const {
+    double factor = snapshot_.demand.empty() ? 1.0 : 0.0;
     for (const auto& [job_class, demand] : snapshot_.demand)
         if (demand.arrivals_per_s > 0 && allowed_on(demand.sample, machine) &&
             demand.sample.task_resources.fits_in(machine.free))
-            worth = std::max(worth, 1.0 / price_ratio(snapshot_, demand.sample, machine.type, machine.spot));
-    return worth;
+            factor =
+                std::max(factor, 1.0 / price_ratio(snapshot_, demand.sample, machine.type, machine.spot));
+    return factor;
 }
 
 }  // namespace
