--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -79,8 +79,8 @@
         return AdmissionError{AdmissionErrorKind::bad_dependency, 422,
                               fmt::format("{} names itself in {}", spec.id, wire::dependencies_field)};
     // An earlier version would start the job at once.
-    if (!dependencies_.record_format.agreed()) {
-        dependencies_.record_format.request_dependencies();
+    if (!dependencies_.record_format.all_controllers_read_format()) {
+        dependencies_.record_format.record_dependency_request();
         return try_again("a controller of an earlier version still serves");
     }
     return {};
--- a/src/api/worker_api.cpp
+++ b/src/api/worker_api.cpp
@@ -23,7 +23,7 @@
 // can wait longer than one whose tasks' ends are news; no response may reach the worker after 4 s.
 double response_deadline(const cluster::ClusterState& cluster_state, const model::Heartbeat& heartbeat,
                          double now) {
-    if (cluster_state.has_room(heartbeat.machine, now)) return now + c::heartbeat_hold_idle_s;
+    if (cluster_state.has_free_capacity(heartbeat.machine, now)) return now + c::heartbeat_hold_idle_s;
     const bool freed =
         std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
                     [](const model::ReportedTask& task) { return task.state == model::TaskState::exited; });
--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -9,22 +9,26 @@
     : context_{settings, tuning, fencing_token, leader_revision, now, now},
       jobs_(context_, pending_changes_),
       machines_(context_),
-      provisioning_(fencing_token),
-      tasks_(context_, jobs_, machines_, pending_changes_, stop_requests_, estimates_),
-      failures_(context_, machines_, tasks_),
-      heartbeats_(context_, jobs_, machines_, tasks_, stop_requests_, failures_),
-      commands_(jobs_, machines_, stop_requests_),
-      machine_lifecycle_(context_, machines_, tasks_),
-      segments_(context_, jobs_),
-      writes_({context_, jobs_, machines_, pending_changes_, provisioning_, averages_, segments_}),
-      snapshots_(context_, jobs_, machines_, provisioning_, estimates_, averages_),
+      provisioning_requests_(fencing_token),
+      task_lifecycle_(context_, jobs_, machines_, pending_changes_, stop_requests_, run_time_estimates_),
+      failure_detector_(context_, machines_, task_lifecycle_),
+      heartbeat_reconciler_(context_, jobs_, machines_, task_lifecycle_, stop_requests_, failure_detector_),
+      command_delivery_(jobs_, machines_, stop_requests_),
+      machine_lifecycle_(context_, machines_, task_lifecycle_),
+      segment_store_(context_, jobs_),
+      durable_writes_({context_, jobs_, machines_, pending_changes_, provisioning_requests_,
+                       slowdown_averages_, segment_store_}),
+      snapshot_builder_(context_, jobs_, machines_, provisioning_requests_, run_time_estimates_,
+                        slowdown_averages_),
       planner_(context_,
-               {jobs_, machines_, tasks_, stop_requests_, pending_changes_, provisioning_, failures_},
-               snapshots_) {}
+               {jobs_, machines_, task_lifecycle_, stop_requests_, pending_changes_, provisioning_requests_,
+                failure_detector_},
+               snapshot_builder_) {}
 
 void ClusterState::load(const store::WatchCache& watch_cache, double now, std::int64_t wall_ms) {
     context_.set_clocks(now, wall_ms);
-    StateLoader loader({jobs_, machines_, tasks_, segments_, provisioning_, averages_});
+    StateLoader loader(
+        {jobs_, machines_, task_lifecycle_, segment_store_, provisioning_requests_, slowdown_averages_});
     loader.load(watch_cache, now);
 }
 
@@ -35,12 +39,12 @@
 }
 
 void ClusterState::job_cancelled(const std::string& id, double) {
-    tasks_.cancel_job(id);
+    task_lifecycle_.cancel_job(id);
 }
 
 void ClusterState::job_cancelled_by_dependency(const std::string& id, double now) {
     context_.now_s = now;
-    tasks_.cancel_job_by_dependency(id);
+    task_lifecycle_.cancel_job_by_dependency(id);
 }
 
 void ClusterState::allow_sharding() {
@@ -51,39 +55,39 @@
 
 bool ClusterState::apply_heartbeat(const model::Heartbeat& heartbeat, double now) {
     context_.now_s = now;
-    return heartbeats_.apply(heartbeat);
+    return heartbeat_reconciler_.apply(heartbeat);
 }
 
 bool ClusterState::placements_durable(const std::string& machine) const {
-    return commands_.placements_durable(machine);
+    return command_delivery_.placements_durable(machine);
 }
 
-bool ClusterState::has_room(const std::string& machine, double now) const {
-    return planner_.has_room(machine, now);
+bool ClusterState::has_free_capacity(const std::string& machine, double now) const {
+    return planner_.has_free_capacity(machine, now);
 }
 
 bool ClusterState::has_pending_commands(const std::string& machine) const {
-    return commands_.has_pending_commands(machine);
+    return command_delivery_.has_pending_commands(machine);
 }
 
 std::vector<model::Command> ClusterState::commands_for(const std::string& machine, bool may_start,
                                                        double now) {
-    return commands_.commands_for(machine, may_start, now);
+    return command_delivery_.commands_for(machine, may_start, now);
 }
 
 std::vector<DirectCommands> ClusterState::take_direct_commands() {
-    return commands_.take_direct_commands();
+    return command_delivery_.take_direct_commands();
 }
 
 // --- planning ----------------------------------------------------------------------------------------------
 
 void ClusterState::detect_failures(double now) {
     context_.now_s = now;
-    failures_.detect();
+    failure_detector_.detect();
 }
 
 void ClusterState::restart_silence_timers(double now) {
-    failures_.restart_silence_timers(now);
+    failure_detector_.restart_silence_timers(now);
 }
 
 void ClusterState::plan(double now, std::int64_t wall_ms, const DemandByClass& demand) {
@@ -94,25 +98,25 @@
 // --- durable writes ----------------------------------------------------------------------------------------
 
 std::optional<WriteBatch> ClusterState::next_write_batch(std::size_t changes) {
-    return writes_.next_batch(changes);
+    return durable_writes_.next_batch(changes);
 }
 
 void ClusterState::apply_commit(const WriteBatch& batch, std::uint64_t revision, double now,
                                 std::int64_t wall_ms) {
     context_.now_s = now;
-    writes_.apply_commit(batch, revision, wall_ms);
+    durable_writes_.apply_commit(batch, revision, wall_ms);
 }
 
 bool ClusterState::write_due() const {
-    return writes_.is_due();
+    return durable_writes_.is_due();
 }
 
-bool ClusterState::reject_write_batch() {
-    return writes_.reject_batch();
+bool ClusterState::record_write_rejection() {
+    return durable_writes_.reject_batch();
 }
 
 std::vector<std::string> ClusterState::take_machines_with_durable_starts() {
-    return writes_.take_machines_with_durable_starts();
+    return durable_writes_.take_machines_with_durable_starts();
 }
 
 // --- cloud -------------------------------------------------------------------------------------------------
@@ -124,12 +128,12 @@
 void ClusterState::machines_provisioned(const std::string& name, const std::vector<std::string>& machines,
                                         double now) {
     context_.now_s = now;
-    if (const auto request = provisioning_.record_answer(name, machines.size(), now))
+    if (const auto request = provisioning_requests_.record_answer(name, machines.size(), now))
         machine_lifecycle_.add_provisioned(*request, machines);
 }
 
 void ClusterState::provisioning_refused(const std::string& name, double now) {
-    provisioning_.record_refusal(name, now);
+    provisioning_requests_.record_refusal(name, now);
     planner_.autoscale_at_next_plan();  // other pools may have capacity
 }
 
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -75,7 +75,7 @@
     [[nodiscard]] bool placements_durable(const std::string& machine) const;
     // Whether the machine could take the smallest task that came lately: the answer to its heartbeat may wait
     // a little for one.
-    [[nodiscard]] bool has_room(const std::string& machine, double now) const;
+    [[nodiscard]] bool has_free_capacity(const std::string& machine, double now) const;
     // Whether the machine can be sent a command that it does not have yet: a durable start, or a stop.
     [[nodiscard]] bool has_pending_commands(const std::string& machine) const;
     // The commands of an answer to the machine's latest heartbeat; starts only if the leader may start tasks.
@@ -100,7 +100,7 @@
     [[nodiscard]] bool write_due() const;
     // The store rejected a batch as malformed: its limits are lower than announced. What follows is smaller.
     // False: that has not helped so far.
-    bool reject_write_batch();
+    bool record_write_rejection();
     // Machines with starts that became durable since the last call.
     std::vector<std::string> take_machines_with_durable_starts();
 
@@ -108,15 +108,19 @@
     // The cloud's machine types. Returns whether they are to be written.
     bool set_machine_types(const std::vector<model::MachineType>& types);
     // Whether a provisioning request is durable and not under way.
-    [[nodiscard]] bool has_provisioning_request() const { return provisioning_.has_next(); }
+    [[nodiscard]] bool has_provisioning_request() const { return provisioning_requests_.has_next(); }
     // The next provisioning request to be sent; it counts as under way from here.
-    std::optional<model::ProvisioningRequest> next_provisioning_request() { return provisioning_.next(); }
+    std::optional<model::ProvisioningRequest> next_provisioning_request() {
+        return provisioning_requests_.next();
+    }
     // The cloud provisioned these machines for the request of this name.
     void machines_provisioned(const std::string& name, const std::vector<std::string>& machines, double now);
     // The cloud had no capacity for the request of this name.
     void provisioning_refused(const std::string& name, double now);
     // No answer came to the request of this name: it is sent again.
-    void provisioning_unanswered(const std::string& name) { provisioning_.record_missing_answer(name); }
+    void provisioning_unanswered(const std::string& name) {
+        provisioning_requests_.record_missing_answer(name);
+    }
     // Machines to be released next, as many as one request may name.
     [[nodiscard]] std::vector<std::string> machines_to_release(double now) const;
     // The release of the machines was answered: nothing runs there any more.
@@ -132,7 +136,7 @@
     // All machines, by name.
     [[nodiscard]] const std::map<std::string, Machine>& machines() const { return machines_.all(); }
     // When the latest heartbeat was applied; the start of the term before the first.
-    [[nodiscard]] double last_heartbeat() const { return heartbeats_.last_heartbeat_s(); }
+    [[nodiscard]] double last_heartbeat() const { return heartbeat_reconciler_.last_heartbeat_s(); }
 
    private:
     TermContext context_;
@@ -140,17 +144,17 @@
     JobTable jobs_;
     MachineTable machines_;
     StopRequests stop_requests_;
-    RunTimeEstimates estimates_;
-    SlowdownAverages averages_;
-    ProvisioningRequests provisioning_;
-    TaskLifecycle tasks_;
-    FailureDetector failures_;
-    HeartbeatReconciler heartbeats_;
-    CommandDelivery commands_;
+    RunTimeEstimates run_time_estimates_;
+    SlowdownAverages slowdown_averages_;
+    ProvisioningRequests provisioning_requests_;
+    TaskLifecycle task_lifecycle_;
+    FailureDetector failure_detector_;
+    HeartbeatReconciler heartbeat_reconciler_;
+    CommandDelivery command_delivery_;
     MachineLifecycle machine_lifecycle_;
-    SegmentStore segments_;
-    DurableWrites writes_;
-    SnapshotBuilder snapshots_;
+    SegmentStore segment_store_;
+    DurableWrites durable_writes_;
+    SnapshotBuilder snapshot_builder_;
     Planner planner_;
 };
 
--- a/src/cluster/command_delivery.cpp
+++ b/src/cluster/command_delivery.cpp
@@ -82,17 +82,17 @@
         } else if (!placement.is_confirmed() && may_start && jobs_.may_run(job) &&
                    is_durable(job, placement)) {
             commands.push_back({Command::Kind::start, {job.id, task.index}, placement.attempt, 0});
-            placement.start_was_sent();
+            placement.mark_start_sent();
         }
     }
 }
 
-TaskPlacement* CommandDelivery::unsent_stop(const UnsentStop& stop) {
+TaskPlacement* CommandDelivery::find_unsent_stop(const UnsentStop& stop) {
     Job* job = jobs_.find(stop.job);
     if (!job) return nullptr;
-    const auto at = job->placements.find(stop.task);
-    if (at == job->placements.end()) return nullptr;
-    TaskPlacement& placement = at->second;
+    const auto found = job->placements.find(stop.task);
+    if (found == job->placements.end()) return nullptr;
+    TaskPlacement& placement = found->second;
     return placement.is_stopping() && !placement.stop->sent_directly ? &placement : nullptr;
 }
 
@@ -100,7 +100,7 @@
     std::map<std::string, DirectCommands> by_machine;
     std::vector<UnsentStop> deferred;
     for (auto& stop : stop_requests_.take_unsent()) {
-        TaskPlacement* placement = unsent_stop(stop);
+        TaskPlacement* placement = find_unsent_stop(stop);
         if (!placement) continue;
         const Machine* machine = machines_.find(placement->machine);
         const bool can_be_sent =
--- a/src/cluster/command_delivery.hpp
+++ b/src/cluster/command_delivery.hpp
@@ -46,7 +46,7 @@
     // Starts that are durable, and stops.
     void add_starts_and_stops(Machine& machine, bool may_start, std::vector<model::Command>& commands) const;
     // The placement to be stopped, or nullptr if that is settled already.
-    [[nodiscard]] TaskPlacement* unsent_stop(const UnsentStop& stop);
+    [[nodiscard]] TaskPlacement* find_unsent_stop(const UnsentStop& stop);
 
     JobTable& jobs_;
     MachineTable& machines_;
--- a/src/cluster/durable_writes.cpp
+++ b/src/cluster/durable_writes.cpp
@@ -64,7 +64,7 @@
 void DurableWrites::apply_outcome(const FinishedJob& finished, std::int64_t wall_ms) {
     Job* job = state_.jobs.find(finished.job);
     if (!job) return;
-    job->end(finished.outcome.status);
+    job->apply_final_status(finished.outcome.status);
     if (finished.outcome.status == model::FinalStatus::cancelled) return;
     spdlog::info("job {} done (term {})", job->id, state_.context.fencing_token);
     const double turnaround_s = static_cast<double>(wall_ms - state_.jobs.waiting_since_ms(*job)) / 1000.0;
@@ -74,7 +74,7 @@
 
 void DurableWrites::remove_if_over(const std::string& id) {
     const Job* job = state_.jobs.find(id);
-    if (!job || !job->is_over() || !job->placements.empty() || job->progress_revision != 0) return;
+    if (!job || !job->is_final() || !job->placements.empty() || job->progress_revision != 0) return;
     state_.segments.add_tombstones(id);
     state_.jobs.remove(id);
 }
--- a/src/cluster/heartbeat_reconciler.cpp
+++ b/src/cluster/heartbeat_reconciler.cpp
@@ -44,8 +44,8 @@
     // A one-way partition: its heartbeats arrive, and the answers do not reach it. Its tasks have ended with
     // its lease; kept, it would report for ever and do nothing.
     if (machine.unacknowledged.is_partitioned() && heartbeat.agent_epoch > machine.agent_epoch &&
-        failures_.commands_reach_most_machines())
-        failures_.release(machine, ReleaseReason::receives_no_commands);
+        failure_detector_.commands_reach_most_machines())
+        failure_detector_.release(machine, ReleaseReason::receives_no_commands);
     machine.type = heartbeat.type, machine.zone = heartbeat.zone;
     machine.spot = heartbeat.spot, machine.address = heartbeat.address;
     machine.agent_epoch = heartbeat.agent_epoch, machine.sequence = heartbeat.sequence;
@@ -64,10 +64,10 @@
     machine.unknown_tasks.clear();
     machine.exited_tasks.clear();
     CommandAcknowledgement acknowledgement;
-    std::vector<PlacedTask> shown;
+    std::vector<PlacedTask> reported;
     for (const auto& task : heartbeat.tasks)
-        if (Job* job = apply_task(machine, task, acknowledgement)) shown.push_back({job, task.task.index});
-    handle_missing_placements(machine, shown, acknowledgement);
+        if (Job* job = apply_task(machine, task, acknowledgement)) reported.push_back({job, task.task.index});
+    handle_missing_placements(machine, reported, acknowledgement);
     acknowledgement.acknowledged |= !machine.sent_forgets.empty() && !acknowledgement.ignored;
     machine.sent_forgets.clear();
     record_acknowledgement(machine, acknowledgement);
@@ -79,10 +79,10 @@
     Job* job = jobs_.find(task.task.job);
     TaskPlacement* placement = nullptr;
     if (job) {
-        const auto at = job->placements.find(task.task.index);
-        if (at != job->placements.end() && at->second.attempt == task.attempt &&
-            at->second.machine == machine.id)
-            placement = &at->second;
+        const auto found = job->placements.find(task.task.index);
+        if (found != job->placements.end() && found->second.attempt == task.attempt &&
+            found->second.machine == machine.id)
+            placement = &found->second;
     }
     if (task.state == TaskState::exited) {
         const bool is_placed_here = placement != nullptr;
@@ -112,31 +112,31 @@
     acknowledgement.ignored |= std::find(machine.sent_forgets.begin(), machine.sent_forgets.end(), forget) !=
                                machine.sent_forgets.end();
     if (is_placed_here)
-        tasks_.handle_exit(*job, task, machine);
+        task_lifecycle_.handle_exit(*job, task, machine);
     else if (job)
-        tasks_.record_completion_elsewhere(*job, task);
+        task_lifecycle_.record_unplaced_completion(*job, task);
     machine.exited_tasks.push_back(
         {task.task, task.attempt, job ? version_of_task(*job, task.task.index) : 0});
 }
 
-void HeartbeatReconciler::handle_missing_placements(Machine& machine, const std::vector<PlacedTask>& shown,
+void HeartbeatReconciler::handle_missing_placements(Machine& machine, const std::vector<PlacedTask>& reported,
                                                     CommandAcknowledgement& acknowledgement) {
     for (const auto& task : std::vector(machine.tasks)) {
-        if (std::find(shown.begin(), shown.end(), task) != shown.end()) continue;
+        if (std::find(reported.begin(), reported.end(), task) != reported.end()) continue;
         TaskPlacement& placement = task.placement();
         switch (placement.presence) {
             case Presence::planned:
                 break;
             case Presence::inherited:
             case Presence::confirmed:
-                tasks_.mark_lost(*task.job, task.index, LossReason::not_on_machine);
+                task_lifecycle_.mark_lost(*task.job, task.index, LossReason::not_on_machine);
                 break;
             case Presence::start_sent:
                 acknowledgement.ignored = true;
-                placement.start_was_dropped();
+                placement.mark_start_dropped();
                 if (placement.is_stopping() || task.job->is_cancelled() ||
                     machine.unacknowledged.heartbeats > 0)
-                    tasks_.mark_lost(*task.job, task.index, LossReason::start_never_arrived);
+                    task_lifecycle_.mark_lost(*task.job, task.index, LossReason::start_never_arrived);
                 break;
         }
     }
--- a/src/cluster/heartbeat_reconciler.hpp
+++ b/src/cluster/heartbeat_reconciler.hpp
@@ -18,13 +18,14 @@
    public:
     // All arguments must outlive this object.
     HeartbeatReconciler(const TermContext& context, JobTable& jobs, MachineTable& machines,
-                        TaskLifecycle& tasks, StopRequests& stop_requests, const FailureDetector& failures)
+                        TaskLifecycle& task_lifecycle, StopRequests& stop_requests,
+                        const FailureDetector& failure_detector)
         : context_(context),
           jobs_(jobs),
           machines_(machines),
-          tasks_(tasks),
+          task_lifecycle_(task_lifecycle),
           stop_requests_(stop_requests),
-          failures_(failures),
+          failure_detector_(failure_detector),
           last_heartbeat_s_(context.started_at_s) {}
 
     // Applies a heartbeat. False: it is stale, or from a machine that was released; it changed nothing.
@@ -48,7 +49,7 @@
     void apply_exit(Machine& machine, Job* job, bool is_placed_here, const model::ReportedTask& task,
                     CommandAcknowledgement& acknowledgement);
     // Placements that a heartbeat under this term's token does not show.
-    void handle_missing_placements(Machine& machine, const std::vector<PlacedTask>& shown,
+    void handle_missing_placements(Machine& machine, const std::vector<PlacedTask>& reported,
                                    CommandAcknowledgement& acknowledgement);
     // What the heartbeat says of the last answer.
     void record_acknowledgement(Machine& machine, const CommandAcknowledgement& acknowledgement);
@@ -58,9 +59,9 @@
     const TermContext& context_;
     JobTable& jobs_;
     MachineTable& machines_;
-    TaskLifecycle& tasks_;
+    TaskLifecycle& task_lifecycle_;
     StopRequests& stop_requests_;
-    const FailureDetector& failures_;
+    const FailureDetector& failure_detector_;
     double last_heartbeat_s_;
 };
 
--- a/src/cluster/job.hpp
+++ b/src/cluster/job.hpp
@@ -17,11 +17,11 @@
 
 // A range of a job's tasks whose state is one entry of a segment. A job that is not sharded has one shard.
 struct ProgressShard {
-    std::string segment;        // that holds its entry; empty: none does
-    std::uint64_t version = 0;  // of the job at the latest change of this shard
-    std::uint64_t durable = 0;  // the latest version that is durable
+    std::string segment;                // that holds its entry; empty: none does
+    std::uint64_t version = 0;          // of the job at the latest change of this shard
+    std::uint64_t durable_version = 0;  // the latest version that is durable
     // Whether something of it is not durable yet.
-    [[nodiscard]] bool is_changed() const { return version > durable; }
+    [[nodiscard]] bool is_changed() const { return version > durable_version; }
 };
 
 // Where tasks of the job failed, and when it may be tried again.
@@ -36,7 +36,7 @@
 //   active -> cancelled_by_dependency -> cancelled, when a job that it depends on was cancelled.
 enum class JobPhase {
     active,                   // its tasks run, or wait to be placed
-    finished,                 // every task is done; final once that is durable
+    completing,               // every task is done; final once that is durable
     cancelled_by_dependency,  // it never starts, and its own final record is to be written
     done,                     // done, durably
     cancelled,                // cancelled, durably; tasks of it may still be on machines
@@ -46,7 +46,7 @@
 struct Job {
     std::optional<model::JobSpec> spec;  // nothing: only the progress of a cancelled job is left
     std::string id;
-    model::Progress record;  // its placements stay empty: they are taken from `placements` when written
+    model::Progress progress;  // its placements stay empty: they are taken from `placements` when written
     Placements placements;
     std::map<std::uint32_t, ProgressShard> shards;
     bool sharded = false;
@@ -58,43 +58,45 @@
     std::uint64_t version = 0;            // of its latest change
     JobPhase phase = JobPhase::active;
     double xfactor_at_start = 1;
-    std::uint64_t latest_attempt = 0;          // of a gang: the attempt of all its placements
-    bool gang_has_run = false;                 // in the present attempt
-    std::set<std::string> gang_left_machines;  // machines that a member of the present attempt has left
+    std::uint64_t latest_attempt = 0;             // of a gang: the attempt of all its placements
+    bool gang_has_run = false;                    // in the present attempt
+    std::set<std::string> gang_vacated_machines;  // machines that a member of the present attempt has left
     FailureHistory failures;
     double waiting_since_s = 0;  // the last time that none of its tasks was placed
 
     // Its final state is durable: nothing of it may start any more.
-    [[nodiscard]] bool is_over() const { return phase == JobPhase::done || phase == JobPhase::cancelled; }
+    [[nodiscard]] bool is_final() const { return phase == JobPhase::done || phase == JobPhase::cancelled; }
     // Its final state is known, and is to be written.
-    [[nodiscard]] bool is_ending() const {
-        return phase == JobPhase::finished || phase == JobPhase::cancelled_by_dependency;
+    [[nodiscard]] bool needs_final_record() const {
+        return phase == JobPhase::completing || phase == JobPhase::cancelled_by_dependency;
     }
     // Every task is done, whether or not that is durable.
-    [[nodiscard]] bool is_finished() const { return phase == JobPhase::finished || phase == JobPhase::done; }
+    [[nodiscard]] bool all_tasks_done() const {
+        return phase == JobPhase::completing || phase == JobPhase::done;
+    }
     // It was cancelled, durably.
     [[nodiscard]] bool is_cancelled() const { return phase == JobPhase::cancelled; }
     // The job is finished if every task is done. Returns whether every task is done.
-    bool finish_if_complete() {
-        if (record.done_count() < spec->task_count) return false;
-        if (phase == JobPhase::active) phase = JobPhase::finished;
+    bool complete_if_all_tasks_done() {
+        if (progress.done_count() < spec->task_count) return false;
+        if (phase == JobPhase::active) phase = JobPhase::completing;
         return true;
     }
     // A new attempt of the gang as a whole: each of its tasks is placed anew.
     void begin_gang_attempt() {
-        latest_attempt = record.next_attempt++;
+        latest_attempt = progress.next_attempt++;
         gang_has_run = false;
-        gang_left_machines.clear();
+        gang_vacated_machines.clear();
     }
     // The last member of the attempt has ended.
     void end_gang_attempt(double now) {
         latest_attempt = 0;
         gang_has_run = false;
-        gang_left_machines.clear();
+        gang_vacated_machines.clear();
         waiting_since_s = now;
     }
     // Its final record was written.
-    void end(model::FinalStatus status) {
+    void apply_final_status(model::FinalStatus status) {
         if (status == model::FinalStatus::cancelled)
             phase = JobPhase::cancelled;
         else if (phase != JobPhase::cancelled)
--- a/src/cluster/job_shards.cpp
+++ b/src/cluster/job_shards.cpp
@@ -13,10 +13,10 @@
 model::TaskSet done_between(const model::TaskSet& done, std::uint32_t first, std::uint32_t end) {
     using Interval = boost::icl::discrete_interval<std::uint32_t>;
     model::TaskSet part;
-    for (auto at = done.lower_bound(Interval::right_open(first, end));
-         at != done.end() && boost::icl::first(*at) < end; ++at)
-        part += Interval::closed(std::max(boost::icl::first(*at), first),
-                                 std::min(boost::icl::last(*at), end - 1));
+    for (auto interval = done.lower_bound(Interval::right_open(first, end));
+         interval != done.end() && boost::icl::first(*interval) < end; ++interval)
+        part += Interval::closed(std::max(boost::icl::first(*interval), first),
+                                 std::min(boost::icl::last(*interval), end - 1));
     return part;
 }
 }  // namespace
@@ -34,7 +34,7 @@
 std::set<std::uint32_t> shards_beyond_first(const Job& job) {
     std::set<std::uint32_t> shards;
     for (const auto& [task, placement] : job.placements) shards.insert(task / c::tasks_per_shard);
-    for (const auto& done : job.record.done) {
+    for (const auto& done : job.progress.done) {
         const auto last = boost::icl::last(done) / c::tasks_per_shard;
         for (auto shard = boost::icl::first(done) / c::tasks_per_shard; shard <= last; ++shard)
             shards.insert(shard);
@@ -44,11 +44,11 @@
 }
 
 model::Progress progress_of_shard(const Job& job, std::uint32_t shard) {
-    model::Progress progress = job.record;
+    model::Progress progress = job.progress;
     if (job.sharded) {
         const auto first = shard * c::tasks_per_shard;
         progress.partial = true;
-        progress.done = done_between(job.record.done, first, first + c::tasks_per_shard);
+        progress.done = done_between(job.progress.done, first, first + c::tasks_per_shard);
     }
     for (const auto& [task, placement] : placements_in_shard(job, shard))
         progress.placements.push_back({task, placement.attempt, placement.machine});
@@ -62,7 +62,7 @@
 
 std::uint64_t durable_version_of_task(const Job& job, std::uint32_t task) {
     const auto shard = job.shards.find(shard_of(job, task));
-    return shard == job.shards.end() ? 0 : shard->second.durable;
+    return shard == job.shards.end() ? 0 : shard->second.durable_version;
 }
 
 bool is_durable(const Job& job, const TaskPlacement& placement) {
--- a/src/cluster/job_table.cpp
+++ b/src/cluster/job_table.cpp
@@ -33,8 +33,8 @@
     job.spec = spec;
     job.mod_revision = mod_revision;
     job.waiting_since_s = now;
-    job.record.task_resources = spec.task_resources;
-    job.record.team = spec.team;
+    job.progress.task_resources = spec.task_resources;
+    job.progress.team = spec.team;
 }
 
 void JobTable::remove(const std::string& id) {
@@ -57,7 +57,7 @@
 }
 
 void JobTable::mark_changed(Job& job, std::uint32_t task) {
-    if (job.spec && !job.sharded && may_shard(*job.spec)) shard(job);
+    if (job.spec && !job.sharded && may_shard(*job.spec)) split_into_shards(job);
     ++job.version;
     job.shards[shard_of(job, task)].version = job.version;
     // The first shard says what counts for the whole job: it is never missing beside another.
@@ -73,15 +73,15 @@
 
 // What stood in one entry gets an entry for each shard. What is durable stays so all the while: the entry of
 // the whole job is replaced last.
-void JobTable::shard(Job& job) {
+void JobTable::split_into_shards(Job& job) {
     job.sharded = true;
-    const ProgressShard whole = job.shards[0];
-    const bool has_entry = !whole.segment.empty() || job.progress_revision != 0;
-    for (const auto number : shards_beyond_first(job)) {
-        ProgressShard& shard = job.shards[number];
-        shard.durable = whole.durable;
+    const ProgressShard unsharded = job.shards[0];
+    const bool has_entry = !unsharded.segment.empty() || job.progress_revision != 0;
+    for (const auto shard_number : shards_beyond_first(job)) {
+        ProgressShard& shard = job.shards[shard_number];
+        shard.durable_version = unsharded.durable_version;
         shard.version = job.version + 1;
-        if (has_entry) job.shards_in_unsharded_entry.insert(number);
+        if (has_entry) job.shards_in_unsharded_entry.insert(shard_number);
     }
     job.shards[0].version = ++job.version;
 }
@@ -89,8 +89,8 @@
 void JobTable::resume_sharding(Job& job) {
     if (!job.sharded || !job.shards.contains(0)) return;
     auto missing = shards_beyond_first(job);
-    std::erase_if(missing, [&](std::uint32_t number) { return job.shards.contains(number); });
-    for (const auto number : missing) mark_changed(job, number * c::tasks_per_shard);
+    std::erase_if(missing, [&](std::uint32_t shard_number) { return job.shards.contains(shard_number); });
+    for (const auto shard_number : missing) mark_changed(job, shard_number * c::tasks_per_shard);
     job.shards_in_unsharded_entry = std::move(missing);
 }
 
@@ -98,13 +98,13 @@
     std::vector<std::string> machines;
     Job* job = find(written.job);
     if (!job) return machines;
-    for (auto& [number, shard] : job->shards) {
-        if (written.shard && *written.shard != number) continue;
-        for (const auto& [task, placement] : placements_in_shard(*job, number))
-            if (placement.version > shard.durable && placement.version <= written.version)
+    for (auto& [shard_number, shard] : job->shards) {
+        if (written.shard && *written.shard != shard_number) continue;
+        for (const auto& [task, placement] : placements_in_shard(*job, shard_number))
+            if (placement.version > shard.durable_version && placement.version <= written.version)
                 machines.push_back(placement.machine);
-        shard.durable = std::max(shard.durable, written.version);
-        job->shards_in_unsharded_entry.erase(number);
+        shard.durable_version = std::max(shard.durable_version, written.version);
+        job->shards_in_unsharded_entry.erase(shard_number);
     }
     const bool still_changed = std::any_of(job->shards.begin(), job->shards.end(),
                                            [](const auto& entry) { return entry.second.is_changed(); });
--- a/src/cluster/job_table.hpp
+++ b/src/cluster/job_table.hpp
@@ -64,7 +64,7 @@
 
    private:
     // The job is written in shards from now on.
-    void shard(Job& job);
+    void split_into_shards(Job& job);
 
     const TermContext& context_;
     PendingChanges& pending_changes_;
--- a/src/cluster/leader_term.hpp
+++ b/src/cluster/leader_term.hpp
@@ -16,15 +16,15 @@
 // A term with its cluster state and its budget of writes.
 struct LeaderTerm {
     // A cluster state without contents; settings and tuning must outlive it.
-    LeaderTerm(std::shared_ptr<leadership::Term> won, const config::Settings& settings,
+    LeaderTerm(std::shared_ptr<leadership::Term> won_term, const config::Settings& settings,
                const config::Tuning& tuning)
-        : term(std::move(won)),
+        : term(std::move(won_term)),
           cluster_state(settings, tuning, term->fencing_token(), term->identity().mod_revision,
                         store::steady_now_s()) {}
 
     const std::shared_ptr<leadership::Term> term;
     ClusterState cluster_state;
-    store::WriteRateLimiter writes;
+    store::WriteRateLimiter write_limiter;
 };
 
 }  // namespace pineroad::cluster
--- a/src/cluster/placement.hpp
+++ b/src/cluster/placement.hpp
@@ -52,10 +52,10 @@
     [[nodiscard]] bool is_saving() const { return stop && stop->grace_s > 0; }
 
     // An answer to its machine carries the start.
-    void start_was_sent() { presence = Presence::start_sent; }
+    void mark_start_sent() { presence = Presence::start_sent; }
     // A heartbeat showed that the answer with the start was dropped. The heartbeat is newer than that answer,
     // so the start cannot be executed any more, and may be given again, here or elsewhere.
-    void start_was_dropped() { presence = Presence::planned; }
+    void mark_start_dropped() { presence = Presence::planned; }
     // A heartbeat under this term's token shows the task. Returns whether it acknowledges a start.
     bool confirm() {
         const bool acknowledges_start = presence == Presence::start_sent;
--- a/src/cluster/planner.cpp
+++ b/src/cluster/planner.cpp
@@ -14,8 +14,8 @@
 namespace c = constants;
 
 void Planner::plan(const DemandByClass& demand) {
-    auto snapshot = snapshots_.build(demand);
-    remember_smallest_request(demand);
+    auto snapshot = snapshot_builder_.build(demand);
+    update_smallest_request(demand);
     place_tasks(snapshot);
     preempt(snapshot);
     if (context_.now_s - last_autoscaling_s_ < c::capacity_period_s) return;
@@ -23,7 +23,7 @@
     autoscale(std::move(snapshot));
 }
 
-void Planner::remember_smallest_request(const DemandByClass& demand) {
+void Planner::update_smallest_request(const DemandByClass& demand) {
     smallest_recent_request_.reset();
     for (const auto& [job_class, recent] : demand) {
         const auto& request = recent.sample.task_resources;
@@ -32,14 +32,14 @@
     }
 }
 
-bool Planner::has_room(const std::string& id, double now) const {
+bool Planner::has_free_capacity(const std::string& id, double now) const {
     const Machine* machine = std::as_const(state_.machines).find(id);
     if (!machine || !state_.machines.is_usable(*machine, now)) return false;
     if (machine->tasks.empty()) return true;
     const auto* type = state_.machines.types().find(machine->type);
     if (!type || !smallest_recent_request_) return false;
     auto free = type->capacity;
-    for (const auto& [job, task] : machine->tasks) free -= job->record.task_resources;
+    for (const auto& [job, task] : machine->tasks) free -= job->progress.task_resources;
     return smallest_recent_request_->fits_in(free);
 }
 
@@ -54,7 +54,7 @@
     Job& job = state_.jobs.at(decision.job);
     const bool is_first = job.placements.empty();
     if (!job.is_gang())
-        job.latest_attempt = job.record.next_attempt++;
+        job.latest_attempt = job.progress.next_attempt++;
     else if (is_first)
         job.begin_gang_attempt();
     if (is_first) job.xfactor_at_start = xfactor;
@@ -66,7 +66,7 @@
     placement.version = job.version;
     spdlog::debug("task {}/{} attempt {} placed on {} (term {})", job.id, placement.index, placement.attempt,
                   placement.machine, context_.fencing_token);
-    state_.tasks.place(job, std::move(placement));
+    state_.task_lifecycle.place(job, std::move(placement));
     Machine& machine = state_.machines.find_or_add(decision.machine);
     machine.idle_since_s = context_.now_s;
     state_.machines.remember_image(machine, *job.spec);
@@ -77,8 +77,8 @@
 void Planner::preempt(const scheduling::Snapshot& snapshot) {
     const double now = context_.now_s;
     const double period_s = context_.tuning.preemption_period_s;
-    const bool has_settled = now - context_.started_at_s > 2 * period_s;
-    if (!has_settled || now - last_preemption_s_ < period_s) return;
+    const bool machines_have_reported = now - context_.started_at_s > 2 * period_s;
+    if (!machines_have_reported || now - last_preemption_s_ < period_s) return;
     last_preemption_s_ = now;
     const auto preemption = scheduling::select_preemption(snapshot);
     if (!preemption) return;
@@ -90,7 +90,7 @@
 }
 
 void Planner::autoscale(scheduling::Snapshot snapshot) {
-    add_capacity_on_its_way(snapshot);
+    add_requested_machines(snapshot);
     const auto autoscaling = scheduling::plan_autoscaling(std::move(snapshot));
     for (const auto& decision : autoscaling.scale_out) state_.provisioning.scale_out(decision);
     if (!autoscaling.scale_out.empty()) state_.pending_changes.request_commit();
@@ -98,7 +98,7 @@
 }
 
 // A request that is not answered yet is capacity on its way.
-void Planner::add_capacity_on_its_way(scheduling::Snapshot& snapshot) const {
+void Planner::add_requested_machines(scheduling::Snapshot& snapshot) const {
     for (const auto& request : state_.provisioning.open_requests()) {
         const auto* type = state_.machines.types().find(request.type);
         for (std::uint32_t number = 0; type && number < request.count; ++number) {
@@ -117,7 +117,7 @@
     Machine& machine = state_.machines.all().at(id);
     const double age_s = context_.now_s - machine.provisioned_at_s;
     if (age_s > 0 && age_s < c::minimum_charge_s) return;
-    state_.failures.release(machine, ReleaseReason::idle);
+    state_.failure_detector.release(machine, ReleaseReason::idle);
 }
 
 }  // namespace pineroad::cluster
--- a/src/cluster/planner.hpp
+++ b/src/cluster/planner.hpp
@@ -20,22 +20,26 @@
 namespace pineroad::cluster {
 
 // The parts of the cluster state that a plan changes.
-struct PlannedState {
+struct PlannerDependencies {
     JobTable& jobs;
     MachineTable& machines;
-    TaskLifecycle& tasks;
+    TaskLifecycle& task_lifecycle;
     StopRequests& stop_requests;
     PendingChanges& pending_changes;
     ProvisioningRequests& provisioning;
-    const FailureDetector& failures;
+    const FailureDetector& failure_detector;
 };
 
 // Plans at the time of the context, and owns the times of the latest preemption and autoscaling rounds.
 class Planner {
    public:
     // Everything given must outlive this object.
-    Planner(const TermContext& context, const PlannedState& state, const SnapshotBuilder& snapshots)
-        : context_(context), state_(state), snapshots_(snapshots), last_preemption_s_(context.started_at_s) {}
+    Planner(const TermContext& context, const PlannerDependencies& state,
+            const SnapshotBuilder& snapshot_builder)
+        : context_(context),
+          state_(state),
+          snapshot_builder_(snapshot_builder),
+          last_preemption_s_(context.started_at_s) {}
 
     // One round: places tasks, and as often as each is due, preempts a gang and scales.
     void plan(const DemandByClass& demand);
@@ -43,11 +47,11 @@
     void autoscale_at_next_plan() { last_autoscaling_s_ = 0; }
     // Whether the machine could take the smallest task of the classes that came lately: the answer to its
     // heartbeat may wait a little for one.
-    [[nodiscard]] bool has_room(const std::string& machine, double now) const;
+    [[nodiscard]] bool has_free_capacity(const std::string& machine, double now) const;
 
    private:
     // The smallest task of the classes that came lately, by CPUs.
-    void remember_smallest_request(const DemandByClass& demand);
+    void update_smallest_request(const DemandByClass& demand);
     // Places pending tasks; updates free capacity and usage in the snapshot.
     void place_tasks(scheduling::Snapshot& snapshot);
     // Applies one placement. The xfactor is that of the job as it waited.
@@ -57,13 +61,13 @@
     // Requests machines and releases idle ones.
     void autoscale(scheduling::Snapshot snapshot);
     // Adds the machines of open provisioning requests to the snapshot.
-    void add_capacity_on_its_way(scheduling::Snapshot& snapshot) const;
+    void add_requested_machines(scheduling::Snapshot& snapshot) const;
     // Releases an idle machine once it is not cheaper to keep it.
     void scale_in(const std::string& machine);
 
     const TermContext& context_;
-    PlannedState state_;
-    const SnapshotBuilder& snapshots_;
+    PlannerDependencies state_;
+    const SnapshotBuilder& snapshot_builder_;
     std::optional<model::Resources> smallest_recent_request_;  // of the classes that came lately, by CPUs
     double last_preemption_s_;
     double last_autoscaling_s_ = 0;
--- a/src/cluster/snapshot_builder.cpp
+++ b/src/cluster/snapshot_builder.cpp
@@ -17,13 +17,13 @@
 std::vector<std::uint32_t> pending_tasks(const Job& job, const std::set<model::TaskId>& unknown_tasks) {
     std::vector<std::uint32_t> pending;
     for (std::uint32_t task = 0; task < job.spec->task_count && pending.size() < c::pending_task_window;) {
-        const auto done = job.record.done.find(task);
-        if (done != job.record.done.end()) {
+        const auto done = job.progress.done.find(task);
+        if (done != job.progress.done.end()) {
             task = boost::icl::last(*done) + 1;
             continue;
         }
-        const bool is_unknown_elsewhere = !unknown_tasks.empty() && unknown_tasks.contains({job.id, task});
-        if (!job.placements.contains(task) && !is_unknown_elsewhere) pending.push_back(task);
+        const bool runs_without_placement = !unknown_tasks.empty() && unknown_tasks.contains({job.id, task});
+        if (!job.placements.contains(task) && !runs_without_placement) pending.push_back(task);
         ++task;
     }
     return pending;
@@ -46,7 +46,7 @@
     add_pools(snapshot);
     const auto unknown = unknown_tasks();
     for (const auto& [id, job] : jobs_.all()) {
-        add_usage(snapshot, job);
+        add_quota_usage(snapshot, job);
         if (jobs_.may_run(job)) add_job(snapshot, job, unknown);
     }
     for (const auto& [id, machine] : machines_.all()) {
@@ -74,12 +74,12 @@
 
 // What the job's placements take of its team's quota. Those of cancelled jobs count until they are proven
 // off.
-void SnapshotBuilder::add_usage(scheduling::Snapshot& snapshot, const Job& job) const {
+void SnapshotBuilder::add_quota_usage(scheduling::Snapshot& snapshot, const Job& job) const {
     if (job.placements.empty()) return;
-    auto& usage = snapshot.usage[job.record.team];
+    auto& usage = snapshot.usage[job.progress.team];
     const auto tasks = static_cast<double>(job.placements.size());
-    usage.cpus += tasks * job.record.task_resources.cpus;
-    usage.gpus += tasks * job.record.task_resources.gpus;
+    usage.cpus += tasks * job.progress.task_resources.cpus;
+    usage.gpus += tasks * job.progress.task_resources.gpus;
 }
 
 void SnapshotBuilder::add_job(scheduling::Snapshot& snapshot, const Job& job,
@@ -111,14 +111,14 @@
     scheduling::PendingJob pending;
     pending.spec = &spec;
     pending.priority = jobs_.dependencies().priority(spec);
-    const double waited_s = std::max(0.0, age_s(job) - job.record.checkpointed_run_s);
+    const double waited_s = std::max(0.0, age_s(job) - job.progress.checkpointed_run_s);
     // Lost time counts as wait for the xfactor, but a gang that ran a moment ago has not been passed over.
-    const bool was_placed_before = job.record.next_attempt > 1;
+    const bool was_placed_before = job.progress.next_attempt > 1;
     pending.waited_s =
         was_placed_before ? std::min(waited_s, context_.now_s - job.waiting_since_s) : waited_s;
     // A job that keeps failing does not climb over others by the time its failures take.
-    const bool only_fails = job.failures.count > 0 && job.record.done.empty();
-    pending.xfactor = only_fails ? 1.0 : scheduling::xfactor(waited_s, spec.estimate_s);
+    const bool never_succeeded = job.failures.count > 0 && job.progress.done.empty();
+    pending.xfactor = never_succeeded ? 1.0 : scheduling::xfactor(waited_s, spec.estimate_s);
     pending.slack_s = slack_s(job);
     pending.expected_s = estimates_.expected_s(spec);
     pending.in_pipeline = jobs_.dependencies().in_pipeline(spec);
@@ -131,7 +131,7 @@
 void SnapshotBuilder::add_pending_tasks(scheduling::PendingJob& pending, const Job& job,
                                         const std::set<model::TaskId>& unknown_tasks) const {
     if (job.is_gang())
-        pending.excluded_machines.insert(job.gang_left_machines.begin(), job.gang_left_machines.end());
+        pending.excluded_machines.insert(job.gang_vacated_machines.begin(), job.gang_vacated_machines.end());
     if (is_aborting(job)) return;
     pending.pending_tasks = pending_tasks(job, unknown_tasks);
     if (!job.sharded && !jobs_.may_shard(*job.spec)) pending.max_placements = free_entry_capacity(job);
@@ -156,7 +156,7 @@
     out.booting = !machine.has_reported() && !machine.is_listed_as(model::MachineStatus::failed);
     out.free = type.capacity;
     for (const auto& [job, task] : machine.tasks) {
-        out.free -= job->record.task_resources;
+        out.free -= job->progress.task_resources;
         if (job->spec) out.classes.insert(job->spec->job_class);
     }
     for (const auto& image : machine.images) out.images.push_back(image.name);
@@ -186,15 +186,15 @@
         else if (objective.kind == config::ObjectiveKind::finish)
             slack = std::min(slack, *objective.within_s - age - expected);
     }
-    const bool unbounded = slack > 1e8;
-    return unbounded ? expected : slack;
+    const bool has_no_limit = slack > 1e8;
+    return has_no_limit ? expected : slack;
 }
 
 // How many more tasks an entry of the whole job can name: it must stay within one value.
 std::uint32_t SnapshotBuilder::free_entry_capacity(const Job& job) const {
     const double bytes = context_.settings.value_kb * 1024 * c::value_fill_ratio - c::record_frame_bytes;
     const double free = bytes / c::record_entry_bytes - static_cast<double>(job.placements.size()) -
-                        static_cast<double>(job.record.done.iterative_size());
+                        static_cast<double>(job.progress.done.iterative_size());
     return static_cast<std::uint32_t>(std::max(0.0, free));
 }
 
--- a/src/cluster/snapshot_builder.hpp
+++ b/src/cluster/snapshot_builder.hpp
@@ -41,7 +41,7 @@
     // Machine pools, and which of them lack capacity.
     void add_pools(scheduling::Snapshot& snapshot) const;
     // What the job's placements take of its team's quota.
-    void add_usage(scheduling::Snapshot& snapshot, const Job& job) const;
+    void add_quota_usage(scheduling::Snapshot& snapshot, const Job& job) const;
     // A job that may run: as pending, running, or both.
     void add_job(scheduling::Snapshot& snapshot, const Job& job,
                  const std::set<model::TaskId>& unknown_tasks) const;
--- a/src/cluster/state_loader.cpp
+++ b/src/cluster/state_loader.cpp
@@ -23,12 +23,12 @@
                                 const store::WatchCache::Progress& progress) {
     Job& job = state_.jobs.find_or_add(name.job);
     const auto& entry = progress.value;
-    job.record.done += entry.done;
-    job.record.next_attempt = std::max(job.record.next_attempt, entry.next_attempt);
+    job.progress.done += entry.done;
+    job.progress.next_attempt = std::max(job.progress.next_attempt, entry.next_attempt);
     if (name.shard == 0) {
-        job.record.checkpointed_run_s = entry.checkpointed_run_s;
-        job.record.task_resources = entry.task_resources;
-        job.record.team = entry.team;
+        job.progress.checkpointed_run_s = entry.checkpointed_run_s;
+        job.progress.task_resources = entry.task_resources;
+        job.progress.team = entry.team;
         const bool has_own_record = progress.segment.empty();
         if (has_own_record) job.progress_revision = progress.mod_revision;
     }
@@ -55,7 +55,7 @@
 void StateLoader::settle(Job& job) {
     if (!job.spec) {
         state_.tasks.cancel_job(job.id);
-    } else if (job.finish_if_complete()) {
+    } else if (job.complete_if_all_tasks_done()) {
         state_.jobs.mark_changed(job);
     } else {
         state_.jobs.resume_sharding(job);
--- a/src/cluster/task_lifecycle.cpp
+++ b/src/cluster/task_lifecycle.cpp
@@ -14,7 +14,7 @@
 using model::ExitCause;
 
 namespace {
-const char* text(ExitCause cause) {
+const char* describe(ExitCause cause) {
     switch (cause) {
         case ExitCause::done:
             return "done";
@@ -38,7 +38,7 @@
     return "no cause given";
 }
 
-const char* text(LossReason reason) {
+const char* describe(LossReason reason) {
     switch (reason) {
         case LossReason::not_on_machine:
             return "no longer on its machine";
@@ -53,14 +53,14 @@
 }
 
 // After so many failures of the job, how long until it is tried again.
-double retry_pause_s(int failures) {
+double retry_backoff_s(int failures) {
     return std::min(c::error_pause_s * std::pow(2.0, std::min(failures - 1, 10)), c::error_pause_max_s);
 }
 }  // namespace
 
 void TaskLifecycle::cancel_job(const std::string& id) {
     Job* job = jobs_.find(id);
-    if (!job || job->is_over()) return;
+    if (!job || job->is_final()) return;
     job->phase = JobPhase::cancelled;
     // Starts not sent yet are never sent: nothing runs under such placements.
     for (auto next = job->placements.begin(); next != job->placements.end();) {
@@ -76,7 +76,7 @@
 
 void TaskLifecycle::cancel_job_by_dependency(const std::string& id) {
     Job* job = jobs_.find(id);
-    if (!job || job->is_over() || job->phase == JobPhase::cancelled_by_dependency) return;
+    if (!job || job->is_final() || job->phase == JobPhase::cancelled_by_dependency) return;
     job->phase = JobPhase::cancelled_by_dependency;
     jobs_.mark_changed(*job);
     spdlog::info("job {} cancelled with a job that it depends on (term {})", id, context_.fencing_token);
@@ -99,7 +99,7 @@
 void TaskLifecycle::handle_exit(Job& job, const model::ReportedTask& task, Machine& machine) {
     const TaskPlacement placement = remove_placement(job, job.placements.find(task.task.index));
     spdlog::debug("task {}/{} attempt {} exited on {}: {}{} (term {})", job.id, placement.index,
-                  placement.attempt, machine.id, text(task.cause), task.saved ? ", saved" : "",
+                  placement.attempt, machine.id, describe(task.cause), task.saved ? ", saved" : "",
                   context_.fencing_token);
     jobs_.mark_changed(job, placement.index);
     if (!job.spec || job.is_cancelled()) return;
@@ -113,48 +113,49 @@
     machine.consecutive_failures = 0;
     machine.failed_jobs.clear();
     // Tasks that resume from a checkpoint tell nothing about the run time of a whole task.
-    if (placement.running_since_s && job.record.checkpointed_run_s <= 0 && job.spec->estimate_s > 0)
+    if (placement.running_since_s && job.progress.checkpointed_run_s <= 0 && job.spec->estimate_s > 0)
         estimates_.record(*job.spec, context_.now_s - *placement.running_since_s);
     // A gang completes together: one done, all done.
     if (job.is_gang())
-        job.record.done += boost::icl::discrete_interval<std::uint32_t>::right_open(0, job.spec->task_count);
+        job.progress.done +=
+            boost::icl::discrete_interval<std::uint32_t>::right_open(0, job.spec->task_count);
     else
-        job.record.done += placement.index;
-    if (job.finish_if_complete()) pending_changes_.request_commit();
+        job.progress.done += placement.index;
+    if (job.complete_if_all_tasks_done()) pending_changes_.request_commit();
 }
 
 void TaskLifecycle::handle_failure(Job& job, const TaskPlacement& placement, const model::ReportedTask& task,
                                    Machine& machine) {
     const double now = context_.now_s;
     if (task.cause == ExitCause::stopped && task.saved && placement.running_since_s)
-        job.record.checkpointed_run_s += now - *placement.running_since_s;
+        job.progress.checkpointed_run_s += now - *placement.running_since_s;
     if (task.cause == ExitCause::error) record_failure(job, machine);
     if (task.cause == ExitCause::insufficient_resources || task.cause == ExitCause::already_running ||
         task.cause == ExitCause::unknown_task)
         job.failures.retry_at_s = std::max(job.failures.retry_at_s, now + 1);
-    job.gang_left_machines.insert(machine.id);
-    continue_after_loss(job);
+    job.gang_vacated_machines.insert(machine.id);
+    update_gang_after_loss(job);
 }
 
-void TaskLifecycle::record_completion_elsewhere(Job& job, const model::ReportedTask& task) {
-    if (!job.spec || job.is_cancelled() || job.is_finished() || task.cause != ExitCause::done ||
-        boost::icl::contains(job.record.done, task.task.index))
+void TaskLifecycle::record_unplaced_completion(Job& job, const model::ReportedTask& task) {
+    if (!job.spec || job.is_cancelled() || job.all_tasks_done() || task.cause != ExitCause::done ||
+        boost::icl::contains(job.progress.done, task.task.index))
         return;
-    job.record.done += task.task.index;
-    job.finish_if_complete();
+    job.progress.done += task.task.index;
+    job.complete_if_all_tasks_done();
     jobs_.mark_changed(job, task.task.index);
 }
 
 void TaskLifecycle::mark_lost(Job& job, std::uint32_t task, LossReason reason) {
     const TaskPlacement placement = remove_placement(job, job.placements.find(task));
     spdlog::info("task {}/{} attempt {} on {} lost: {} (term {})", job.id, placement.index, placement.attempt,
-                 placement.machine, text(reason), context_.fencing_token);
-    job.gang_left_machines.insert(placement.machine);
+                 placement.machine, describe(reason), context_.fencing_token);
+    job.gang_vacated_machines.insert(placement.machine);
     jobs_.mark_changed(job, placement.index);
-    continue_after_loss(job);
+    update_gang_after_loss(job);
 }
 
-void TaskLifecycle::continue_after_loss(Job& job) {
+void TaskLifecycle::update_gang_after_loss(Job& job) {
     if (!job.is_gang()) return;
     if (job.placements.empty()) {
         job.end_gang_attempt(context_.now_s);
@@ -172,19 +173,19 @@
 void TaskLifecycle::record_failure(Job& job, Machine& machine) {
     ++job.failures.count;
     job.failures.machines.insert(machine.id);
-    const bool job_at_fault = job.record.done.empty() &&
+    const bool job_at_fault = job.progress.done.empty() &&
                               static_cast<int>(job.failures.machines.size()) >= c::max_job_error_machines;
     if (job_at_fault) {
-        job.failures.retry_at_s = context_.now_s + retry_pause_s(job.failures.count);
+        job.failures.retry_at_s = context_.now_s + retry_backoff_s(job.failures.count);
         machines_.forget_failures_of(job.id);
         return;
     }
     ++machine.consecutive_failures;
     machine.failed_jobs.insert(job.id);
     const bool several_jobs_failed = static_cast<int>(machine.failed_jobs.size()) >= c::max_machine_errors;
-    const bool a_good_job_failed =
-        machine.consecutive_failures >= c::max_machine_errors && !job.record.done.empty();
-    if (several_jobs_failed || a_good_job_failed) quarantine(machine);
+    const bool progressing_job_failed =
+        machine.consecutive_failures >= c::max_machine_errors && !job.progress.done.empty();
+    if (several_jobs_failed || progressing_job_failed) quarantine(machine);
 }
 
 // Everything on a faulty machine goes elsewhere, and the machine is released.
--- a/src/cluster/task_lifecycle.hpp
+++ b/src/cluster/task_lifecycle.hpp
@@ -51,7 +51,7 @@
     // It is proven that the task is not on its machine, and not how it ended.
     void mark_lost(Job& job, std::uint32_t task, LossReason reason);
     // A task was done under a placement that was withdrawn meanwhile: its result is kept, so it counts.
-    void record_completion_elsewhere(Job& job, const model::ReportedTask& task);
+    void record_unplaced_completion(Job& job, const model::ReportedTask& task);
 
    private:
     // Removes the placement from both tables.
@@ -62,7 +62,7 @@
     void handle_failure(Job& job, const TaskPlacement& placement, const model::ReportedTask& task,
                         Machine& machine);
     // What the loss of one task means for the rest of its job.
-    void continue_after_loss(Job& job);
+    void update_gang_after_loss(Job& job);
     // The task ended in an error: the fault is that of the machine or of the job.
     void record_failure(Job& job, Machine& machine);
     // Stops everything on a faulty machine; it gets nothing new and is released.
--- a/src/cluster/write_batch_builder.cpp
+++ b/src/cluster/write_batch_builder.cpp
@@ -119,7 +119,7 @@
     const auto placements = goes_first ? PlacementRange{job.placements.begin(), job.placements.end()}
                                        : placements_in_shard(job, number);
     return std::any_of(placements.begin(), placements.end(),
-                       [&](const auto& entry) { return entry.second.version > shard.durable; });
+                       [&](const auto& entry) { return entry.second.version > shard.durable_version; });
 }
 
 // The shards that starts wait for, or the others. False: not all of them fit.
@@ -216,14 +216,14 @@
 
 // What is left to be written of a job that is done or over. False: it does not fit.
 bool WriteBatchBuilder::add_finished_job(Job& job) {
-    if (job.is_ending()) {
+    if (job.needs_final_record()) {
         const auto status =
-            job.phase == JobPhase::finished ? model::FinalStatus::done : model::FinalStatus::cancelled;
+            job.phase == JobPhase::completing ? model::FinalStatus::done : model::FinalStatus::cancelled;
         if (!add_outcome(job, status)) {
             state_.pending_changes.request_commit();
             return false;
         }
-    } else if (!job.is_over() || !job.placements.empty()) {
+    } else if (!job.is_final() || !job.placements.empty()) {
         return true;  // written in a segment, or nothing to say until the last task has ended
     }
     if (job.placements.empty()) {
--- a/src/controller/commit_loop.cpp
+++ b/src/controller/commit_loop.cpp
@@ -33,9 +33,9 @@
 net::awaitable<void> CommitLoop::run(std::shared_ptr<cluster::LeaderTerm> leader) {
     auto& term = *leader->term;
     auto& cluster_state = leader->cluster_state;
-    leader->writes.start(settings_.store_writes_per_s, steady_now_s());
+    leader->write_limiter.start(settings_.store_writes_per_s, steady_now_s());
     while (!term.over()) {
-        const double wait_s = leader->writes.delay_s(c::target_batch_changes, steady_now_s());
+        const double wait_s = leader->write_limiter.delay_s(c::target_batch_changes, steady_now_s());
         if (wait_s > 0) {
             co_await sleep_for(wait_s + wait_margin_s);
             continue;
@@ -45,9 +45,10 @@
             continue;
         }
         // No more at once than the budget holds: a debt would make the next starts wait.
-        const auto batch = cluster_state.write_due()
-                               ? cluster_state.next_write_batch(leader->writes.available(steady_now_s()))
-                               : std::nullopt;
+        const auto batch =
+            cluster_state.write_due()
+                ? cluster_state.next_write_batch(leader->write_limiter.available(steady_now_s()))
+                : std::nullopt;
         if (!batch) {
             co_await term.commit_due.wait(longest_idle_wait_s);
             continue;
@@ -68,7 +69,7 @@
     bool uncertain = false;  // an earlier copy may have been applied
     while (!leader->term->over()) {
         const auto result = co_await store_.commit(body, c::commit_timeout_s);
-        leader->writes.record_writes(batch.txn.changes.size());
+        leader->write_limiter.record_writes(batch.txn.changes.size());
         if (leader->term->over()) break;
         if (result.status == CommitStatus::unanswered) uncertain = true;
         if (co_await settle(*leader, batch, result, uncertain) == Settlement::settled) break;
@@ -92,7 +93,7 @@
             handle_malformed(leader, result.body, uncertain);
             co_return Settlement::settled;
         case CommitStatus::rate_limited:
-            leader.writes.refused();
+            leader.write_limiter.refused();
             co_return Settlement::retry;
         case CommitStatus::unavailable:
         case CommitStatus::unanswered:  // the same again: at most one copy can be applied
@@ -150,7 +151,8 @@
 // than was announced.
 void CommitLoop::handle_malformed(cluster::LeaderTerm& leader, const std::string& answer, bool uncertain) {
     spdlog::error("a commit was refused as malformed: {}", answer);
-    if (uncertain || !leader.cluster_state.reject_write_batch()) leader.term->end(EndReason::commit_refused);
+    if (uncertain || !leader.cluster_state.record_write_rejection())
+        leader.term->end(EndReason::commit_refused);
 }
 
 // Jobs that ended are known here at once, not only by the watch: others may wait for them.
--- a/src/controller/format_loop.cpp
+++ b/src/controller/format_loop.cpp
@@ -24,9 +24,9 @@
 
 // A process that was replaced never comes back as the earlier version, so the list only grows.
 net::awaitable<void> FormatLoop::run(std::shared_ptr<cluster::LeaderTerm> leader) {
-    if (!record_format_.reads_present_format()) co_return;
+    if (!record_format_.reads_current_format()) co_return;
     const auto& term = *leader->term;
-    while (!term.over() && !record_format_.agreed()) {
+    while (!term.over() && !record_format_.all_controllers_read_format()) {
         auto readers = record_format_.readers();
         if (term.may_start() && readers != watch_cache_.format.value)
             co_await record(term, std::move(readers));
--- a/src/controller/leader_loops.cpp
+++ b/src/controller/leader_loops.cpp
@@ -53,14 +53,14 @@
     auto& watch_cache = dependencies_.watch_cache;
     watch_cache.on_job = [&leader](const model::JobSpec& spec, std::uint64_t mod_revision) {
         leader.cluster_state.job_added(spec, mod_revision, steady_now_s());
-        leader.writes.record_writes_of_others(1);
+        leader.write_limiter.record_writes_of_others(1);
         leader.term->plan_due.notify();
     };
     watch_cache.on_cancelled = [&leader](const std::string& id, bool fresh) {
         // A job that this term itself ended has left the cluster state.
         const bool by_user = leader.cluster_state.jobs().contains(id);
         leader.cluster_state.job_cancelled(id, steady_now_s());
-        if (fresh && by_user) leader.writes.record_writes_of_others(2);
+        if (fresh && by_user) leader.write_limiter.record_writes_of_others(2);
         leader.term->plan_due.notify();
     };
     watch_cache.on_dependencies = [&leader](const model::DependencyGraph::Change& change) {
--- a/src/controller/planning_loop.cpp
+++ b/src/controller/planning_loop.cpp
@@ -35,7 +35,7 @@
                         bool& lease_was_provable) {
     auto& term = *leader.term;
     auto& cluster_state = leader.cluster_state;
-    if (record_format_.agreed()) cluster_state.allow_sharding();
+    if (record_format_.all_controllers_read_format()) cluster_state.allow_sharding();
     if (term.may_start()) {
         // Without the lease this leader may have been cut off: that a machine was silent meanwhile says
         // nothing of the machine.
--- a/src/peers/peer_directory.cpp
+++ b/src/peers/peer_directory.cpp
@@ -20,7 +20,7 @@
 constexpr std::uint64_t heartbeat_fresh_ms = 4000;
 
 leadership::PeerStoreContact store_contact(const PeerContact& peer) {
-    return {peer.contacted_at, static_cast<double>(peer.last.store_contact_age_ms) / 1000.0};
+    return {peer.contacted_at, static_cast<double>(peer.last_response.store_contact_age_ms) / 1000.0};
 }
 
 }  // namespace
@@ -41,20 +41,20 @@
     contacts_[*index].reads_format |= message.format >= records::format;
 }
 
-void PeerDirectory::record_response(std::size_t index, double sent, wire::PeerMessage answer) {
+void PeerDirectory::record_response(std::size_t index, double sent_at, wire::PeerMessage response) {
     PeerContact& contact = contacts_[index];
-    contact.contacted_at = sent;
-    contact.answered_at = steady_now_s();
-    contact.reads_format |= answer.format >= records::format;
-    contact.last = std::move(answer);
+    contact.contacted_at = sent_at;
+    contact.last_response_at = steady_now_s();
+    contact.reads_format |= response.format >= records::format;
+    contact.last_response = std::move(response);
 }
 
 std::vector<leadership::PeerConfirmation> PeerDirectory::confirmations() const {
     std::vector<leadership::PeerConfirmation> confirmations;
     for (const auto& peer : contacts_)
-        confirmations.push_back({peer.contacted_at, peer.answered_at,
-                                 static_cast<double>(peer.last.uptime_ms) / 1000.0,
-                                 peer.last.confirms_cancellations});
+        confirmations.push_back({peer.contacted_at, peer.last_response_at,
+                                 static_cast<double>(peer.last_response.uptime_ms) / 1000.0,
+                                 peer.last_response.confirms_cancellations});
     return confirmations;
 }
 
@@ -73,10 +73,11 @@
 }
 
 bool PeerDirectory::heartbeats_reach_peer() const {
-    const double fresh = steady_now_s() - c::peer_contact_fresh_s;
+    const double oldest_fresh_contact = steady_now_s() - c::peer_contact_fresh_s;
     return std::any_of(contacts_.begin(), contacts_.end(), [&](const PeerContact& peer) {
-        return peer.contacted_at > fresh && peer.last.heartbeat_age_ms < heartbeat_fresh_ms &&
-               peer.last.uptime_ms > heartbeat_fresh_ms;
+        return peer.contacted_at > oldest_fresh_contact &&
+               peer.last_response.heartbeat_age_ms < heartbeat_fresh_ms &&
+               peer.last_response.uptime_ms > heartbeat_fresh_ms;
     });
 }
 
--- a/src/peers/peer_directory.hpp
+++ b/src/peers/peer_directory.hpp
@@ -16,11 +16,11 @@
 
 // One peer. Times are in seconds on the steady clock; -1: never.
 struct PeerContact {
-    double contacted_at = -1;     // when the message was sent that its last answer belongs to
-    double answered_at = -1;      // when that answer came
-    double last_request_at = -1;  // when its last message came
-    bool reads_format = false;    // it was seen to read the present record format
-    wire::PeerMessage last;       // its last answer
+    double contacted_at = -1;         // when the message was sent that its last answer belongs to
+    double last_response_at = -1;     // when that answer came
+    double last_request_at = -1;      // when its last message came
+    bool reads_format = false;        // it was seen to read the present record format
+    wire::PeerMessage last_response;  // its last answer
 
     // Whether it has neither answered nor sent anything since then.
     [[nodiscard]] bool silent_since(double time) const {
@@ -45,8 +45,8 @@
 
     // A message came from a peer.
     void record_request(const wire::PeerMessage& message);
-    // A peer answered a message that was sent at `sent`.
-    void record_response(std::size_t index, double sent, wire::PeerMessage answer);
+    // A peer answered a message that was sent at `sent_at`.
+    void record_response(std::size_t index, double sent_at, wire::PeerMessage response);
 
     // The latest answers, as the lease guard weighs them.
     [[nodiscard]] std::vector<leadership::PeerConfirmation> confirmations() const;
--- a/src/peers/peer_exchange.cpp
+++ b/src/peers/peer_exchange.cpp
@@ -58,25 +58,25 @@
     // It may have been delayed on the way: only what can't become untrue is taken from it.
     leadership_.observe(message->fencing_token, message->leader);
     record_cancellations(*message);
-    if (message->dependencies_requested) record_format_.request_dependencies();
+    if (message->dependencies_requested) record_format_.record_dependency_request();
     directory_.record_request(*message);
-    auto answer = own_message();
+    auto response = own_message();
     if (auto known = watch_cache_.cancellations().after(message->revision)) {
-        answer.confirms_cancellations = true;
-        answer.cancelled = std::move(*known);
+        response.confirms_cancellations = true;
+        response.cancelled = std::move(*known);
     }
-    co_return Reply{200, wire::encode_peer_message(answer)};
+    co_return Reply{200, wire::encode_peer_message(response)};
 }
 
 net::awaitable<void> PeerExchange::run(std::size_t peer) {
     for (;;) {
-        const double sent = steady_now_s();
+        const double sent_at = steady_now_s();
         const auto reply = co_await clients_[peer]->request("POST", std::string(wire::peer_message_path),
                                                             wire::encode_peer_message(own_message()),
                                                             c::peer_message_timeout_s);
         if (reply && reply->status == 200)
-            if (auto answer = wire::parse_peer_message(reply->body))
-                apply_response(peer, sent, std::move(*answer));
+            if (auto response = wire::parse_peer_message(reply->body))
+                apply_response(peer, sent_at, std::move(*response));
         co_await net::sleep_for(c::peer_message_period_s);
     }
 }
@@ -102,11 +102,11 @@
 
 // The cancellations that a peer names are recorded here, and so passed on, before its answer counts as a
 // proof.
-void PeerExchange::apply_response(std::size_t peer, double sent, wire::PeerMessage answer) {
-    leadership_.observe(answer.fencing_token, answer.leader);
-    record_cancellations(answer);
-    if (answer.dependencies_requested) record_format_.request_dependencies();
-    directory_.record_response(peer, sent, std::move(answer));
+void PeerExchange::apply_response(std::size_t peer, double sent_at, wire::PeerMessage response) {
+    leadership_.observe(response.fencing_token, response.leader);
+    record_cancellations(response);
+    if (response.dependencies_requested) record_format_.record_dependency_request();
+    directory_.record_response(peer, sent_at, std::move(response));
     lease_guard_.confirm_by_peers(directory_.confirmations());
 }
 
--- a/src/peers/peer_exchange.hpp
+++ b/src/peers/peer_exchange.hpp
@@ -51,8 +51,8 @@
     [[nodiscard]] wire::PeerMessage own_message() const;
     // Cancellations that the message names are known here from now on.
     void record_cancellations(const wire::PeerMessage& message);
-    // A peer answered a message that was sent at `sent`.
-    void apply_response(std::size_t peer, double sent, wire::PeerMessage answer);
+    // A peer answered a message that was sent at `sent_at`.
+    void apply_response(std::size_t peer, double sent_at, wire::PeerMessage response);
 
     const std::string name_;
     const double started_at_;
--- a/src/peers/record_format.cpp
+++ b/src/peers/record_format.cpp
@@ -16,15 +16,15 @@
       own_format_(own_format),
       started_at_(started_at) {}
 
-bool RecordFormat::reads_present_format() const {
+bool RecordFormat::reads_current_format() const {
     return own_format_ >= wire::records::format;
 }
 
-bool RecordFormat::agreed() const {
-    const auto& recorded = watch_cache_.format.value;
-    return reads_present_format() && recorded.contains(settings_.name) &&
+bool RecordFormat::all_controllers_read_format() const {
+    const auto& recorded_readers = watch_cache_.format.value;
+    return reads_current_format() && recorded_readers.contains(settings_.name) &&
            std::all_of(settings_.peers.begin(), settings_.peers.end(),
-                       [&](const config::Peer& peer) { return recorded.contains(peer.name); });
+                       [&](const config::Peer& peer) { return recorded_readers.contains(peer.name); });
 }
 
 // Beyond those recorded: this controller, peers that said so, and, once a user has asked for a job with
@@ -33,10 +33,10 @@
 std::set<std::string> RecordFormat::readers() const {
     auto readers = watch_cache_.format.value;
     readers.insert(settings_.name);
-    const double before = store::steady_now_s() - constants::format_silence_s;
+    const double silent_before = store::steady_now_s() - constants::format_silence_s;
     for (std::size_t i = 0; i < directory_.size(); ++i) {
         const auto& contact = directory_.contact(i);
-        const bool silent = contact.silent_since(before) && started_at_ < before;
+        const bool silent = contact.silent_since(silent_before) && started_at_ < silent_before;
         if (contact.reads_format || (dependencies_requested_ && silent))
             readers.insert(directory_.peer(i).name);
     }
--- a/src/peers/record_format.hpp
+++ b/src/peers/record_format.hpp
@@ -22,14 +22,14 @@
     // The latest format that this process reads.
     [[nodiscard]] std::uint64_t own_format() const { return own_format_; }
     // Whether this process reads the present format.
-    [[nodiscard]] bool reads_present_format() const;
+    [[nodiscard]] bool reads_current_format() const;
     // Whether every controller of the settings is recorded as a reader of the present format.
-    [[nodiscard]] bool agreed() const;
+    [[nodiscard]] bool all_controllers_read_format() const;
     // The controllers that are known to read it: those recorded in the store, and those known besides.
     [[nodiscard]] std::set<std::string> readers() const;
 
     // A user asked for a job with dependencies, here or at a peer.
-    void request_dependencies() { dependencies_requested_ = true; }
+    void record_dependency_request() { dependencies_requested_ = true; }
     // Whether any user did.
     [[nodiscard]] bool dependencies_requested() const { return dependencies_requested_; }
 
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -47,7 +47,7 @@
     simulator.begin_term();
     simulator.synchronize_worker("m-1");
     simulator.plan();
-    EXPECT_TRUE(simulator.leader_state().jobs().at("j-1").is_finished());
+    EXPECT_TRUE(simulator.leader_state().jobs().at("j-1").all_tasks_done());
     EXPECT_EQ(simulator.leader_state().jobs().at("j-2").placements.size(), 0U);
     simulator.commit_all();
     simulator.plan_and_commit("m-1");
--- a/tests/heartbeat_test.cpp
+++ b/tests/heartbeat_test.cpp
@@ -115,15 +115,15 @@
     StartedLeader simulator("answers_wait_for_room", {"m-1"});
     simulator.submit(array_job("j-1", 1));
     simulator.plan_and_commit("m-1");
-    EXPECT_FALSE(
-        simulator.leader_state().has_room("m-1", simulator.now));  // nothing came lately that would fit
+    EXPECT_FALSE(simulator.leader_state().has_free_capacity(
+        "m-1", simulator.now));  // nothing came lately that would fit
     scheduling::ClassDemand demand;
     demand.sample = array_job("j-2", 1);
     simulator.leader_state().plan(simulator.now, simulator.wall_ms(), {{"small", demand}});
-    EXPECT_TRUE(simulator.leader_state().has_room("m-1", simulator.now));
+    EXPECT_TRUE(simulator.leader_state().has_free_capacity("m-1", simulator.now));
     demand.sample.task_resources.cpus = 31;
     simulator.leader_state().plan(simulator.now, simulator.wall_ms(), {{"large", demand}});
-    EXPECT_FALSE(simulator.leader_state().has_room("m-1", simulator.now));
+    EXPECT_FALSE(simulator.leader_state().has_free_capacity("m-1", simulator.now));
 }
 
 }  // namespace
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -64,7 +64,7 @@
     StoreOfVersion04 simulator("upgrade_records");
     simulator.begin_term();
     const auto& wide = simulator.leader_state().jobs().at("j-000001");
-    EXPECT_EQ(wide.record.done_count(), 20U);
+    EXPECT_EQ(wide.progress.done_count(), 20U);
     EXPECT_EQ(wide.placements.size(), 197U);
     EXPECT_FALSE(wide.sharded);
     EXPECT_EQ(simulator.leader_state().jobs().at("j-000002").placements.size(), 0U);  // found no room
@@ -102,7 +102,7 @@
     for (const auto& [index, machine] : after) EXPECT_NE(machine, gone);
     simulator.begin_term();
     EXPECT_TRUE(simulator.leader_state().jobs().at("j-000001").sharded);
-    EXPECT_EQ(simulator.leader_state().jobs().at("j-000001").record.done_count(), 20U);
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-000001").progress.done_count(), 20U);
     EXPECT_EQ(simulator.leader_state().jobs().at("j-000001").placements.size(), after.size());
 }
 
@@ -127,7 +127,7 @@
         }
     }
     EXPECT_TRUE(whole);
-    EXPECT_TRUE(simulator.leader_state().reject_write_batch());
+    EXPECT_TRUE(simulator.leader_state().record_write_rejection());
     while (const auto batch = simulator.next_write_batch()) ASSERT_TRUE(simulator.apply_batch(*batch));
     simulator.leader_state().allow_sharding();
     simulator.leader_state().machines_released({simulator.placements_read("j-000001").begin()->second},
