--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -1,18 +1,18 @@
-// The leader's in-memory cluster state of one term: what is wanted, what was observed, and what of it is
-// durable. No I/O and no clock: heartbeats, events, commits and answers of the cloud come in with a time;
-// commands, transactions and calls come out.
+// The leader's in-memory cluster state for one term: desired state, observed state, and which of it is
+// durable. It does no I/O and reads no clock: heartbeats, events, commits and cloud responses are passed in
+// with a time; commands, transactions and requests are returned.
 //
-// Each part owns its own fields; this facade gives them the time and delegates:
+// Each component owns its fields; this facade passes on the time and delegates:
 //
-//   JobTable, MachineTable     jobs with their placements; machines, their types and those released
-//   TaskLifecycle              placed, exited, lost: the one way by which placements change
-//   HeartbeatReconciler        heartbeats
+//   JobTable, MachineTable     jobs with their placements; machines, machine types and released machines
+//   TaskLifecycle              the only component that changes placements: task placed, exited, lost
+//   HeartbeatReconciler        applies heartbeats
 //   CommandDelivery            commands to workers, with StopRequests
-//   FailureDetector            which machines are given up
-//   MachineLifecycle           the cloud's answers about machines, with ProvisioningRequests
+//   FailureDetector            decides which machines are lost
+//   MachineLifecycle           cloud responses about machines, with ProvisioningRequests
 //   DurableWrites              batches and commits, with SegmentStore, PendingChanges and WriteBatchBuilder
-//   StateLoader                the records of earlier terms
-//   Planner, SnapshotBuilder   the scheduler's decisions, with RunTimeEstimates and SlowdownAverages
+//   StateLoader                loads the records of earlier terms
+//   Planner, SnapshotBuilder   apply scheduling decisions, with RunTimeEstimates and SlowdownAverages
 #pragma once
 
 #include <cstdint>
@@ -43,99 +43,99 @@
 
 namespace pineroad::cluster {
 
-// The cluster state of one term. Times are seconds of the process's steady clock; times of day are in
-// milliseconds and say so.
+// The cluster state of one term. Times are seconds on the process's steady clock; times of day are in
+// milliseconds and named so.
 class ClusterState {
    public:
-    // Of the term with this fencing token, whose leadership key has this mod revision. The settings and
-    // tuning must outlive the state.
+    // Creates the state of the term with this fencing token; `leader_revision` is the mod revision of its
+    // leadership key. The settings and tuning must outlive the state.
     ClusterState(const config::Settings& settings, const config::Tuning& tuning, std::uint64_t fencing_token,
                  std::uint64_t leader_revision, double now);
 
-    // --- failover ---
-    // Takes over the records, to which no earlier term can add any more. The watch cache must outlive the
-    // state: it holds the dependencies between jobs.
+    // --- failover --- Loads the records; no earlier term can add to them any more. The watch cache must
+    // outlive the state, since it holds the dependencies between jobs.
     void load(const store::WatchCache& watch_cache, double now, std::int64_t wall_ms = 0);
 
     // --- events of the store ---
-    // A job was accepted; its record has this mod revision.
+    // Adds an accepted job; its record has this mod revision.
     void job_added(const model::JobSpec& spec, std::uint64_t mod_revision, double now);
-    // A job was cancelled by its user.
+    // Records that a user cancelled the job.
     void job_cancelled(const std::string& id, double now);
-    // A job that this one depends on was cancelled: this one has no tasks, and its own final record is to be
-    // written.
+    // Records that a job that this one depends on was cancelled. This job has no tasks, and its own final
+    // record must be written.
     void job_cancelled_by_dependency(const std::string& id, double now);
-    // Large jobs may be written in shards: every controller reads that format.
+    // Allows large jobs to be written in shards, once every controller reads that format.
     void allow_sharding();
 
     // --- workers ---
-    // Applies a heartbeat. False: it is stale, or from a released machine; it changed nothing.
+    // Applies a heartbeat. Returns false without changing anything if it is stale or from a released machine.
     bool apply_heartbeat(const model::Heartbeat& heartbeat, double now);
-    // Whether every start for the machine is durable already.
+    // Returns whether every start for the machine is durable.
     [[nodiscard]] bool placements_durable(const std::string& machine) const;
-    // Whether the machine could take the smallest task that came lately: the answer to its heartbeat may wait
-    // a little for one.
+    // Returns whether the machine could run the smallest recently submitted task. If so, the response to its
+    // heartbeat may be held briefly for a placement.
     [[nodiscard]] bool has_free_capacity(const std::string& machine, double now) const;
-    // Whether the machine can be sent a command that it does not have yet: a durable start, or a stop.
+    // Returns whether there is a command to send to the machine: a durable start, or a stop.
     [[nodiscard]] bool has_pending_commands(const std::string& machine) const;
-    // The commands of an answer to the machine's latest heartbeat; starts only if the leader may start tasks.
+    // Returns the commands for the response to the machine's latest heartbeat; includes starts only if
+    // `may_start`, that is, if the leader may start tasks.
     std::vector<model::Command> commands_for(const std::string& machine, bool may_start, double now);
-    // Stops that are to be sent at once, by machine.
+    // Removes and returns the stops to be sent immediately, grouped by machine.
     std::vector<DirectCommands> take_direct_commands();
 
     // --- planning ---
     // Releases lost machines and withdraws starts that were not sent to them.
     void detect_failures(double now);
-    // No heartbeat could arrive before: silence counts from here.
+    // Restarts the silence timers of all machines, since no heartbeat could arrive before `now`.
     void restart_silence_timers(double now);
-    // Places tasks, preempts and scales, with what the classes of jobs demand.
+    // Places tasks, preempts jobs and scales the cluster, given the demand of each job class.
     void plan(double now, std::int64_t wall_ms, const DemandByClass& demand);
 
-    // --- durable writes ---
-    // The next batch of at most so many changes, the more urgent first; nothing if nothing is to be written.
+    // --- durable writes --- Returns the next batch of at most `changes` changes, the most urgent first, or
+    // nothing if nothing must be written.
     std::optional<WriteBatch> next_write_batch(std::size_t changes = SIZE_MAX);
-    // The batch was committed at this revision.
+    // Records that the batch was committed at this revision.
     void apply_commit(const WriteBatch& batch, std::uint64_t revision, double now, std::int64_t wall_ms);
-    // Whether a batch is to be written now.
+    // Returns whether a batch must be written now.
     [[nodiscard]] bool write_due() const;
-    // The store rejected a batch as malformed: its limits are lower than announced. What follows is smaller.
-    // False: that has not helped so far.
+    // Records that the store rejected a batch as malformed, because its limits are lower than announced. The
+    // next batches are smaller. Returns false if smaller batches were rejected too often.
     bool record_write_rejection();
-    // Machines with starts that became durable since the last call.
+    // Returns the machines with starts that became durable since the last call.
     std::vector<std::string> take_machines_with_durable_starts();
 
     // --- cloud ---
-    // The cloud's machine types. Returns whether they are to be written.
+    // Sets the cloud's machine types. Returns whether they must be written.
     bool set_machine_types(const std::vector<model::MachineType>& types);
-    // Whether a provisioning request is durable and not under way.
+    // Returns whether a provisioning request is durable and not yet sent.
     [[nodiscard]] bool has_provisioning_request() const { return provisioning_requests_.has_next(); }
-    // The next provisioning request to be sent; it counts as under way from here.
+    // Returns the next provisioning request to send and marks it as in flight.
     std::optional<model::ProvisioningRequest> next_provisioning_request() {
         return provisioning_requests_.next();
     }
-    // The cloud provisioned these machines for the request of this name.
+    // Records that the cloud provisioned these machines for the request of this name.
     void machines_provisioned(const std::string& name, const std::vector<std::string>& machines, double now);
-    // The cloud had no capacity for the request of this name.
+    // Records that the cloud had no capacity for the request of this name.
     void provisioning_refused(const std::string& name, double now);
-    // No answer came to the request of this name: it is sent again.
+    // Records that no response came to the request of this name, so that it is sent again.
     void provisioning_unanswered(const std::string& name) {
         provisioning_requests_.record_missing_answer(name);
     }
-    // Machines to be released next, as many as one request may name.
+    // Returns the machines to release next, at most as many as one request may name.
     [[nodiscard]] std::vector<std::string> machines_to_release(double now) const;
-    // The release of the machines was answered: nothing runs there any more.
+    // Records that the cloud confirmed the release of the machines: no task runs there any more.
     void machines_released(const std::vector<std::string>& machines, double now);
-    // The cloud's list of machines.
+    // Applies the cloud's list of machines.
     void apply_machine_list(const std::vector<model::ListedMachine>& machines, double now);
 
     // --- queries ---
-    // The term's fencing token.
+    // Returns the term's fencing token.
     [[nodiscard]] std::uint64_t fencing_token() const { return context_.fencing_token; }
-    // All jobs, by name.
+    // Returns all jobs by name.
     [[nodiscard]] const std::map<std::string, Job>& jobs() const { return jobs_.all(); }
-    // All machines, by name.
+    // Returns all machines by name.
     [[nodiscard]] const std::map<std::string, Machine>& machines() const { return machines_.all(); }
-    // When the latest heartbeat was applied; the start of the term before the first.
+    // Returns when the latest heartbeat was applied, or the start of the term if there was none.
     [[nodiscard]] double last_heartbeat() const { return heartbeat_reconciler_.last_heartbeat_s(); }
 
    private:
--- a/src/cluster/command_delivery.cpp
+++ b/src/cluster/command_delivery.cpp
@@ -42,9 +42,9 @@
     return commands;
 }
 
-// For a worker that has not shown this term's token yet. This answer renews its lease, and the next may not
-// reach it: what must not run is stopped with this one. Nothing else is commanded, since the heartbeat may be
-// older than what an earlier term did last.
+// The response to this worker renews its lease, and the next response may not reach it, so tasks that must
+// not run are stopped with this one. No other commands are sent, since the heartbeat may be older than the
+// latest commands of an earlier term.
 std::vector<Command> CommandDelivery::stops_of_cancelled_jobs(const Machine& machine) const {
     std::vector<Command> commands;
     for (const auto& task : machine.tasks_under_older_token) {
@@ -56,8 +56,7 @@
     return commands;
 }
 
-// Exited tasks that the worker may forget: not before what it reported of them is durable. Returns whether
-// there is room for more commands.
+// The worker may forget an exited task only once the exit that it reported is durable.
 bool CommandDelivery::add_forgets(Machine& machine, std::vector<Command>& commands) const {
     for (const auto& exited : machine.exited_tasks) {
         const Job* job = std::as_const(jobs_).find(exited.task.job);
@@ -106,7 +105,7 @@
         const bool can_be_sent =
             placement->is_confirmed() && machine && machine->token_confirmed() && !machine->address.empty();
         if (!can_be_sent) {
-            deferred.push_back(std::move(stop));  // until a heartbeat shows the task
+            deferred.push_back(std::move(stop));  // retried until a heartbeat shows the task
             continue;
         }
         DirectCommands& direct = by_machine[placement->machine];
--- a/src/cluster/heartbeat_reconciler.cpp
+++ b/src/cluster/heartbeat_reconciler.cpp
@@ -12,14 +12,14 @@
 using model::TaskState;
 
 bool HeartbeatReconciler::apply(const model::Heartbeat& heartbeat) {
-    // The release of a machine is proof that nothing runs there; a heartbeat of it was held back on the way.
+    // A released machine is proven to run nothing; this heartbeat was delayed in transit.
     if (machines_.released().contains(heartbeat.machine)) return false;
     Machine& machine = machines_.find_or_add(heartbeat.machine);
     if (machine.has_reported() && std::pair(heartbeat.agent_epoch, heartbeat.sequence) <=
                                       std::pair(machine.agent_epoch, machine.sequence))
         return false;
     update_identity(machine, heartbeat);
-    // Absence proves nothing unless the worker already refuses the commands of earlier terms.
+    // A missing task proves nothing unless the worker already rejects commands from earlier terms.
     if (heartbeat.fencing_token != context_.fencing_token) {
         machine.contact = WorkerContact::older_token;
         if (!machine.older_token_since_s) machine.older_token_since_s = context_.now_s;
@@ -41,8 +41,8 @@
                      context_.fencing_token);
         machine.idle_since_s = context_.now_s;
     }
-    // A one-way partition: its heartbeats arrive, and the answers do not reach it. Its tasks have ended with
-    // its lease; kept, it would report for ever and do nothing.
+    // One-way partition: heartbeats arrive, but responses do not reach the machine. Its tasks ended when its
+    // lease expired; if kept, it would send heartbeats forever without running anything.
     if (machine.unacknowledged.is_partitioned() && heartbeat.agent_epoch > machine.agent_epoch &&
         failure_detector_.commands_reach_most_machines())
         failure_detector_.release(machine, ReleaseReason::receives_no_commands);
@@ -73,7 +73,6 @@
     record_acknowledgement(machine, acknowledgement);
 }
 
-// What a heartbeat says of one task. Returns its job if the task is where it was placed.
 Job* HeartbeatReconciler::apply_task(Machine& machine, const model::ReportedTask& task,
                                      CommandAcknowledgement& acknowledgement) {
     Job* job = jobs_.find(task.task.job);
@@ -104,7 +103,7 @@
     return job;
 }
 
-// A task that ended. The worker reports it until it gets the command to forget it.
+// The worker reports an exited task until it receives the command to forget it.
 void HeartbeatReconciler::apply_exit(Machine& machine, Job* job, bool is_placed_here,
                                      const model::ReportedTask& task,
                                      CommandAcknowledgement& acknowledgement) {
@@ -142,8 +141,9 @@
     }
 }
 
-// Its heartbeats arrive, and show that the last answer has not reached it. Once happens with every lost
-// packet; again and again means that nothing reaches it: whatever it is given is late by a lease.
+// A heartbeat that ignores the last commands shows that the last response did not reach the machine. A single
+// one can be a lost packet; repeated ones mean that nothing reaches it, and tasks placed on it are delayed by
+// a lease.
 void HeartbeatReconciler::record_acknowledgement(Machine& machine,
                                                  const CommandAcknowledgement& acknowledgement) {
     if (!acknowledgement.ignored) {
@@ -155,7 +155,7 @@
                  machine.unacknowledged.heartbeats, context_.fencing_token);
 }
 
-// What can save, saves at once; the rest runs on until the machine is interrupted.
+// Tasks that can save a checkpoint in time are stopped now; the others run until the machine is interrupted.
 void HeartbeatReconciler::checkpoint_before_interruption(Machine& machine) {
     for (const auto& task : machine.tasks) {
         Job& job = *task.job;
--- a/src/cluster/heartbeat_reconciler.hpp
+++ b/src/cluster/heartbeat_reconciler.hpp
@@ -1,4 +1,4 @@
-// Reconciles what workers report with what is placed on their machines.
+// Reconciles the tasks that workers report with the placements on their machines.
 #pragma once
 
 #include <vector>
@@ -28,32 +28,35 @@
           failure_detector_(failure_detector),
           last_heartbeat_s_(context.started_at_s) {}
 
-    // Applies a heartbeat. False: it is stale, or from a machine that was released; it changed nothing.
+    // Applies a heartbeat. Returns false without changing anything if it is stale or from a released machine.
     bool apply(const model::Heartbeat& heartbeat);
-    // When the latest heartbeat of any machine was applied; the start of the term before the first.
+    // Returns when the latest heartbeat of any machine was applied, or the start of the term if there was
+    // none.
     [[nodiscard]] double last_heartbeat_s() const { return last_heartbeat_s_; }
 
    private:
-    // What a heartbeat shows of the commands in the last answer: some were carried out, some were ignored.
+    // Whether a heartbeat shows that commands of the last response were carried out or ignored. Both may be
+    // true.
     struct CommandAcknowledgement {
         bool acknowledged = false, ignored = false;
     };
-    // Who reports, and from where.
+    // Updates the machine's type, zone, address, heartbeat sequence and interruption notice.
     void update_identity(Machine& machine, const model::Heartbeat& heartbeat);
-    // The tasks of a heartbeat under this term's token: all that is on the machine.
+    // Applies the tasks of a heartbeat with this term's token, which lists all tasks on the machine.
     void apply_tasks(Machine& machine, const model::Heartbeat& heartbeat);
-    // One task. Returns its job if the task is where it was placed, and nullptr otherwise.
+    // Applies one reported task. Returns its job if the task is on the machine where it was placed, nullptr
+    // otherwise.
     Job* apply_task(Machine& machine, const model::ReportedTask& task,
                     CommandAcknowledgement& acknowledgement);
-    // A task that ended, of a job that may be unknown.
+    // Applies the exit of a task. `job` is nullptr if its job is unknown.
     void apply_exit(Machine& machine, Job* job, bool is_placed_here, const model::ReportedTask& task,
                     CommandAcknowledgement& acknowledgement);
-    // Placements that a heartbeat under this term's token does not show.
+    // Handles the placements that a heartbeat with this term's token does not show.
     void handle_missing_placements(Machine& machine, const std::vector<PlacedTask>& reported,
                                    CommandAcknowledgement& acknowledgement);
-    // What the heartbeat says of the last answer.
+    // Records whether the commands of the last response reached the machine.
     void record_acknowledgement(Machine& machine, const CommandAcknowledgement& acknowledgement);
-    // Stops what can save before the machine is interrupted.
+    // Stops the tasks that can save a checkpoint before the machine is interrupted.
     void checkpoint_before_interruption(Machine& machine);
 
     const TermContext& context_;
--- a/src/cluster/job.hpp
+++ b/src/cluster/job.hpp
@@ -1,4 +1,4 @@
-// A job as the leader knows it: what is wanted, what is done, where its tasks are, and what of it is durable.
+// A job in the leader's cluster state: its specification, progress, placements and durable versions.
 #pragma once
 
 #include <cstdint>
@@ -12,97 +12,98 @@
 
 namespace pineroad::cluster {
 
-// Placements of a job, by task.
+// Placements of a job, by task index.
 using Placements = std::map<std::uint32_t, TaskPlacement>;
 
-// A range of a job's tasks whose state is one entry of a segment. A job that is not sharded has one shard.
+// A range of a job's tasks whose state is stored as one entry of a segment. A job that is not sharded has one
+// shard.
 struct ProgressShard {
-    std::string segment;                // that holds its entry; empty: none does
-    std::uint64_t version = 0;          // of the job at the latest change of this shard
-    std::uint64_t durable_version = 0;  // the latest version that is durable
-    // Whether something of it is not durable yet.
+    std::string segment;                // segment that holds its entry; empty if none does
+    std::uint64_t version = 0;          // job version at the latest change of this shard
+    std::uint64_t durable_version = 0;  // latest durable version
+    // Returns whether the shard has changes that are not durable yet.
     [[nodiscard]] bool is_changed() const { return version > durable_version; }
 };
 
-// Where tasks of the job failed, and when it may be tried again.
+// The failures of a job's tasks, and when the job may be retried.
 struct FailureHistory {
     int count = 0;
     std::set<std::string> machines;  // machines where a task of the job ended in an error
-    double retry_at_s = 0;           // none of its tasks is placed before
+    double retry_at_s = 0;           // no task of the job is placed before this time
 };
 
-// Where a job stands.
-//   active -> finished -> done, and from active or finished to `cancelled` when its user cancels it first; or
-//   active -> cancelled_by_dependency -> cancelled, when a job that it depends on was cancelled.
+// The phase of a job:
+//   active -> completing -> done; `cancelled` may follow active or completing when the user cancels the job;
+//   active -> cancelled_by_dependency -> cancelled, when a job that this one depends on was cancelled.
 enum class JobPhase {
-    active,                   // its tasks run, or wait to be placed
-    completing,               // every task is done; final once that is durable
-    cancelled_by_dependency,  // it never starts, and its own final record is to be written
-    done,                     // done, durably
-    cancelled,                // cancelled, durably; tasks of it may still be on machines
+    active,                   // its tasks run or wait to be placed
+    completing,               // every task is done; becomes `done` once its final record is durable
+    cancelled_by_dependency,  // it never starts; its final record must be written
+    done,                     // the final record `done` is durable
+    cancelled,                // the cancellation is durable; tasks may still be on machines
 };
 
-// A job from its acceptance until its final state is durable and its last task is off its machine.
+// A job from its acceptance until its final state is durable and its last task has left its machine.
 struct Job {
-    std::optional<model::JobSpec> spec;  // nothing: only the progress of a cancelled job is left
+    std::optional<model::JobSpec> spec;  // nothing if only the progress of a cancelled job is left
     std::string id;
-    model::Progress progress;  // its placements stay empty: they are taken from `placements` when written
+    model::Progress progress;  // without placements: these are copied from `placements` when written
     Placements placements;
     std::map<std::uint32_t, ProgressShard> shards;
     bool sharded = false;
-    // Shards whose tasks stand only in an entry of the whole job. That entry is replaced once they have
-    // entries of their own: before, a new leader would miss their placements.
+    // Shards whose tasks are stored only in the entry of the whole job. That entry is replaced only after
+    // these shards have their own entries: otherwise a new leader would miss their placements.
     std::set<std::uint32_t> shards_in_unsharded_entry;
-    std::uint64_t mod_revision = 0;       // of the job's own record
-    std::uint64_t progress_revision = 0;  // of a progress record of version 0.1; 0: there is none
-    std::uint64_t version = 0;            // of its latest change
+    std::uint64_t mod_revision = 0;       // mod revision of the job's own record
+    std::uint64_t progress_revision = 0;  // mod revision of a version 0.1 progress record; 0 if none
+    std::uint64_t version = 0;            // version of its latest change
     JobPhase phase = JobPhase::active;
     double xfactor_at_start = 1;
-    std::uint64_t latest_attempt = 0;             // of a gang: the attempt of all its placements
-    bool gang_has_run = false;                    // in the present attempt
-    std::set<std::string> gang_vacated_machines;  // machines that a member of the present attempt has left
+    std::uint64_t latest_attempt = 0;             // for a gang: the attempt of all its placements
+    bool gang_has_run = false;                    // whether a task has run in the current attempt
+    std::set<std::string> gang_vacated_machines;  // machines that a member of the current attempt has left
     FailureHistory failures;
-    double waiting_since_s = 0;  // the last time that none of its tasks was placed
+    double waiting_since_s = 0;  // since when none of its tasks has been placed
 
-    // Its final state is durable: nothing of it may start any more.
+    // Returns whether its final state is durable. No task of a final job may start.
     [[nodiscard]] bool is_final() const { return phase == JobPhase::done || phase == JobPhase::cancelled; }
-    // Its final state is known, and is to be written.
+    // Returns whether its final state is known but its final record is not durable yet.
     [[nodiscard]] bool needs_final_record() const {
         return phase == JobPhase::completing || phase == JobPhase::cancelled_by_dependency;
     }
-    // Every task is done, whether or not that is durable.
+    // Returns whether every task is done, durably or not.
     [[nodiscard]] bool all_tasks_done() const {
         return phase == JobPhase::completing || phase == JobPhase::done;
     }
-    // It was cancelled, durably.
+    // Returns whether its cancellation is durable.
     [[nodiscard]] bool is_cancelled() const { return phase == JobPhase::cancelled; }
-    // The job is finished if every task is done. Returns whether every task is done.
+    // Starts the completion of an active job if every task is done. Returns whether every task is done.
     bool complete_if_all_tasks_done() {
         if (progress.done_count() < spec->task_count) return false;
         if (phase == JobPhase::active) phase = JobPhase::completing;
         return true;
     }
-    // A new attempt of the gang as a whole: each of its tasks is placed anew.
+    // Begins a new attempt of the whole gang, in which every task is placed again.
     void begin_gang_attempt() {
         latest_attempt = progress.next_attempt++;
         gang_has_run = false;
         gang_vacated_machines.clear();
     }
-    // The last member of the attempt has ended.
+    // Ends the current attempt after its last member has ended.
     void end_gang_attempt(double now) {
         latest_attempt = 0;
         gang_has_run = false;
         gang_vacated_machines.clear();
         waiting_since_s = now;
     }
-    // Its final record was written.
+    // Applies a durable final record.
     void apply_final_status(model::FinalStatus status) {
         if (status == model::FinalStatus::cancelled)
             phase = JobPhase::cancelled;
         else if (phase != JobPhase::cancelled)
             phase = JobPhase::done;
     }
-    // All its tasks run at the same time, or none.
+    // Returns whether the job is a gang: all its tasks run at the same time, or none.
     [[nodiscard]] bool is_gang() const { return spec && spec->shape == model::Shape::gang; }
 };
 
--- a/src/cluster/job_shards.cpp
+++ b/src/cluster/job_shards.cpp
@@ -9,7 +9,7 @@
 namespace c = constants;
 
 namespace {
-// The done tasks from `first` up to, and without, `end`.
+// Returns the done tasks in the range [first, end).
 model::TaskSet done_between(const model::TaskSet& done, std::uint32_t first, std::uint32_t end) {
     using Interval = boost::icl::discrete_interval<std::uint32_t>;
     model::TaskSet part;
--- a/src/cluster/job_shards.hpp
+++ b/src/cluster/job_shards.hpp
@@ -1,4 +1,4 @@
-// Shards of a job: which tasks belong to which shard, what a shard's entry says, and what of it is durable.
+// Shards of a job: which tasks belong to a shard, the content of its entry, and which versions are durable.
 #pragma once
 
 #include <cstdint>
@@ -9,30 +9,30 @@
 
 namespace pineroad::cluster {
 
-// Some of a job's placements, in the order of their tasks.
+// A range of a job's placements, ordered by task index.
 struct PlacementRange {
     Placements::const_iterator first, last;
-    // The first placement.
+    // Returns the first placement.
     [[nodiscard]] Placements::const_iterator begin() const { return first; }
-    // Past the last placement.
+    // Returns the position after the last placement.
     [[nodiscard]] Placements::const_iterator end() const { return last; }
 };
 
-// The shard that holds the task; 0 while the job is not sharded.
+// Returns the shard that holds the task, 0 while the job is not sharded.
 [[nodiscard]] std::uint32_t shard_of(const Job& job, std::uint32_t task);
-// The placements whose tasks belong to the shard.
+// Returns the placements whose tasks belong to the shard.
 [[nodiscard]] PlacementRange placements_in_shard(const Job& job, std::uint32_t shard);
-// Shards beside the first whose entries say something: a task of theirs is done or placed. By task numbers,
-// whether or not the job is sharded yet.
+// Returns the shards after the first that have a done or placed task. Computed from task numbers, so it also
+// applies to a job that is not sharded yet.
 [[nodiscard]] std::set<std::uint32_t> shards_beyond_first(const Job& job);
-// The entry of the shard.
+// Returns the progress to be written in the shard's entry.
 [[nodiscard]] model::Progress progress_of_shard(const Job& job, std::uint32_t shard);
 
-// The version of the latest change in the task's shard.
+// Returns the version of the latest change in the task's shard.
 [[nodiscard]] std::uint64_t version_of_task(const Job& job, std::uint32_t task);
-// The latest version of the task's shard that is durable.
+// Returns the latest durable version of the task's shard.
 [[nodiscard]] std::uint64_t durable_version_of_task(const Job& job, std::uint32_t task);
-// Whether the placement is durable: only then may its start be sent.
+// Returns whether the placement is durable. Its start may be sent only then.
 [[nodiscard]] bool is_durable(const Job& job, const TaskPlacement& placement);
 
 }  // namespace pineroad::cluster
--- a/src/cluster/job_table.cpp
+++ b/src/cluster/job_table.cpp
@@ -60,19 +60,19 @@
     if (job.spec && !job.sharded && may_shard(*job.spec)) split_into_shards(job);
     ++job.version;
     job.shards[shard_of(job, task)].version = job.version;
-    // The first shard says what counts for the whole job: it is never missing beside another.
+    // The first shard holds the fields of the whole job, so it must exist whenever another shard does.
     if (ProgressShard& first = job.shards[0]; first.segment.empty()) first.version = job.version;
     pending_changes_.mark(job.id, context_.now_s);
 }
 
-// What waits to be written is sharded at once: it may be too large to be written whole.
+// Shards jobs with pending changes immediately: a whole job may be too large for one entry.
 void JobTable::allow_sharding() {
     if (std::exchange(sharding_allowed_, true)) return;
     for (const auto& id : std::set(pending_changes_.jobs())) mark_changed(jobs_.at(id));
 }
 
-// What stood in one entry gets an entry for each shard. What is durable stays so all the while: the entry of
-// the whole job is replaced last.
+// Splits the single entry of the job into one entry per shard. Durable state stays durable throughout,
+// because the entry of the whole job is replaced last.
 void JobTable::split_into_shards(Job& job) {
     job.sharded = true;
     const ProgressShard unsharded = job.shards[0];
--- a/src/cluster/job_table.hpp
+++ b/src/cluster/job_table.hpp
@@ -14,56 +14,57 @@
 
 namespace pineroad::cluster {
 
-// Owns the jobs, the dependencies between them, and which version of each is durable.
+// Owns the jobs and their durable versions, and refers to the dependencies between them.
 class JobTable {
    public:
     // Both arguments must outlive the table.
     JobTable(const TermContext& context, PendingChanges& pending_changes)
         : context_(context), pending_changes_(pending_changes) {}
-    // Placements and machines refer to its jobs.
+    // Not copyable: placements and machines refer to its jobs.
     JobTable(const JobTable&) = delete;
     JobTable& operator=(const JobTable&) = delete;
 
-    // All jobs, by name.
+    // Returns all jobs by name.
     [[nodiscard]] const std::map<std::string, Job>& all() const { return jobs_; }
-    // The job, or nullptr.
+    // Returns the job, or nullptr if it is unknown.
     [[nodiscard]] Job* find(const std::string& id);
-    // The job, or nullptr.
+    // Returns the job, or nullptr if it is unknown.
     [[nodiscard]] const Job* find(const std::string& id) const;
-    // A job that exists.
+    // Returns a job that must exist.
     [[nodiscard]] Job& at(const std::string& id) { return jobs_.at(id); }
-    // The job, added without a specification if it was not known.
+    // Returns the job. Adds it without a specification if it is unknown.
     Job& find_or_add(const std::string& id);
-    // An accepted job with the revision of its record. Nothing changes if it was known.
+    // Adds an accepted job with the mod revision of its record. Does nothing if its specification is known.
     void add(const model::JobSpec& spec, std::uint64_t mod_revision, double now);
-    // Forgets a job without placements.
+    // Removes a job, which must have no placements.
     void remove(const std::string& id);
 
-    // The dependencies between jobs; the graph must outlive the table.
+    // Sets the dependencies between jobs; the graph must outlive the table.
     void set_dependencies(const model::DependencyGraph& dependencies) { dependencies_ = &dependencies; }
-    // The dependencies between jobs; none before they were set.
+    // Returns the dependencies between jobs, an empty graph until they are set.
     [[nodiscard]] const model::DependencyGraph& dependencies() const { return *dependencies_; }
-    // The one check before every start: accepted, not over, and all that it depends on is done.
+    // Returns whether tasks of the job may start: it is accepted and active, and all its dependencies are
+    // done. Every start goes through this check.
     [[nodiscard]] bool may_run(const Job& job) const;
-    // Since when the job waits to be started, by the time of day. A job that waits for others has not been
-    // passed over: its wait counts from when the last of them was done.
+    // Returns the time of day since which the job has waited to start. For a job with dependencies this is
+    // when the last of them was done, since until then it could not start.
     [[nodiscard]] std::int64_t waiting_since_ms(const Job& job) const;
 
-    // The state of the task, or of the job as a whole, changed and is to be written.
+    // Records that the state of the task, or of the whole job, changed and must be written.
     void mark_changed(Job& job, std::uint32_t task = 0);
-    // Large jobs may be written in shards: every controller reads that format.
+    // Allows large jobs to be written in shards, once every controller reads that format.
     void allow_sharding();
-    // Whether such a job is written in shards.
+    // Returns whether a job with this specification is written in shards.
     [[nodiscard]] bool may_shard(const model::JobSpec& spec) const;
-    // An earlier term was about to replace an entry of the whole job, and had written some shards: the rest
-    // is to be written.
+    // Continues replacing an entry of the whole job when an earlier term had written only some shards: marks
+    // the remaining ones as changed.
     void resume_sharding(Job& job);
-    // A version of a job, or of one of its shards, became durable. Returns the machines of placements that
-    // became durable with it.
+    // Records that a version of a job, or of one of its shards, became durable. Returns the machines of the
+    // placements that became durable with it.
     std::vector<std::string> apply_commit(const WrittenShard& written);
 
    private:
-    // The job is written in shards from now on.
+    // Starts writing the job in shards.
     void split_into_shards(Job& job);
 
     const TermContext& context_;
--- a/src/cluster/leader_term.hpp
+++ b/src/cluster/leader_term.hpp
@@ -1,4 +1,4 @@
-// Everything that a leader keeps for one term. The loops of the term share it and end when the term is over.
+// The state that a leader keeps for one term. The term's loops share it and stop when the term ends.
 #pragma once
 
 #include <memory>
@@ -13,9 +13,9 @@
 
 namespace pineroad::cluster {
 
-// A term with its cluster state and its budget of writes.
+// A term with its cluster state and write rate limiter.
 struct LeaderTerm {
-    // A cluster state without contents; settings and tuning must outlive it.
+    // Creates an empty cluster state for the term. The settings and tuning must outlive it.
     LeaderTerm(std::shared_ptr<leadership::Term> won_term, const config::Settings& settings,
                const config::Tuning& tuning)
         : term(std::move(won_term)),
--- a/src/cluster/pending_changes.hpp
+++ b/src/cluster/pending_changes.hpp
@@ -1,4 +1,4 @@
-// Which jobs have changes that are not durable yet, and when these are to be written.
+// Tracks the jobs with changes that are not durable yet, and when to write them.
 #pragma once
 
 #include <set>
@@ -11,25 +11,25 @@
 // Owns the set of changed jobs and the time of the next write.
 class PendingChanges {
    public:
-    // The job's state is newer than what is durable.
+    // Records that the job's state is newer than its durable state.
     void mark(const std::string& job, double now) {
         if (jobs_.empty()) changed_since_s_ = now;
         jobs_.insert(job);
     }
-    // Everything of the job is durable, or the job is removed.
+    // Removes the job from the changed jobs: all its changes are durable, or the job was removed.
     void clear(const std::string& job) { jobs_.erase(job); }
-    // Changed jobs by name.
+    // Returns the names of the changed jobs.
     [[nodiscard]] const std::set<std::string>& jobs() const { return jobs_; }
 
-    // Something waits for the next commit: it is not deferred.
+    // Requests a commit without the usual deferral.
     void request_commit() { commit_requested_ = true; }
-    // A batch is built now: it serves every request so far.
+    // Marks the start of a batch, which satisfies all commit requests so far.
     void begin_batch() { commit_requested_ = false; }
-    // A batch was committed: what it left is deferred anew.
+    // Restarts the deferral of the remaining changes after a batch was committed.
     void restart_deferral(double now) {
         if (!jobs_.empty()) changed_since_s_ = now;
     }
-    // Whether a batch is to be written now.
+    // Returns whether a batch must be written now.
     [[nodiscard]] bool is_write_due(double now) const {
         return commit_requested_ || (!jobs_.empty() && now - changed_since_s_ >= constants::deferred_write_s);
     }
--- a/src/cluster/planner.cpp
+++ b/src/cluster/planner.cpp
@@ -73,7 +73,8 @@
     state_.pending_changes.request_commit();
 }
 
-// Preemption waits after a failover until the machines have reported: no burst of stops from half a snapshot.
+// After a failover, preemption waits until the machines have reported: an incomplete snapshot would cause a
+// burst of unnecessary stops.
 void Planner::preempt(const scheduling::Snapshot& snapshot) {
     const double now = context_.now_s;
     const double period_s = context_.tuning.preemption_period_s;
@@ -97,7 +98,7 @@
     for (const auto& machine : autoscaling.scale_in) scale_in(machine);
 }
 
-// A request that is not answered yet is capacity on its way.
+// Open provisioning requests count as capacity that will soon be available, so they are not requested again.
 void Planner::add_requested_machines(scheduling::Snapshot& snapshot) const {
     for (const auto& request : state_.provisioning.open_requests()) {
         const auto* type = state_.machines.types().find(request.type);
@@ -112,7 +113,7 @@
     }
 }
 
-// An idle machine is kept until it has cost the least that any machine costs.
+// An idle machine is kept for the minimum charge period, since releasing it earlier saves nothing.
 void Planner::scale_in(const std::string& id) {
     Machine& machine = state_.machines.all().at(id);
     const double age_s = context_.now_s - machine.provisioned_at_s;
--- a/src/cluster/planner.hpp
+++ b/src/cluster/planner.hpp
@@ -1,4 +1,4 @@
-// Applies the scheduler's decisions: placements, preemption, scale out and in.
+// Applies the scheduler's decisions: placements, preemption, scale-out and scale-in.
 #pragma once
 
 #include <optional>
@@ -19,7 +19,7 @@
 
 namespace pineroad::cluster {
 
-// The parts of the cluster state that a plan changes.
+// The parts of the cluster state that the planner reads and changes.
 struct PlannerDependencies {
     JobTable& jobs;
     MachineTable& machines;
@@ -30,10 +30,10 @@
     const FailureDetector& failure_detector;
 };
 
-// Plans at the time of the context, and owns the times of the latest preemption and autoscaling rounds.
+// Plans at the context's time. Owns the times of the latest preemption and autoscaling rounds.
 class Planner {
    public:
-    // Everything given must outlive this object.
+    // All arguments, and the objects that `state` refers to, must outlive this object.
     Planner(const TermContext& context, const PlannerDependencies& state,
             const SnapshotBuilder& snapshot_builder)
         : context_(context),
@@ -41,34 +41,34 @@
           snapshot_builder_(snapshot_builder),
           last_preemption_s_(context.started_at_s) {}
 
-    // One round: places tasks, and as often as each is due, preempts a gang and scales.
+    // Runs one round: places tasks and, when each is due, preempts a gang and scales the cluster.
     void plan(const DemandByClass& demand);
-    // The next round scales in any case.
+    // Makes the next round run autoscaling even if it is not due.
     void autoscale_at_next_plan() { last_autoscaling_s_ = 0; }
-    // Whether the machine could take the smallest task of the classes that came lately: the answer to its
-    // heartbeat may wait a little for one.
+    // Returns whether the machine could run the smallest recently submitted task. If so, the response to its
+    // heartbeat may be held briefly for a placement.
     [[nodiscard]] bool has_free_capacity(const std::string& machine, double now) const;
 
    private:
-    // The smallest task of the classes that came lately, by CPUs.
+    // Updates the smallest task request, by CPUs, among the recently submitted job classes.
     void update_smallest_request(const DemandByClass& demand);
-    // Places pending tasks; updates free capacity and usage in the snapshot.
+    // Places pending tasks and updates the free capacity and usage in the snapshot.
     void place_tasks(scheduling::Snapshot& snapshot);
-    // Applies one placement. The xfactor is that of the job as it waited.
+    // Applies one placement. `xfactor` is the job's expansion factor at the time of the decision.
     void place_task(const scheduling::PlacementDecision& decision, double xfactor);
-    // Stops the victims of at most one waiting job, as often as the tuning says.
+    // Stops the victims for at most one waiting job, once per preemption period of the tuning.
     void preempt(const scheduling::Snapshot& snapshot);
     // Requests machines and releases idle ones.
     void autoscale(scheduling::Snapshot snapshot);
     // Adds the machines of open provisioning requests to the snapshot.
     void add_requested_machines(scheduling::Snapshot& snapshot) const;
-    // Releases an idle machine once it is not cheaper to keep it.
+    // Releases an idle machine unless it is still within its minimum charge period.
     void scale_in(const std::string& machine);
 
     const TermContext& context_;
     PlannerDependencies state_;
     const SnapshotBuilder& snapshot_builder_;
-    std::optional<model::Resources> smallest_recent_request_;  // of the classes that came lately, by CPUs
+    std::optional<model::Resources> smallest_recent_request_;  // by CPUs, of recent job classes
     double last_preemption_s_;
     double last_autoscaling_s_ = 0;
 };
--- a/src/cluster/run_time_estimates.hpp
+++ b/src/cluster/run_time_estimates.hpp
@@ -1,4 +1,4 @@
-// How long tasks take, compared with what their owners estimate.
+// Corrects users' run time estimates by the measured run times.
 #pragma once
 
 #include <algorithm>
@@ -10,17 +10,18 @@
 
 namespace pineroad::cluster {
 
-// Owns the ratio of measured to estimated run time, by class of jobs.
+// Owns the smoothed ratio of measured to estimated run time of each job class.
 class RunTimeEstimates {
    public:
-    // A task of the job ran from its start to its success for so long. The job's estimate must be positive.
+    // Records that a task of the job succeeded after `run_s` seconds. The job's estimate must be positive.
     void record(const model::JobSpec& spec, double run_s) {
         double& bias = bias_by_class_.try_emplace(spec.job_class, 1.0).first->second;
         const double correction = run_s / spec.estimate_s - bias;
         bias = std::clamp(bias + constants::estimate_bias_weight * correction, constants::min_estimate_bias,
                           constants::max_estimate_bias);
     }
-    // Expected run time of a task of the job: its estimate, corrected by what its class took. At least 1 s.
+    // Returns the expected run time of a task of the job in seconds: the estimate times the ratio of its job
+    // class, at least 1.
     [[nodiscard]] double expected_s(const model::JobSpec& spec) const {
         const auto bias = bias_by_class_.find(spec.job_class);
         return std::max(1.0, spec.estimate_s * (bias == bias_by_class_.end() ? 1.0 : bias->second));
--- a/src/cluster/snapshot_builder.cpp
+++ b/src/cluster/snapshot_builder.cpp
@@ -12,8 +12,9 @@
 using model::TaskState;
 
 namespace {
-// Tasks that are neither done nor placed, in ascending order, and at most as many as one round looks at. Only
-// the gaps of the done set are walked: a job of 100,000 tasks costs what is waiting, not what it has.
+// Returns the tasks that are neither done nor placed, in ascending order, at most as many as one round
+// considers. Ranges of done tasks are skipped, so that a job of 100,000 tasks costs only as much as its
+// remaining tasks.
 std::vector<std::uint32_t> pending_tasks(const Job& job, const std::set<model::TaskId>& unknown_tasks) {
     std::vector<std::uint32_t> pending;
     for (std::uint32_t task = 0; task < job.spec->task_count && pending.size() < c::pending_task_window;) {
@@ -29,7 +30,8 @@
     return pending;
 }
 
-// A gang whose present attempt is ending: it starts again as a whole once its last member has ended.
+// Returns whether the gang's current attempt is being aborted. The gang starts again as a whole once the last
+// member has ended.
 bool is_aborting(const Job& job) {
     if (!job.is_gang() || job.placements.empty()) return false;
     return job.gang_has_run || std::any_of(job.placements.begin(), job.placements.end(),
@@ -72,8 +74,7 @@
     return unknown;
 }
 
-// What the job's placements take of its team's quota. Those of cancelled jobs count until they are proven
-// off.
+// Placements of cancelled jobs count until the tasks are known to have left their machines.
 void SnapshotBuilder::add_quota_usage(scheduling::Snapshot& snapshot, const Job& job) const {
     if (job.placements.empty()) return;
     auto& usage = snapshot.usage[job.progress.team];
@@ -112,11 +113,12 @@
     pending.spec = &spec;
     pending.priority = jobs_.dependencies().priority(spec);
     const double waited_s = std::max(0.0, age_s(job) - job.progress.checkpointed_run_s);
-    // Lost time counts as wait for the xfactor, but a gang that ran a moment ago has not been passed over.
+    // Lost run time counts as waiting time for the expansion factor, but `waited_s` of a job that was placed
+    // before counts only from when its last task ended: a gang that ran recently was not starved.
     const bool was_placed_before = job.progress.next_attempt > 1;
     pending.waited_s =
         was_placed_before ? std::min(waited_s, context_.now_s - job.waiting_since_s) : waited_s;
-    // A job that keeps failing does not climb over others by the time its failures take.
+    // A job that only fails gains no priority from the time that its failures take.
     const bool never_succeeded = job.failures.count > 0 && job.progress.done.empty();
     pending.xfactor = never_succeeded ? 1.0 : scheduling::xfactor(waited_s, spec.estimate_s);
     pending.slack_s = slack_s(job);
@@ -144,7 +146,7 @@
         if (machine && !machine->zone.empty())
             ++pending.tasks_by_zone[machine->zone];
         else
-            pending.pending_tasks.clear();  // its zone is unknown: no other task may start yet
+            pending.pending_tasks.clear();  // zone unknown: no other task may start yet
     }
 }
 
@@ -170,13 +172,13 @@
     return static_cast<double>(context_.wall_ms() - jobs_.waiting_since_ms(job)) / 1000.0;
 }
 
-// How long the start may still wait without missing a service-level objective or the deadline.
+// A job without an objective or deadline gets its expected run time as slack.
 double SnapshotBuilder::slack_s(const Job& job) const {
     const auto& spec = *job.spec;
     const double age = age_s(job);
     const double expected = estimates_.expected_s(spec);
     double slack = 1e9;
-    // Its own deadline counts from the submission, and so do those of the jobs after it.
+    // Deadlines of the job and of its dependents count from submission, not from when the job became ready.
     if (const auto due_ms = jobs_.dependencies().deadline_ms(spec))
         slack = std::min(slack, static_cast<double>(*due_ms - context_.wall_ms()) / 1000.0 - expected);
     for (const auto& objective : context_.settings.objectives) {
@@ -190,7 +192,7 @@
     return has_no_limit ? expected : slack;
 }
 
-// How many more tasks an entry of the whole job can name: it must stay within one value.
+// The entry must fit one value of the store.
 std::uint32_t SnapshotBuilder::free_entry_capacity(const Job& job) const {
     const double bytes = context_.settings.value_kb * 1024 * c::value_fill_ratio - c::record_frame_bytes;
     const double free = bytes / c::record_entry_bytes - static_cast<double>(job.placements.size()) -
--- a/src/cluster/snapshot_builder.hpp
+++ b/src/cluster/snapshot_builder.hpp
@@ -17,10 +17,10 @@
 
 namespace pineroad::cluster {
 
-// Demand by class of jobs.
+// Demand by job class.
 using DemandByClass = std::map<std::string, scheduling::ClassDemand>;
 
-// Reads the cluster state at the time of the context, and changes nothing.
+// Reads the cluster state at the context's time without changing it.
 class SnapshotBuilder {
    public:
     // All arguments must outlive this object.
@@ -34,37 +34,40 @@
           estimates_(estimates),
           averages_(averages) {}
 
-    // The snapshot of all pending jobs, running gangs and machines. It refers to the job table.
+    // Returns a snapshot of all pending jobs, running gangs and machines. It holds references into the job
+    // table.
     [[nodiscard]] scheduling::Snapshot build(const DemandByClass& demand) const;
 
    private:
-    // Machine pools, and which of them lack capacity.
+    // Adds the machine pools and marks those that lack capacity.
     void add_pools(scheduling::Snapshot& snapshot) const;
-    // What the job's placements take of its team's quota.
+    // Adds the resources of the job's placements to its team's quota usage.
     void add_quota_usage(scheduling::Snapshot& snapshot, const Job& job) const;
-    // A job that may run: as pending, running, or both.
+    // Adds a job that may run as a pending job, a running gang, or both.
     void add_job(scheduling::Snapshot& snapshot, const Job& job,
                  const std::set<model::TaskId>& unknown_tasks) const;
-    // Tasks that run somewhere without a placement: they must not be placed again yet.
+    // Returns the tasks that run on a machine without a placement. They must not be placed again yet.
     [[nodiscard]] std::set<model::TaskId> unknown_tasks() const;
-    // The job as the scheduler sees it; without pending tasks if none may be placed now.
+    // Returns the job for the scheduler, without pending tasks if none may be placed now.
     [[nodiscard]] scheduling::PendingJob pending_job(const Job& job,
                                                      const std::set<model::TaskId>& unknown_tasks) const;
-    // The tasks that may be placed, and machines to be avoided.
+    // Adds the tasks that may be placed and the machines to avoid.
     void add_pending_tasks(scheduling::PendingJob& pending, const Job& job,
                            const std::set<model::TaskId>& unknown_tasks) const;
-    // Tasks by zone, for a job that is bound to zones.
+    // Adds the task count per zone, for a job with zone constraints. Clears the pending tasks if a zone is
+    // unknown.
     void add_zones(scheduling::PendingJob& pending, const Job& job) const;
-    // A gang with placements.
+    // Returns the running gang of a job with placements.
     [[nodiscard]] scheduling::RunningGang running_gang(const Job& job) const;
-    // A machine with its free capacity.
+    // Returns the machine with its free capacity.
     [[nodiscard]] scheduling::MachineSnapshot machine_snapshot(const Machine& machine,
                                                                const model::MachineType& type) const;
-    // Time since the job could have been started first.
+    // Returns the time since the job was first ready to start, in seconds.
     [[nodiscard]] double age_s(const Job& job) const;
-    // How long the start may still wait without missing an objective or the deadline.
+    // Returns for how many seconds the start can still be delayed without missing a service-level objective
+    // or the deadline.
     [[nodiscard]] double slack_s(const Job& job) const;
-    // How many more tasks an entry of the whole job can name.
+    // Returns how many more placements an entry of the whole job can hold.
     [[nodiscard]] std::uint32_t free_entry_capacity(const Job& job) const;
 
     const TermContext& context_;
--- a/src/cluster/stop_requests.hpp
+++ b/src/cluster/stop_requests.hpp
@@ -1,4 +1,4 @@
-// Requests to stop tasks, and which of them are still to be sent by direct command.
+// Requests to stop tasks, and the queue of those not yet sent as direct commands.
 #pragma once
 
 #include <cstdint>
@@ -10,30 +10,30 @@
 
 namespace pineroad::cluster {
 
-// A task whose stop is to be sent by direct command.
+// A task whose stop must still be sent as a direct command.
 struct UnsentStop {
     std::string job;
     std::uint32_t task = 0;
 };
 
-// Owns the queue of stops that were not sent by direct command yet. Answers to heartbeats carry every stop in
-// any case.
+// Owns the queue of stops not yet sent as direct commands. Heartbeat responses carry every stop in any
+// case.
 class StopRequests {
    public:
-    // The task is to end and may take so long to save its progress. Of several requests the one with the
-    // shortest grace counts.
+    // Requests that the task stop, with `grace_s` seconds to save its progress. Of several requests the one
+    // with the shortest grace period applies.
     void request(const Job& job, TaskPlacement& placement, double grace_s) {
         if (placement.stop && placement.stop->grace_s <= grace_s) return;
         placement.stop = StopRequest{grace_s};
         unsent_.push_back({job.id, placement.index});
     }
-    // The same for every placement of the job.
+    // Requests a stop for every placement of the job.
     void request_all(Job& job, double grace_s) {
         for (auto& [task, placement] : job.placements) request(job, placement, grace_s);
     }
-    // Empties the queue.
+    // Removes and returns all queued stops.
     std::vector<UnsentStop> take_unsent() { return std::exchange(unsent_, {}); }
-    // Puts back what cannot be sent yet.
+    // Queues stops that cannot be sent yet. Replaces the queue, so take_unsent() must have emptied it.
     void defer(std::vector<UnsentStop> stops) { unsent_ = std::move(stops); }
 
    private:
--- a/src/cluster/task_lifecycle.cpp
+++ b/src/cluster/task_lifecycle.cpp
@@ -52,7 +52,7 @@
     return "";
 }
 
-// After so many failures of the job, how long until it is tried again.
+// Returns the delay before the job is retried after this many failures.
 double retry_backoff_s(int failures) {
     return std::min(c::error_pause_s * std::pow(2.0, std::min(failures - 1, 10)), c::error_pause_max_s);
 }
@@ -62,7 +62,7 @@
     Job* job = jobs_.find(id);
     if (!job || job->is_final()) return;
     job->phase = JobPhase::cancelled;
-    // Starts not sent yet are never sent: nothing runs under such placements.
+    // Placements whose start was not sent are removed, since nothing can run under them.
     for (auto next = job->placements.begin(); next != job->placements.end();) {
         const auto placement = next++;
         if (placement->second.is_unsent()) remove_placement(*job, placement);
@@ -112,10 +112,10 @@
 void TaskLifecycle::handle_success(Job& job, const TaskPlacement& placement, Machine& machine) {
     machine.consecutive_failures = 0;
     machine.failed_jobs.clear();
-    // Tasks that resume from a checkpoint tell nothing about the run time of a whole task.
+    // The run time of a task that resumed from a checkpoint says nothing about that of a whole task.
     if (placement.running_since_s && job.progress.checkpointed_run_s <= 0 && job.spec->estimate_s > 0)
         estimates_.record(*job.spec, context_.now_s - *placement.running_since_s);
-    // A gang completes together: one done, all done.
+    // A gang completes as a whole: once one task is done, all are.
     if (job.is_gang())
         job.progress.done +=
             boost::icl::discrete_interval<std::uint32_t>::right_open(0, job.spec->task_count);
@@ -160,16 +160,16 @@
     if (job.placements.empty()) {
         job.end_gang_attempt(context_.now_s);
     } else if (job.gang_has_run) {
-        // The others notice by themselves within gang_peer_s; a stop is quicker.
+        // The other members would notice the loss within gang_peer_s; a stop is faster.
         const bool saving = std::any_of(job.placements.begin(), job.placements.end(),
                                         [](const auto& entry) { return entry.second.is_saving(); });
         if (!saving) stop_requests_.request_all(job, 0);
     }
-    // A gang that has not started keeps waiting for a replacement under the same attempt.
+    // A gang that has not run yet keeps its attempt and waits for a replacement.
 }
 
-// An error speaks against the machine or against the job: several jobs failing on one machine, or one job
-// failing on several machines, tells which.
+// An error is caused by the machine or by the job: the machine if several jobs fail on it, the job if it
+// fails on several machines.
 void TaskLifecycle::record_failure(Job& job, Machine& machine) {
     ++job.failures.count;
     job.failures.machines.insert(machine.id);
@@ -188,7 +188,7 @@
     if (several_jobs_failed || progressing_job_failed) quarantine(machine);
 }
 
-// Everything on a faulty machine goes elsewhere, and the machine is released.
+// The stopped tasks are placed on other machines, and the machine is released.
 void TaskLifecycle::quarantine(Machine& machine) {
     if (!machine.quarantined)
         spdlog::info("machine {} quarantined: the tasks that it runs fail (term {})", machine.id,
--- a/src/cluster/task_lifecycle.hpp
+++ b/src/cluster/task_lifecycle.hpp
@@ -1,5 +1,4 @@
-// What happens to a task: it is placed, it exits, it is lost; and what that means for its job and its
-// machine.
+// The life of a task: it is placed, exits or is lost; and the effects on its job and its machine.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +14,16 @@
 
 namespace pineroad::cluster {
 
-// Why it is proven that a placed task is not on its machine.
+// The proof that a placed task is not on its machine.
 enum class LossReason {
-    not_on_machine,       // a heartbeat under this term's token does not show it
-    start_never_arrived,  // the start was dropped, and is not given again
-    machine_released,     // the release of its machine was answered
-    withdrawn,            // its start was never sent
+    not_on_machine,       // a heartbeat with this term's token does not show it
+    start_never_arrived,  // the start was lost and is not sent again
+    machine_released,     // the cloud confirmed the release of its machine
+    withdrawn,            // the placement was withdrawn before its start was sent
 };
 
-// Applies the changes in a task's life to its job and its machine, in both tables at once: the machine's list
-// of tasks always names exactly the placements that name the machine.
+// Applies the changes in a task's life to its job and its machine together, so that the machine's list of
+// tasks always matches the placements that name the machine.
 class TaskLifecycle {
    public:
     // All arguments must outlive this object.
@@ -37,35 +36,36 @@
           stop_requests_(stop_requests),
           estimates_(estimates) {}
 
-    // The job was cancelled by a user, or its record is gone: what is not on a machine yet never starts, the
-    // rest is stopped. Unknown jobs and jobs that are over are left as they are.
+    // Cancels a job because a user cancelled it or its record is gone. Tasks whose start was not sent never
+    // start; the others are stopped. Does nothing for unknown or final jobs.
     void cancel_job(const std::string& id);
-    // A job that the job depends on was cancelled: it has no tasks, and its own final record is to be
-    // written.
+    // Cancels a job because a job that it depends on was cancelled. It has no tasks, and its own final record
+    // must be written.
     void cancel_job_by_dependency(const std::string& id);
 
-    // The task is placed. Its machine is added if it was not known.
+    // Adds the placement of a task. Adds its machine if it is unknown.
     void place(Job& job, TaskPlacement placement);
-    // A heartbeat of its machine shows that the task exited.
+    // Handles the exit of a task that a heartbeat of its machine reported.
     void handle_exit(Job& job, const model::ReportedTask& task, Machine& machine);
-    // It is proven that the task is not on its machine, and not how it ended.
+    // Handles a task that is proven not to be on its machine, with an unknown outcome.
     void mark_lost(Job& job, std::uint32_t task, LossReason reason);
-    // A task was done under a placement that was withdrawn meanwhile: its result is kept, so it counts.
+    // Records that a task completed under a placement that no longer exists: its result is kept, so it counts
+    // as done.
     void record_unplaced_completion(Job& job, const model::ReportedTask& task);
 
    private:
-    // Removes the placement from both tables.
+    // Removes the placement from both tables and returns it.
     TaskPlacement remove_placement(Job& job, Placements::iterator placement);
-    // The task was done.
+    // Handles a task that succeeded.
     void handle_success(Job& job, const TaskPlacement& placement, Machine& machine);
-    // The task ended without being done.
+    // Handles a task that exited without success.
     void handle_failure(Job& job, const TaskPlacement& placement, const model::ReportedTask& task,
                         Machine& machine);
-    // What the loss of one task means for the rest of its job.
+    // Updates the gang after it lost a member. Does nothing for other jobs.
     void update_gang_after_loss(Job& job);
-    // The task ended in an error: the fault is that of the machine or of the job.
+    // Records a task's error and attributes it to its machine or to its job.
     void record_failure(Job& job, Machine& machine);
-    // Stops everything on a faulty machine; it gets nothing new and is released.
+    // Stops all tasks on a faulty machine. It receives no new tasks and is released.
     void quarantine(Machine& machine);
 
     const TermContext& context_;
--- a/src/peers/peer_directory.cpp
+++ b/src/peers/peer_directory.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-// How recently a peer must have received a heartbeat, and for how long it must have been running, to count as
-// one that workers reach.
+// A peer counts as reachable by workers if it received a heartbeat within this time and has been running for
+// longer than this.
 constexpr std::uint64_t heartbeat_fresh_ms = 4000;
 
 leadership::PeerStoreContact store_contact(const PeerContact& peer) {
--- a/src/peers/peer_directory.hpp
+++ b/src/peers/peer_directory.hpp
@@ -1,4 +1,4 @@
-// What each of the other controllers last said of itself, and when.
+// Tracks the latest message from each of the other controllers, and when it arrived.
 #pragma once
 
 #include <cstddef>
@@ -14,49 +14,51 @@
 
 namespace pineroad::peers {
 
-// One peer. Times are in seconds on the steady clock; -1: never.
+// The contact with one peer. Times are in seconds on the steady clock; -1 means never.
 struct PeerContact {
-    double contacted_at = -1;         // when the message was sent that its last answer belongs to
-    double last_response_at = -1;     // when that answer came
-    double last_request_at = -1;      // when its last message came
-    bool reads_format = false;        // it was seen to read the present record format
-    wire::PeerMessage last_response;  // its last answer
+    double contacted_at = -1;         // when the request that it last responded to was sent
+    double last_response_at = -1;     // when that response arrived
+    double last_request_at = -1;      // when its last request arrived
+    bool reads_format = false;        // whether it announced that it reads the current record format
+    wire::PeerMessage last_response;  // the content of its last response
 
-    // Whether it has neither answered nor sent anything since then.
+    // Returns whether the peer has neither responded to a request sent since `time` nor sent one itself.
     [[nodiscard]] bool silent_since(double time) const {
         return contacted_at < time && last_request_at < time;
     }
 };
 
-// The peers of the settings, and what is known of each.
+// The configured peers and the contact with each of them.
 class PeerDirectory final : public leadership::PeerView {
    public:
     // The settings must outlive the directory.
     explicit PeerDirectory(const config::Settings& settings);
 
-    // The peers in the order of the settings; contact(i) belongs to peer(i).
+    // Returns the number of peers. Indices follow the order of the settings; contact(i) belongs to peer(i).
     [[nodiscard]] std::size_t size() const { return contacts_.size(); }
-    // A peer's name and address.
+    // Returns the peer's name and address.
     [[nodiscard]] const config::Peer& peer(std::size_t index) const { return settings_.peers[index]; }
-    // What is known of it.
+    // Returns the contact with the peer.
     [[nodiscard]] const PeerContact& contact(std::size_t index) const { return contacts_[index]; }
-    // The index of the peer of that name; nothing if there is none.
+    // Returns the index of the peer with this name, or nothing if there is none.
     [[nodiscard]] std::optional<std::size_t> find(const std::string& name) const;
 
-    // A message came from a peer.
+    // Records a request from a peer. Ignores senders that are not in the settings.
     void record_request(const wire::PeerMessage& message);
-    // A peer answered a message that was sent at `sent_at`.
+    // Records a peer's response to the request that was sent at `sent_at`.
     void record_response(std::size_t index, double sent_at, wire::PeerMessage response);
 
-    // The latest answers, as the lease guard weighs them.
+    // Returns the latest response of each peer in the form that the lease guard evaluates.
     [[nodiscard]] std::vector<leadership::PeerConfirmation> confirmations() const;
-    // Every peer answers, and the store has served none of them since it refused this controller.
+    // Returns whether every peer responds and the store has served none of them since it began to refuse this
+    // controller; `own` describes that refusal.
     [[nodiscard]] bool store_down_for_all(const store::StoreRefusal& own) const;
 
     // --- leadership::PeerView ---
-    // One entry for each peer.
+    // Returns the store contact of each peer, one entry per peer.
     [[nodiscard]] std::vector<leadership::PeerStoreContact> store_contacts() const override;
-    // Some peer that answers, and has been running for a while, lately received one.
+    // Returns whether a responsive peer that has been running for a few seconds recently received a
+    // heartbeat.
     [[nodiscard]] bool heartbeats_reach_peer() const override;
 
    private:
--- a/src/peers/peer_exchange.cpp
+++ b/src/peers/peer_exchange.cpp
@@ -32,7 +32,7 @@
 
 wire::PeerMessage PeerExchange::own_message() const {
     const double now = steady_now_s();
-    // The age of an event; one that never happened is as old as the process.
+    // Returns the age of an event; an event that never happened is as old as the process.
     const auto age_ms = [&](double event) {
         const double since = event < 0 ? started_at_ : event;
         return static_cast<std::uint64_t>(std::max(0.0, now - since) * 1000);
@@ -55,7 +55,7 @@
     if (request.method != "POST") co_return Reply{405, {}};
     const auto message = wire::parse_peer_message(request.body);
     if (!message) co_return Reply{400, {}};
-    // It may have been delayed on the way: only what can't become untrue is taken from it.
+    // The request may have been delayed in transit: use only information that cannot become outdated.
     leadership_.observe(message->fencing_token, message->leader);
     record_cancellations(*message);
     if (message->dependencies_requested) record_format_.record_dependency_request();
@@ -81,9 +81,10 @@
     }
 }
 
-// The leader's watch shows it a moment later, or, while the store refuses the leader alone, the next message
-// between peers: in between it would start tasks of a job whose user was answered. A courtesy with a short
-// wait, no proof.
+// Without this message the leader learns of the cancellation from its watch a moment later, or, while the
+// store refuses only the leader, from the next periodic peer message. Until then it could start tasks of a
+// job whose cancellation was already confirmed to the user. This is best effort with a short timeout and
+// guarantees nothing.
 net::awaitable<void> PeerExchange::forward_cancellation(std::uint64_t revision, std::string job) {
     if (!watch_cache_.leader) co_return;
     const auto leader = directory_.find(watch_cache_.leader->value.node);
@@ -100,8 +101,8 @@
         watch_cache_.record_outcome(job, {model::FinalStatus::cancelled}, revision);
 }
 
-// The cancellations that a peer names are recorded here, and so passed on, before its answer counts as a
-// proof.
+// Records the cancellations in the response, which also forwards them, before the response counts as a
+// confirmation.
 void PeerExchange::apply_response(std::size_t peer, double sent_at, wire::PeerMessage response) {
     leadership_.observe(response.fencing_token, response.leader);
     record_cancellations(response);
--- a/src/peers/peer_exchange.hpp
+++ b/src/peers/peer_exchange.hpp
@@ -1,5 +1,5 @@
-// The messages that controllers send each other: what this controller says of itself, and what follows from
-// what a peer says. Nothing in a message grants a right to act.
+// Exchanges messages with the other controllers: sends this controller's state and applies theirs. No message
+// grants a right to act.
 #pragma once
 
 #include <cstddef>
@@ -19,10 +19,10 @@
 
 namespace pineroad::peers {
 
-// Sends, answers and applies messages.
+// Sends peer messages, responds to them and applies their content.
 class PeerExchange {
    public:
-    // What the exchange works with; all of it must outlive the exchange.
+    // The objects that the exchange uses; all of them must outlive it.
     struct Dependencies {
         const store::StoreClient& store;
         store::WatchCache& watch_cache;
@@ -31,27 +31,26 @@
         PeerDirectory& directory;
         RecordFormat& record_format;
     };
-    // `name` is this controller's name in the settings, `started_at` when the process started (seconds,
+    // `name` is this controller's name in the settings, `started_at` is when the process started (seconds,
     // steady clock).
     PeerExchange(std::string name, double started_at, const Dependencies& dependencies,
                  const net::Connect& connect);
 
-    // Answers a message of a peer.
+    // Handles a peer's request and returns the response.
     net::awaitable<net::Reply> handle(net::Request request);
     // Sends a message to one peer every peer_message_period_s. Never returns.
     net::awaitable<void> run(std::size_t peer);
-    // Names a cancellation to the leader before its user is answered: the revision that holds it, and the
-    // job.
+    // Tells the leader about a cancellation committed at `revision` before it is confirmed to the user.
     net::awaitable<void> forward_cancellation(std::uint64_t revision, std::string job);
-    // A worker's heartbeat reached this controller.
+    // Records that a worker's heartbeat reached this controller.
     void record_heartbeat();
 
    private:
-    // What this controller says of itself.
+    // Returns the message that describes this controller's state.
     [[nodiscard]] wire::PeerMessage own_message() const;
-    // Cancellations that the message names are known here from now on.
+    // Adds the cancellations in the message to the watch cache.
     void record_cancellations(const wire::PeerMessage& message);
-    // A peer answered a message that was sent at `sent_at`.
+    // Applies a peer's response to the request that was sent at `sent_at`.
     void apply_response(std::size_t peer, double sent_at, wire::PeerMessage response);
 
     const std::string name_;
@@ -62,7 +61,7 @@
     leadership::LeadershipState& leadership_;
     PeerDirectory& directory_;
     RecordFormat& record_format_;
-    std::vector<std::unique_ptr<net::Client>> clients_;  // in the order of the directory
+    std::vector<std::unique_ptr<net::Client>> clients_;  // in the directory's order
     double last_heartbeat_ = -1;
 };
 
--- a/src/peers/record_format.cpp
+++ b/src/peers/record_format.cpp
@@ -27,9 +27,9 @@
                        [&](const config::Peer& peer) { return recorded_readers.contains(peer.name); });
 }
 
-// Beyond those recorded: this controller, peers that said so, and, once a user has asked for a job with
-// dependencies, peers that are silent. Users ask only after every controller was replaced, so a silent one is
-// not an earlier version that goes on.
+// In addition to the recorded readers these are this controller, the peers that announced it and, once a user
+// has requested a job with dependencies, the silent peers. Users request dependencies only after every
+// controller has been upgraded, so a silent peer is not an earlier version that still runs.
 std::set<std::string> RecordFormat::readers() const {
     auto readers = watch_cache_.format.value;
     readers.insert(settings_.name);
--- a/src/peers/record_format.hpp
+++ b/src/peers/record_format.hpp
@@ -1,4 +1,5 @@
-// Which controllers read the present record format: it is written only once all of them do.
+// Tracks which controllers read the current record format. Records are written in it only once all of them
+// do.
 #pragma once
 
 #include <cstdint>
@@ -11,26 +12,28 @@
 
 namespace pineroad::peers {
 
-// Knows the readers of the present record format.
+// Determines the readers of the current record format.
 class RecordFormat {
    public:
-    // `own_format` is the latest that this process reads; `started_at` when it started (seconds, steady
-    // clock). The others must outlive the object.
+    // `own_format` is the latest format that this process reads; `started_at` is when the process started
+    // (seconds, steady clock). The other arguments must outlive this object.
     RecordFormat(const config::Settings& settings, const store::WatchCache& watch_cache,
                  const PeerDirectory& directory, std::uint64_t own_format, double started_at);
 
-    // The latest format that this process reads.
+    // Returns the latest format that this process reads.
     [[nodiscard]] std::uint64_t own_format() const { return own_format_; }
-    // Whether this process reads the present format.
+    // Returns whether this process reads the current format.
     [[nodiscard]] bool reads_current_format() const;
-    // Whether every controller of the settings is recorded as a reader of the present format.
+    // Returns whether this process reads the current format and every controller in the settings, including
+    // this one, is recorded as a reader of it.
     [[nodiscard]] bool all_controllers_read_format() const;
-    // The controllers that are known to read it: those recorded in the store, and those known besides.
+    // Returns the controllers known to read the current format: those recorded in the store and those found
+    // since.
     [[nodiscard]] std::set<std::string> readers() const;
 
-    // A user asked for a job with dependencies, here or at a peer.
+    // Records that a user requested a job with dependencies from this controller or a peer.
     void record_dependency_request() { dependencies_requested_ = true; }
-    // Whether any user did.
+    // Returns whether any user has requested a job with dependencies.
     [[nodiscard]] bool dependencies_requested() const { return dependencies_requested_; }
 
    private:
