--- a/src/cluster/command_delivery.cpp
+++ b/src/cluster/command_delivery.cpp
@@ -42,9 +42,9 @@
     return commands;
 }
 
-// For a worker that has not shown this term's token yet. This answer renews its lease, and the next may not
-// reach it: what must not run is stopped with this one. Nothing else is commanded, since the heartbeat may be
-// older than what an earlier term did last.
+// The response to this worker renews its lease, and the next response may not reach it, so tasks that must
+// not run are stopped with this one. No other commands are sent, since the heartbeat may be older than the
+// latest commands of an earlier term.
 std::vector<Command> CommandDelivery::stops_of_cancelled_jobs(const Machine& machine) const {
     std::vector<Command> commands;
     for (const auto& task : machine.tasks_under_older_token) {
@@ -57,8 +57,7 @@
     return commands;
 }
 
-// Exited tasks that the worker may forget: not before what it reported of them is durable. Returns whether
-// there is room for more commands.
+// The worker may forget an exited task only once the exit that it reported is durable.
 bool CommandDelivery::add_forgets(Machine& machine, std::vector<Command>& commands) const {
     for (const auto& exited : machine.exited_tasks) {
         const Job* job = std::as_const(jobs_).find(exited.task.job);
@@ -83,17 +82,17 @@
         } else if (!placement.is_confirmed() && may_start && jobs_.may_run(job) &&
                    is_durable(job, placement)) {
             commands.push_back({Command::Kind::start, {job.id, task.index}, placement.attempt, 0});
-            placement.start_was_sent();
+            placement.mark_start_sent();
         }
     }
 }
 
-TaskPlacement* CommandDelivery::unsent_stop(const UnsentStop& stop) {
+TaskPlacement* CommandDelivery::find_unsent_stop(const UnsentStop& stop) {
     Job* job = jobs_.find(stop.job);
     if (!job) return nullptr;
-    const auto at = job->placements.find(stop.task);
-    if (at == job->placements.end()) return nullptr;
-    TaskPlacement& placement = at->second;
+    const auto found = job->placements.find(stop.task);
+    if (found == job->placements.end()) return nullptr;
+    TaskPlacement& placement = found->second;
     return placement.is_stopping() && !placement.stop->sent_directly ? &placement : nullptr;
 }
 
@@ -101,13 +100,13 @@
     std::map<std::string, DirectCommands> by_machine;
     std::vector<UnsentStop> deferred;
     for (auto& stop : stop_requests_.take_unsent()) {
-        TaskPlacement* placement = unsent_stop(stop);
+        TaskPlacement* placement = find_unsent_stop(stop);
         if (!placement) continue;
         const Machine* machine = machines_.find(placement->machine);
         const bool can_be_sent =
             placement->is_confirmed() && machine && machine->token_confirmed() && !machine->address.empty();
         if (!can_be_sent) {
-            deferred.push_back(std::move(stop));  // until a heartbeat shows the task
+            deferred.push_back(std::move(stop));  // retried until a heartbeat shows the task
             continue;
         }
         DirectCommands& direct = by_machine[placement->machine];
--- a/src/cluster/leader_term.hpp
+++ b/src/cluster/leader_term.hpp
@@ -1,4 +1,4 @@
-// Everything that a leader keeps for one term. The loops of the term share it and end when the term is over.
+// The state that a leader keeps for one term. The term's loops share it and stop when the term ends.
 #pragma once
 
 #include <memory>
@@ -13,18 +13,18 @@
 
 namespace pineroad::cluster {
 
-// A term with its cluster state and its budget of writes.
+// A term with its cluster state and write rate limiter.
 struct LeaderTerm {
-    // A cluster state without contents; settings and tuning must outlive it.
-    LeaderTerm(std::shared_ptr<leadership::Term> won, const config::Settings& settings,
+    // Creates an empty cluster state for the term. The settings and tuning must outlive it.
+    LeaderTerm(std::shared_ptr<leadership::Term> won_term, const config::Settings& settings,
                const config::Tuning& tuning)
-        : term(std::move(won)),
+        : term(std::move(won_term)),
           cluster_state(settings, tuning, term->fencing_token(), term->identity().mod_revision,
                         store::steady_now_s()) {}
 
     const std::shared_ptr<leadership::Term> term;
     ClusterState cluster_state;
-    store::WriteRateLimiter writes;
+    store::WriteRateLimiter write_limiter;
 };
 
 }  // namespace pineroad::cluster
--- a/src/cluster/snapshot_builder.cpp
+++ b/src/cluster/snapshot_builder.cpp
@@ -12,24 +12,26 @@
 using model::TaskState;
 
 namespace {
-// Tasks that are neither done nor placed, in ascending order, and at most as many as one round looks at. Only
-// the gaps of the done set are walked: a job of 100,000 tasks costs what is waiting, not what it has.
+// Returns the tasks that are neither done nor placed, in ascending order, at most as many as one round
+// considers. Ranges of done tasks are skipped, so that a job of 100,000 tasks costs only as much as its
+// remaining tasks.
 std::vector<std::uint32_t> pending_tasks(const Job& job, const std::set<model::TaskId>& unknown_tasks) {
     std::vector<std::uint32_t> pending;
     for (std::uint32_t task = 0; task < job.spec->task_count && pending.size() < c::pending_task_window;) {
-        const auto done = job.record.done.find(task);
-        if (done != job.record.done.end()) {
+        const auto done = job.progress.done.find(task);
+        if (done != job.progress.done.end()) {
             task = boost::icl::last(*done) + 1;
             continue;
         }
-        const bool is_unknown_elsewhere = !unknown_tasks.empty() && unknown_tasks.contains({job.id, task});
-        if (!job.placements.contains(task) && !is_unknown_elsewhere) pending.push_back(task);
+        const bool runs_without_placement = !unknown_tasks.empty() && unknown_tasks.contains({job.id, task});
+        if (!job.placements.contains(task) && !runs_without_placement) pending.push_back(task);
         ++task;
     }
     return pending;
 }
 
-// A gang whose present attempt is ending: it starts again as a whole once its last member has ended.
+// Returns whether the gang's current attempt is being aborted. The gang starts again as a whole once the last
+// member has ended.
 bool is_aborting(const Job& job) {
     if (!job.is_gang() || job.placements.empty()) return false;
     return job.gang_has_run || std::any_of(job.placements.begin(), job.placements.end(),
@@ -46,7 +48,7 @@
     add_pools(snapshot);
     const auto unknown = unknown_tasks();
     for (const auto& [id, job] : jobs_.all()) {
-        add_usage(snapshot, job);
+        add_quota_usage(snapshot, job);
         if (jobs_.may_run(job)) add_job(snapshot, job, unknown);
     }
     for (const auto& [id, machine] : machines_.all()) {
@@ -72,14 +74,13 @@
     return unknown;
 }
 
-// What the job's placements take of its team's quota. Those of cancelled jobs count until they are proven
-// off.
-void SnapshotBuilder::add_usage(scheduling::Snapshot& snapshot, const Job& job) const {
+// Placements of cancelled jobs count until the tasks are known to have left their machines.
+void SnapshotBuilder::add_quota_usage(scheduling::Snapshot& snapshot, const Job& job) const {
     if (job.placements.empty()) return;
-    auto& usage = snapshot.usage[job.record.team];
+    auto& usage = snapshot.usage[job.progress.team];
     const auto tasks = static_cast<double>(job.placements.size());
-    usage.cpus += tasks * job.record.task_resources.cpus;
-    usage.gpus += tasks * job.record.task_resources.gpus;
+    usage.cpus += tasks * job.progress.task_resources.cpus;
+    usage.gpus += tasks * job.progress.task_resources.gpus;
 }
 
 void SnapshotBuilder::add_job(scheduling::Snapshot& snapshot, const Job& job,
@@ -111,14 +112,15 @@
     scheduling::PendingJob pending;
     pending.spec = &spec;
     pending.priority = jobs_.dependencies().priority(spec);
-    const double waited_s = std::max(0.0, age_s(job) - job.record.checkpointed_run_s);
-    // Lost time counts as wait for the xfactor, but a gang that ran a moment ago has not been passed over.
-    const bool was_placed_before = job.record.next_attempt > 1;
+    const double waited_s = std::max(0.0, age_s(job) - job.progress.checkpointed_run_s);
+    // Lost run time counts as waiting time for the expansion factor, but `waited_s` of a job that was placed
+    // before counts only from when its last task ended: a gang that ran recently was not starved.
+    const bool was_placed_before = job.progress.next_attempt > 1;
     pending.waited_s =
         was_placed_before ? std::min(waited_s, context_.now_s - job.waiting_since_s) : waited_s;
-    // A job that keeps failing does not climb over others by the time its failures take.
-    const bool only_fails = job.failures.count > 0 && job.record.done.empty();
-    pending.xfactor = only_fails ? 1.0 : scheduling::xfactor(waited_s, spec.estimate_s);
+    // A job that only fails gains no priority from the time that its failures take.
+    const bool never_succeeded = job.failures.count > 0 && job.progress.done.empty();
+    pending.xfactor = never_succeeded ? 1.0 : scheduling::xfactor(waited_s, spec.estimate_s);
     pending.slack_s = slack_s(job);
     pending.expected_s = estimates_.expected_s(spec);
     pending.in_pipeline = jobs_.dependencies().in_pipeline(spec);
@@ -131,7 +133,7 @@
 void SnapshotBuilder::add_pending_tasks(scheduling::PendingJob& pending, const Job& job,
                                         const std::set<model::TaskId>& unknown_tasks) const {
     if (job.is_gang())
-        pending.excluded_machines.insert(job.gang_left_machines.begin(), job.gang_left_machines.end());
+        pending.excluded_machines.insert(job.gang_vacated_machines.begin(), job.gang_vacated_machines.end());
     if (is_aborting(job)) return;
     pending.pending_tasks = pending_tasks(job, unknown_tasks);
     if (!job.sharded && !jobs_.may_shard(*job.spec)) pending.max_placements = free_entry_capacity(job);
@@ -144,7 +146,7 @@
         if (machine && !machine->zone.empty())
             ++pending.tasks_by_zone[machine->zone];
         else
-            pending.pending_tasks.clear();  // its zone is unknown: no other task may start yet
+            pending.pending_tasks.clear();  // zone unknown: no other task may start yet
     }
 }
 
@@ -156,7 +158,7 @@
     out.booting = !machine.has_reported() && !machine.is_listed_as(model::MachineStatus::failed);
     out.free = type.capacity;
     for (const auto& [job, task] : machine.tasks) {
-        out.free -= job->record.task_resources;
+        out.free -= job->progress.task_resources;
         if (job->spec) out.job_classes.insert(job->spec->job_class);
     }
     for (const auto& image : machine.images) out.images.push_back(image.name);
@@ -170,13 +172,13 @@
     return static_cast<double>(context_.wall_ms() - jobs_.waiting_since_ms(job)) / 1000.0;
 }
 
-// How long the start may still wait without missing a service-level objective or the deadline.
+// A job without an objective or deadline gets its expected run time as slack.
 double SnapshotBuilder::slack_s(const Job& job) const {
     const auto& spec = *job.spec;
     const double age = age_s(job);
     const double expected = estimates_.expected_s(spec);
     double slack = 1e9;
-    // Its own deadline counts from the submission, and so do those of the jobs after it.
+    // Deadlines of the job and of its dependents count from submission, not from when the job became ready.
     if (const auto due_ms = jobs_.dependencies().deadline_ms(spec))
         slack = std::min(slack, static_cast<double>(*due_ms - context_.wall_ms()) / 1000.0 - expected);
     for (const auto& objective : context_.settings.objectives) {
@@ -186,16 +188,16 @@
         else if (objective.kind == config::ObjectiveKind::finish)
             slack = std::min(slack, *objective.within_s - age - expected);
     }
-    const bool unbounded = slack > 1e8;
-    return unbounded ? expected : slack;
+    const bool has_no_limit = slack > 1e8;
+    return has_no_limit ? expected : slack;
 }
 
-// How many more tasks an entry of the whole job can name: it must stay within one value.
+// The entry must fit one value of the store.
 std::uint32_t SnapshotBuilder::free_entry_capacity(const Job& job) const {
     const double bytes =
         context_.settings.value_kb * 1024 * c::value_fill_ratio - c::progress_record_overhead_bytes;
     const double free = bytes / c::max_progress_entry_bytes - static_cast<double>(job.placements.size()) -
-                        static_cast<double>(job.record.done.iterative_size());
+                        static_cast<double>(job.progress.done.iterative_size());
     return static_cast<std::uint32_t>(std::max(0.0, free));
 }
 
--- a/src/cluster/task_lifecycle.cpp
+++ b/src/cluster/task_lifecycle.cpp
@@ -14,7 +14,7 @@
 using model::ExitCause;
 
 namespace {
-const char* text(ExitCause cause) {
+const char* describe(ExitCause cause) {
     switch (cause) {
         case ExitCause::done:
             return "done";
@@ -38,7 +38,7 @@
     return "no cause given";
 }
 
-const char* text(LossReason reason) {
+const char* describe(LossReason reason) {
     switch (reason) {
         case LossReason::not_on_machine:
             return "no longer on its machine";
@@ -52,8 +52,8 @@
     return "";
 }
 
-// After so many failures of the job, how long until it is tried again.
-double retry_pause_s(int failures) {
+// Returns the delay before the job is retried after this many failures.
+double retry_backoff_s(int failures) {
     return std::min(c::task_retry_backoff_s * std::pow(2.0, std::min(failures - 1, 10)),
                     c::task_retry_backoff_max_s);
 }
@@ -61,9 +61,9 @@
 
 void TaskLifecycle::cancel_job(const std::string& id) {
     Job* job = jobs_.find(id);
-    if (!job || job->is_over()) return;
+    if (!job || job->is_final()) return;
     job->phase = JobPhase::cancelled;
-    // Starts not sent yet are never sent: nothing runs under such placements.
+    // Placements whose start was not sent are removed, since nothing can run under them.
     for (auto next = job->placements.begin(); next != job->placements.end();) {
         const auto placement = next++;
         if (placement->second.is_unsent()) remove_placement(*job, placement);
@@ -77,7 +77,7 @@
 
 void TaskLifecycle::cancel_job_by_dependency(const std::string& id) {
     Job* job = jobs_.find(id);
-    if (!job || job->is_over() || job->phase == JobPhase::cancelled_by_dependency) return;
+    if (!job || job->is_final() || job->phase == JobPhase::cancelled_by_dependency) return;
     job->phase = JobPhase::cancelled_by_dependency;
     jobs_.mark_changed(*job);
     spdlog::info("job {} cancelled with a job that it depends on (term {})", id, context_.fencing_token);
@@ -100,7 +100,7 @@
 void TaskLifecycle::handle_exit(Job& job, const model::ReportedTask& task, Machine& machine) {
     const TaskPlacement placement = remove_placement(job, job.placements.find(task.task.index));
     spdlog::debug("task {}/{} attempt {} exited on {}: {}{} (term {})", job.id, placement.index,
-                  placement.attempt, machine.id, text(task.cause), task.checkpoint_saved ? ", saved" : "",
+                  placement.attempt, machine.id, describe(task.cause), task.checkpoint_saved ? ", saved" : "",
                   context_.fencing_token);
     jobs_.mark_changed(job, placement.index);
     if (!job.spec || job.is_cancelled()) return;
@@ -113,70 +113,71 @@
 void TaskLifecycle::handle_success(Job& job, const TaskPlacement& placement, Machine& machine) {
     machine.consecutive_failures = 0;
     machine.failed_jobs.clear();
-    // Tasks that resume from a checkpoint tell nothing about the run time of a whole task.
-    if (placement.running_since_s && job.record.checkpointed_run_s <= 0 && job.spec->estimate_s > 0)
+    // The run time of a task that resumed from a checkpoint says nothing about that of a whole task.
+    if (placement.running_since_s && job.progress.checkpointed_run_s <= 0 && job.spec->estimate_s > 0)
         estimates_.record(*job.spec, context_.now_s - *placement.running_since_s);
-    // A gang completes together: one done, all done.
+    // A gang completes as a whole: once one task is done, all are.
     if (job.is_gang())
-        job.record.done += boost::icl::discrete_interval<std::uint32_t>::right_open(0, job.spec->task_count);
+        job.progress.done +=
+            boost::icl::discrete_interval<std::uint32_t>::right_open(0, job.spec->task_count);
     else
-        job.record.done += placement.index;
-    if (job.finish_if_complete()) pending_changes_.request_commit();
+        job.progress.done += placement.index;
+    if (job.complete_if_all_tasks_done()) pending_changes_.request_commit();
 }
 
 void TaskLifecycle::handle_failure(Job& job, const TaskPlacement& placement, const model::ReportedTask& task,
                                    Machine& machine) {
     const double now = context_.now_s;
     if (task.cause == ExitCause::stopped && task.checkpoint_saved && placement.running_since_s)
-        job.record.checkpointed_run_s += now - *placement.running_since_s;
+        job.progress.checkpointed_run_s += now - *placement.running_since_s;
     if (task.cause == ExitCause::error) record_failure(job, machine);
     if (task.cause == ExitCause::insufficient_resources || task.cause == ExitCause::already_running ||
         task.cause == ExitCause::unknown_task)
         job.failures.retry_at_s = std::max(job.failures.retry_at_s, now + 1);
-    job.gang_left_machines.insert(machine.id);
-    continue_after_loss(job);
+    job.gang_vacated_machines.insert(machine.id);
+    update_gang_after_loss(job);
 }
 
-void TaskLifecycle::record_completion_elsewhere(Job& job, const model::ReportedTask& task) {
-    if (!job.spec || job.is_cancelled() || job.is_finished() || task.cause != ExitCause::done ||
-        boost::icl::contains(job.record.done, task.task.index))
+void TaskLifecycle::record_unplaced_completion(Job& job, const model::ReportedTask& task) {
+    if (!job.spec || job.is_cancelled() || job.all_tasks_done() || task.cause != ExitCause::done ||
+        boost::icl::contains(job.progress.done, task.task.index))
         return;
-    job.record.done += task.task.index;
-    job.finish_if_complete();
+    job.progress.done += task.task.index;
+    job.complete_if_all_tasks_done();
     jobs_.mark_changed(job, task.task.index);
 }
 
 void TaskLifecycle::mark_lost(Job& job, std::uint32_t task, LossReason reason) {
     const TaskPlacement placement = remove_placement(job, job.placements.find(task));
     spdlog::info("task {}/{} attempt {} on {} lost: {} (term {})", job.id, placement.index, placement.attempt,
-                 placement.machine, text(reason), context_.fencing_token);
-    job.gang_left_machines.insert(placement.machine);
+                 placement.machine, describe(reason), context_.fencing_token);
+    job.gang_vacated_machines.insert(placement.machine);
     jobs_.mark_changed(job, placement.index);
-    continue_after_loss(job);
+    update_gang_after_loss(job);
 }
 
-void TaskLifecycle::continue_after_loss(Job& job) {
+void TaskLifecycle::update_gang_after_loss(Job& job) {
     if (!job.is_gang()) return;
     if (job.placements.empty()) {
         job.end_gang_attempt(context_.now_s);
     } else if (job.gang_has_run) {
-        // The others notice by themselves within gang_peer_s; a stop is quicker.
+        // The other members would notice the loss within gang_peer_s; a stop is faster.
         const bool saving = std::any_of(job.placements.begin(), job.placements.end(),
                                         [](const auto& entry) { return entry.second.is_saving(); });
         if (!saving) stop_requests_.request_all(job, 0);
     }
-    // A gang that has not started keeps waiting for a replacement under the same attempt.
+    // A gang that has not run yet keeps its attempt and waits for a replacement.
 }
 
-// An error speaks against the machine or against the job: several jobs failing on one machine, or one job
-// failing on several machines, tells which.
+// An error is caused by the machine or by the job: the machine if several jobs fail on it, the job if it
+// fails on several machines.
 void TaskLifecycle::record_failure(Job& job, Machine& machine) {
     ++job.failures.count;
     job.failures.machines.insert(machine.id);
-    const bool job_at_fault = job.record.done.empty() && static_cast<int>(job.failures.machines.size()) >=
-                                                             c::max_failed_machines_per_job;
+    const bool job_at_fault = job.progress.done.empty() && static_cast<int>(job.failures.machines.size()) >=
+                                                               c::max_failed_machines_per_job;
     if (job_at_fault) {
-        job.failures.retry_at_s = context_.now_s + retry_pause_s(job.failures.count);
+        job.failures.retry_at_s = context_.now_s + retry_backoff_s(job.failures.count);
         machines_.forget_failures_of(job.id);
         return;
     }
@@ -184,12 +185,12 @@
     machine.failed_jobs.insert(job.id);
     const bool several_jobs_failed =
         static_cast<int>(machine.failed_jobs.size()) >= c::max_consecutive_machine_failures;
-    const bool a_good_job_failed =
-        machine.consecutive_failures >= c::max_consecutive_machine_failures && !job.record.done.empty();
-    if (several_jobs_failed || a_good_job_failed) quarantine(machine);
+    const bool progressing_job_failed =
+        machine.consecutive_failures >= c::max_consecutive_machine_failures && !job.progress.done.empty();
+    if (several_jobs_failed || progressing_job_failed) quarantine(machine);
 }
 
-// Everything on a faulty machine goes elsewhere, and the machine is released.
+// The stopped tasks are placed on other machines, and the machine is released.
 void TaskLifecycle::quarantine(Machine& machine) {
     if (!machine.quarantined)
         spdlog::info("machine {} quarantined: the tasks that it runs fail (term {})", machine.id,
