--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -108,7 +108,7 @@
 }
 
 bool ClusterState::reject_write_batch() {
-    return writes_.reject_batch();
+    return writes_.record_rejection();
 }
 
 std::vector<std::string> ClusterState::take_machines_with_durable_starts() {
@@ -134,7 +134,7 @@
 }
 
 std::vector<std::string> ClusterState::machines_to_release(double) const {
-    return machine_lifecycle_.to_release();
+    return machine_lifecycle_.machines_to_release();
 }
 
 void ClusterState::machines_released(const std::vector<std::string>& machines, double now) {
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -108,9 +108,11 @@
     // The cloud's machine types. Returns whether they are to be written.
     bool set_machine_types(const std::vector<model::MachineType>& types);
     // Whether a provisioning request is durable and not under way.
-    [[nodiscard]] bool has_provisioning_request() const { return provisioning_.has_next(); }
+    [[nodiscard]] bool has_provisioning_request() const { return provisioning_.has_sendable(); }
     // The next provisioning request to be sent; it counts as under way from here.
-    std::optional<model::ProvisioningRequest> next_provisioning_request() { return provisioning_.next(); }
+    std::optional<model::ProvisioningRequest> next_provisioning_request() {
+        return provisioning_.take_next();
+    }
     // The cloud provisioned these machines for the request of this name.
     void machines_provisioned(const std::string& name, const std::vector<std::string>& machines, double now);
     // The cloud had no capacity for the request of this name.
--- a/src/cluster/command_delivery.cpp
+++ b/src/cluster/command_delivery.cpp
@@ -38,7 +38,7 @@
     if (!add_forgets(*machine, commands)) return commands;
     for (const auto& task : machine->unknown_tasks)
         commands.push_back({Command::Kind::stop, task.task, task.attempt, 0});
-    add_starts_and_stops(*machine, may_start && machines_.is_usable(*machine, now), commands);
+    add_starts_and_stops(*machine, may_start && machines_.is_schedulable(*machine, now), commands);
     return commands;
 }
 
--- a/src/cluster/durable_writes.cpp
+++ b/src/cluster/durable_writes.cpp
@@ -15,7 +15,7 @@
 namespace records = wire::records;
 
 bool DurableWrites::is_due() const {
-    return state_.machines.types().is_changed() || state_.pending_changes.is_write_due(state_.context.now_s);
+    return state_.machines.types().needs_write() || state_.pending_changes.is_write_due(state_.context.now_s);
 }
 
 std::optional<WriteBatch> DurableWrites::next_batch(std::size_t changes) {
@@ -29,7 +29,7 @@
     return std::nullopt;
 }
 
-bool DurableWrites::reject_batch() {
+bool DurableWrites::record_rejection() {
     ++rejections_;
     state_.pending_changes.request_commit();
     return rejections_ <= c::max_rejected_batches;
@@ -43,12 +43,12 @@
     }
     apply_progress_removals(batch);
     for (const auto& segment : batch.segments) state_.segments.apply_commit(segment, revision);
-    for (const auto& entry : batch.tombstones) state_.segments.tombstone_written(entry);
+    for (const auto& entry : batch.tombstones) state_.segments.mark_tombstone_written(entry);
     for (const auto& finished : batch.finished_jobs) apply_outcome(finished, wall_ms);
     for (const auto& id : batch.removed_jobs) remove_if_over(id);
     if (batch.provisioning_requests) state_.provisioning.apply_commit(*batch.provisioning_requests, revision);
-    if (batch.machine_types) state_.machines.types().apply_commit(revision);
-    if (batch.category_averages) state_.averages.apply_commit(revision, now);
+    if (batch.has_machine_types) state_.machines.types().apply_commit(revision);
+    if (batch.has_category_averages) state_.averages.apply_commit(revision, now);
     state_.pending_changes.restart_deferral(now);
     state_.segments.compact();
 }
--- a/src/cluster/durable_writes.hpp
+++ b/src/cluster/durable_writes.hpp
@@ -26,7 +26,7 @@
     void apply_commit(const WriteBatch& batch, std::uint64_t revision, std::int64_t wall_ms);
     // The store rejected a batch as malformed: its limits are lower than announced. What follows is smaller.
     // False: that has not helped so far.
-    bool reject_batch();
+    bool record_rejection();
     // Machines with starts that became durable since the last call. A machine may be named several times.
     std::vector<std::string> take_machines_with_durable_starts();
 
--- a/src/cluster/failure_detector.cpp
+++ b/src/cluster/failure_detector.cpp
@@ -13,7 +13,7 @@
 using model::MachineStatus;
 
 namespace {
-const char* text(ReleaseReason reason) {
+const char* release_reason_text(ReleaseReason reason) {
     switch (reason) {
         case ReleaseReason::listed_as_failed:
             return "listed as failed";
@@ -21,7 +21,7 @@
             return "its interruption notice has run out";
         case ReleaseReason::unlisted_and_silent:
             return "no longer listed and silent";
-        case ReleaseReason::silent_alone:
+        case ReleaseReason::silent_while_others_report:
             return "silent while others report";
         case ReleaseReason::silent_past_lease:
             return "silent past its lease";
@@ -47,12 +47,13 @@
 }  // namespace
 
 void FailureDetector::release(Machine& machine, ReleaseReason reason) const {
-    spdlog::info("machine {} released: {} (term {})", machine.id, text(reason), context_.fencing_token);
+    spdlog::info("machine {} released: {} (term {})", machine.id, release_reason_text(reason),
+                 context_.fencing_token);
     machine.releasing = true;
 }
 
 void FailureDetector::detect() {
-    const FleetContact contact = count_contact();
+    const ContactCounts contact = count_contacts();
     commands_reach_most_machines_ = contact.commands_reach_most();
     for (auto& [id, machine] : machines_.all()) {
         if (machine.releasing) continue;
@@ -61,91 +62,92 @@
         if (machine.unacknowledged.is_partitioned() &&
             machine.last_heartbeat_s - machine.unacknowledged.latest_at_s > context_.settings.worker_lease_s)
             machine.unacknowledged.reset();
-        if (const auto reason = reason_to_release(machine, contact.most_report())) release(machine, *reason);
+        if (const auto reason = release_reason(machine, contact.most_in_contact())) release(machine, *reason);
     }
     withdraw_unsent_starts();
     machines_.released().expire(context_.now_s);
 }
 
-bool FailureDetector::FleetContact::commands_reach_most() const {
-    return receiving_nothing <= std::max<std::size_t>(c::partitioned_machines_tolerated, reporting / 5);
+bool FailureDetector::ContactCounts::commands_reach_most() const {
+    return not_receiving_commands <= std::max<std::size_t>(c::partitioned_machines_tolerated, reporting / 5);
 }
 
-FailureDetector::FleetContact FailureDetector::count_contact() const {
-    FleetContact contact;
+FailureDetector::ContactCounts FailureDetector::count_contacts() const {
+    ContactCounts contact;
     for (const auto& [id, machine] : machines_.all()) {
         if (!machine.has_reported()) continue;
         ++contact.reporting;
         if (context_.now_s - machine.last_heartbeat_s < 2 * context_.settings.heartbeat_period_s)
             ++contact.in_contact;
-        if (machine.unacknowledged.heartbeats > 0 || machine.older_token_since_s) ++contact.receiving_nothing;
+        if (machine.unacknowledged.heartbeats > 0 || machine.older_token_since_s)
+            ++contact.not_receiving_commands;
     }
     return contact;
 }
 
-double FailureDetector::detection_s() const {
+double FailureDetector::detection_timeout_s() const {
     return c::failure_detection_periods * context_.settings.heartbeat_period_s +
            c::failure_detection_margin_s;
 }
 
-double FailureDetector::past_lease_s() const {
+double FailureDetector::lease_timeout_s() const {
     return context_.settings.worker_lease_s + c::failure_detection_margin_s;
 }
 
-std::optional<ReleaseReason> FailureDetector::reason_to_release(const Machine& machine,
-                                                                bool others_report) const {
+std::optional<ReleaseReason> FailureDetector::release_reason(const Machine& machine,
+                                                             bool others_report) const {
     if (machine.is_listed_as(MachineStatus::failed)) return ReleaseReason::listed_as_failed;
-    const double silent_s = context_.now_s - std::max(machine.last_heartbeat_s, silence_counts_from_s_);
-    return machine.has_reported() ? reason_to_release_reporting(machine, others_report, silent_s)
-                                  : reason_to_release_unreported(machine, others_report, silent_s);
+    const double silent_s = context_.now_s - std::max(machine.last_heartbeat_s, silence_start_s_);
+    return machine.has_reported() ? release_reason_reporting(machine, others_report, silent_s)
+                                  : release_reason_unreported(machine, others_report, silent_s);
 }
 
-std::optional<ReleaseReason> FailureDetector::reason_to_release_reporting(const Machine& machine,
-                                                                          bool others_report,
-                                                                          double silent_s) const {
+std::optional<ReleaseReason> FailureDetector::release_reason_reporting(const Machine& machine,
+                                                                       bool others_report,
+                                                                       double silent_s) const {
     const double now = context_.now_s;
     const double period_s = context_.settings.heartbeat_period_s;
     const auto& notice = machine.interruption_notice;
     if (notice && silent_s > period_s && now - notice->reported_at_s > notice->remaining_s + 1)
         return ReleaseReason::interrupted;
-    if (machine.missing_since_s && silent_s > 2 * period_s) return ReleaseReason::unlisted_and_silent;
-    if (silent_s > detection_s() && others_report) return ReleaseReason::silent_alone;
-    if (silent_s > past_lease_s()) return ReleaseReason::silent_past_lease;
+    if (machine.unlisted_since_s && silent_s > 2 * period_s) return ReleaseReason::unlisted_and_silent;
+    if (silent_s > detection_timeout_s() && others_report) return ReleaseReason::silent_while_others_report;
+    if (silent_s > lease_timeout_s()) return ReleaseReason::silent_past_lease;
     if (commands_reach_most_machines_ && machine.older_token_since_s &&
         now - *machine.older_token_since_s > context_.settings.worker_lease_s)
         return ReleaseReason::never_showed_token;
-    if (machine.quarantined && (machine.tasks.empty() || silent_s > detection_s()))
+    if (machine.quarantined && (machine.tasks.empty() || silent_s > detection_timeout_s()))
         return ReleaseReason::quarantined;
     return std::nullopt;
 }
 
 // The same for one that has not reported in this term.
-std::optional<ReleaseReason> FailureDetector::reason_to_release_unreported(const Machine& machine,
-                                                                           bool others_report,
-                                                                           double silent_s) const {
-    if (!machine.tasks.empty())
-        return reason_to_release_with_inherited_tasks(machine, others_report, silent_s);
+std::optional<ReleaseReason> FailureDetector::release_reason_unreported(const Machine& machine,
+                                                                        bool others_report,
+                                                                        double silent_s) const {
+    if (!machine.tasks.empty()) return release_reason_with_inherited_tasks(machine, others_report, silent_s);
     if (machine.is_listed_as(MachineStatus::running)) {
-        if (silent_s <= past_lease_s()) return std::nullopt;
+        if (silent_s <= lease_timeout_s()) return std::nullopt;
         return ReleaseReason::running_without_heartbeat;
     }
     // Old enough is not enough: after a failover no machine has reported yet (found by incident: a new leader
     // released running machines 0.3 s into its term).
     const auto* type = machines_.types().find(machine.type);
     const double boot_s = std::max(c::boot_patience * (type ? type->boot_s : 0), c::boot_patience_min_s);
-    if (silent_s > detection_s() && context_.now_s - machine.provisioned_at_s > boot_s)
+    if (silent_s > detection_timeout_s() && context_.now_s - machine.provisioned_at_s > boot_s)
         return ReleaseReason::never_booted;
     return std::nullopt;
 }
 
-std::optional<ReleaseReason> FailureDetector::reason_to_release_with_inherited_tasks(const Machine& machine,
-                                                                                     bool others_report,
-                                                                                     double silent_s) const {
-    const double patience_s =
-        others_report ? std::max(context_.settings.worker_lease_s / 2, detection_s()) : past_lease_s();
-    if (silent_s > patience_s) return ReleaseReason::unreported_with_tasks;
+std::optional<ReleaseReason> FailureDetector::release_reason_with_inherited_tasks(const Machine& machine,
+                                                                                  bool others_report,
+                                                                                  double silent_s) const {
+    const double timeout_s = others_report
+                                 ? std::max(context_.settings.worker_lease_s / 2, detection_timeout_s())
+                                 : lease_timeout_s();
+    if (silent_s > timeout_s) return ReleaseReason::unreported_with_tasks;
     // Found by incident: spot machines interrupted while nobody led kept their tasks unknown for 28 s.
-    if (machine.missing_since_s && silent_s > 1.5 * context_.settings.heartbeat_period_s)
+    if (machine.unlisted_since_s && silent_s > 1.5 * context_.settings.heartbeat_period_s)
         return ReleaseReason::unlisted_with_tasks;
     return std::nullopt;
 }
@@ -154,10 +156,10 @@
 void FailureDetector::withdraw_unsent_starts() {
     for (auto& [id, machine] : machines_.all()) {
         if (machine.tasks.empty()) continue;
-        const bool is_usable = machines_.is_usable(machine, context_.now_s);
+        const bool is_schedulable = machines_.is_schedulable(machine, context_.now_s);
         for (const auto& task : std::vector(machine.tasks)) {
             const TaskPlacement& placement = task.placement();
-            if (!placement.is_unsent() || (is_usable && !placement.is_stopping())) continue;
+            if (!placement.is_unsent() || (is_schedulable && !placement.is_stopping())) continue;
             tasks_.mark_lost(*task.job, task.index, LossReason::withdrawn);
         }
     }
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -97,7 +97,7 @@
     // The cloud: written by the MachineLifecycle; `releasing` by the FailureDetector alone.
     double provisioned_at_s = 0;
     std::optional<model::MachineStatus> listed_status;  // of its latest listing; nothing: never listed
-    std::optional<double> missing_since_s;              // was listed, and is no longer
+    std::optional<double> unlisted_since_s;             // was listed, and is no longer
     bool releasing = false;
 
     // Tasks and their failures: written by the TaskLifecycle.
--- a/src/cluster/machine_lifecycle.cpp
+++ b/src/cluster/machine_lifecycle.cpp
@@ -21,7 +21,7 @@
     }
 }
 
-std::vector<std::string> MachineLifecycle::to_release() const {
+std::vector<std::string> MachineLifecycle::machines_to_release() const {
     std::vector<std::string> ids;
     for (const auto& [id, machine] : std::as_const(machines_).all())
         if (machine.releasing && ids.size() < static_cast<std::size_t>(c::max_machines_per_release))
@@ -44,12 +44,12 @@
     std::set<std::string> listed_ids;
     for (const auto& listed : list) {
         listed_ids.insert(listed.id);
-        if (!machines_.released().contains(listed.id)) apply_listed(listed);
+        if (!machines_.released().contains(listed.id)) apply_listed_machine(listed);
     }
-    mark_missing(listed_ids);
+    mark_unlisted(listed_ids);
 }
 
-void MachineLifecycle::apply_listed(const model::ListedMachine& listed) {
+void MachineLifecycle::apply_listed_machine(const model::ListedMachine& listed) {
     const bool is_new = !machines_.find(listed.id);
     Machine& machine = machines_.find_or_add(listed.id);
     if (is_new) spdlog::info("machine {} found in the list (term {})", listed.id, context_.fencing_token);
@@ -58,19 +58,19 @@
     if (machine.address.empty()) machine.address = listed.address;
     machine.provisioned_at_s = std::min(machine.provisioned_at_s, context_.now_s - listed.age_s);
     machine.listed_status = listed.status;
-    machine.missing_since_s.reset();
+    machine.unlisted_since_s.reset();
 }
 
-void MachineLifecycle::mark_missing(const std::set<std::string>& listed) {
+void MachineLifecycle::mark_unlisted(const std::set<std::string>& listed) {
     // Whatever ran a task in an earlier term is older than the list's lag by now: not listed, it does not
     // exist any more.
-    const bool caught_up =
+    const bool list_is_current =
         context_.now_s - context_.started_at_s > 2 * context_.settings.list_lag_s + c::list_period_s;
     for (auto& [id, machine] : machines_.all()) {
         const bool has_inherited_tasks = !machine.has_reported() && !machine.tasks.empty();
-        const bool should_be_listed = machine.listed_status || (caught_up && has_inherited_tasks);
-        if (should_be_listed && !listed.contains(id) && !machine.missing_since_s)
-            machine.missing_since_s = context_.now_s;
+        const bool should_be_listed = machine.listed_status || (list_is_current && has_inherited_tasks);
+        if (should_be_listed && !listed.contains(id) && !machine.unlisted_since_s)
+            machine.unlisted_since_s = context_.now_s;
     }
 }
 
--- a/src/cluster/machine_lifecycle.hpp
+++ b/src/cluster/machine_lifecycle.hpp
@@ -24,15 +24,15 @@
     // The cloud's list of machines. It lags.
     void apply_list(const std::vector<model::ListedMachine>& list);
     // Machines to be released next, as many as one request may name.
-    [[nodiscard]] std::vector<std::string> to_release() const;
+    [[nodiscard]] std::vector<std::string> machines_to_release() const;
     // The release of the machines was answered: nothing runs there any more.
     void remove_released(const std::vector<std::string>& ids);
 
    private:
     // One machine of the list.
-    void apply_listed(const model::ListedMachine& listed);
+    void apply_listed_machine(const model::ListedMachine& listed);
     // Machines that should be listed and are not.
-    void mark_missing(const std::set<std::string>& listed);
+    void mark_unlisted(const std::set<std::string>& listed);
 
     const TermContext& context_;
     MachineTable& machines_;
--- a/src/cluster/machine_table.cpp
+++ b/src/cluster/machine_table.cpp
@@ -28,16 +28,16 @@
     return machine;
 }
 
-bool MachineTable::is_usable(const Machine& machine, double now) const {
-    const double contact_s = c::heartbeat_periods_usable * context_.settings.heartbeat_period_s;
+bool MachineTable::is_schedulable(const Machine& machine, double now) const {
+    const double contact_timeout_s = c::heartbeat_periods_usable * context_.settings.heartbeat_period_s;
     return machine.token_confirmed() && !machine.releasing && !machine.quarantined &&
            !machine.interruption_notice && !machine.is_listed_as(model::MachineStatus::failed) &&
-           machine.unknown_tasks.empty() && now - machine.last_heartbeat_s < contact_s &&
+           machine.unknown_tasks.empty() && now - machine.last_heartbeat_s < contact_timeout_s &&
            !machine.unacknowledged.is_partitioned();
 }
 
 // What a machine's cache still holds, as far as one can tell: the latest images that fit into it.
-void MachineTable::remember_image(Machine& machine, const model::JobSpec& spec) {
+void MachineTable::record_cached_image(Machine& machine, const model::JobSpec& spec) {
     std::erase_if(machine.images, [&](const CachedImage& image) { return image.name == spec.image; });
     machine.images.push_back({spec.image, spec.image_gb});
     const auto* type = types_.find(machine.type);
@@ -50,7 +50,7 @@
     }
 }
 
-void MachineTable::forget_failures_of(const std::string& job) {
+void MachineTable::clear_failures_of(const std::string& job) {
     for (auto& [id, machine] : machines_) machine.failed_jobs.erase(job);
 }
 
--- a/src/cluster/machine_table.hpp
+++ b/src/cluster/machine_table.hpp
@@ -33,11 +33,11 @@
 
     // Whether tasks may be started on the machine: it is in contact under this term's token, and nothing
     // speaks against it.
-    [[nodiscard]] bool is_usable(const Machine& machine, double now) const;
+    [[nodiscard]] bool is_schedulable(const Machine& machine, double now) const;
     // A task of the job is placed on the machine: its cache will hold the job's image.
-    void remember_image(Machine& machine, const model::JobSpec& spec);
+    void record_cached_image(Machine& machine, const model::JobSpec& spec);
     // Tasks of the job do not count against any machine any more.
-    void forget_failures_of(const std::string& job);
+    void clear_failures_of(const std::string& job);
 
     // The machine types.
     [[nodiscard]] MachineTypes& types() { return types_; }
--- a/src/cluster/machine_types.cpp
+++ b/src/cluster/machine_types.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 // Prices move; only the shape of the fleet is written down.
-bool same_shape(const model::MachineType& first, const model::MachineType& second) {
+bool equal_except_price(const model::MachineType& first, const model::MachineType& second) {
     return first.name == second.name && first.capacity.cpus == second.capacity.cpus &&
            first.capacity.gpus == second.capacity.gpus &&
            first.capacity.memory_gb == second.capacity.memory_gb && first.zones == second.zones;
@@ -20,12 +20,12 @@
 }
 
 bool MachineTypes::set(const std::vector<model::MachineType>& types) {
-    const bool is_written = mod_revision_ != 0;
-    const bool same =
-        is_written && std::equal(types.begin(), types.end(), types_.begin(), types_.end(), same_shape);
+    const bool was_written = mod_revision_ != 0;
+    const bool unchanged = was_written && std::equal(types.begin(), types.end(), types_.begin(), types_.end(),
+                                                     equal_except_price);
     types_ = types;
-    if (!same) changed_ = true;
-    return !same;
+    if (!unchanged) needs_write_ = true;
+    return !unchanged;
 }
 
 const model::MachineType* MachineTypes::find(const std::string& name) const {
@@ -35,7 +35,7 @@
 }
 
 void MachineTypes::apply_commit(std::uint64_t revision) {
-    changed_ = false;
+    needs_write_ = false;
     mod_revision_ = revision;
 }
 
--- a/src/cluster/machine_types.hpp
+++ b/src/cluster/machine_types.hpp
@@ -23,7 +23,7 @@
     [[nodiscard]] const model::MachineType* find(const std::string& name) const;
 
     // Whether the list is to be written.
-    [[nodiscard]] bool is_changed() const { return changed_; }
+    [[nodiscard]] bool needs_write() const { return needs_write_; }
     // Revision of the record that a write replaces; 0: there is none.
     [[nodiscard]] std::uint64_t mod_revision() const { return mod_revision_; }
     // The list was written at this revision.
@@ -32,7 +32,7 @@
    private:
     std::vector<model::MachineType> types_;
     std::uint64_t mod_revision_ = 0;
-    bool changed_ = false;
+    bool needs_write_ = false;
 };
 
 }  // namespace pineroad::cluster
--- a/src/cluster/planner.cpp
+++ b/src/cluster/planner.cpp
@@ -34,7 +34,7 @@
 
 bool Planner::has_room(const std::string& id, double now) const {
     const Machine* machine = std::as_const(state_.machines).find(id);
-    if (!machine || !state_.machines.is_usable(*machine, now)) return false;
+    if (!machine || !state_.machines.is_schedulable(*machine, now)) return false;
     if (machine->tasks.empty()) return true;
     const auto* type = state_.machines.types().find(machine->type);
     if (!type || !smallest_recent_request_) return false;
@@ -69,7 +69,7 @@
     state_.tasks.place(job, std::move(placement));
     Machine& machine = state_.machines.find_or_add(decision.machine);
     machine.idle_since_s = context_.now_s;
-    state_.machines.remember_image(machine, *job.spec);
+    state_.machines.record_cached_image(machine, *job.spec);
     state_.pending_changes.request_commit();
 }
 
--- a/src/cluster/provisioning_requests.cpp
+++ b/src/cluster/provisioning_requests.cpp
@@ -25,10 +25,10 @@
         const auto count = std::min<std::uint32_t>(remaining, c::max_machines_per_request);
         remaining -= count;
         // The token is never given twice, so neither is the name.
-        const auto name = "r-" + std::to_string(fencing_token_) + "-" + std::to_string(++count_);
+        const auto name = "r-" + std::to_string(fencing_token_) + "-" + std::to_string(++request_count_);
         spdlog::info("provisioning request {}: {} {} in {}{} wanted (term {})", name, count, decision.type,
                      decision.zone, decision.spot ? ", spot" : "", fencing_token_);
-        requests_[name] = {{name, decision.type, decision.zone, decision.spot, count}, 0, Phase::wanted};
+        requests_[name] = {{name, decision.type, decision.zone, decision.spot, count}, 0, Phase::pending};
     }
 }
 
@@ -44,58 +44,60 @@
     return backoff != backoffs_.end() && backoff->second.until_s > now;
 }
 
-bool ProvisioningRequests::has_next() const {
+bool ProvisioningRequests::has_sendable() const {
     return std::any_of(requests_.begin(), requests_.end(),
-                       [](const auto& entry) { return entry.second.may_be_sent(); });
+                       [](const auto& entry) { return entry.second.is_sendable(); });
 }
 
 // One record for all: a record each took two changes a request, and in a burst, when pools are refused one
 // after the other, half of all that the store accepts.
-std::optional<ProvisioningRequests::Record> ProvisioningRequests::record(double bytes) const {
-    Record out;
-    out.mod_revision = mod_revision_;
+std::optional<ProvisioningRequests::Record> ProvisioningRequests::pending_record(double bytes) const {
+    Record record;
+    record.mod_revision = mod_revision_;
     std::vector<model::ProvisioningRequest> open;
-    constexpr std::size_t most_single = 2;  // the smallest commit has room for them
-    double size = 0;
+    constexpr std::size_t max_single_records = 2;  // the smallest commit has room for them
+    double record_bytes = 0;
     bool changed = false;
     // Those that may have been sent stay in it, whatever else has room.
     for (const bool in_record : {true, false})
         for (const auto& [name, request] : requests_) {
             if (request.is_in_record() != in_record) continue;
             if (!request.is_open()) {
-                if (request.own_record_revision && out.single.size() == most_single) continue;
+                if (request.own_record_revision && record.single_request_records.size() == max_single_records)
+                    continue;
                 if (request.own_record_revision)
-                    out.single.emplace_back(records::provisioning_request_key(name),
-                                            request.own_record_revision);
-                out.closed.push_back(name);
+                    record.single_request_records.emplace_back(records::provisioning_request_key(name),
+                                                               request.own_record_revision);
+                record.closed.push_back(name);
                 changed |= in_record;
                 continue;
             }
             const auto value = records::provisioning_request_json(request.request);
-            const auto own = static_cast<double>(boost::json::serialize(value).size() + name.size() + 4);
-            if (!in_record && size + own > bytes) continue;
-            size += own;
+            const auto entry_bytes =
+                static_cast<double>(boost::json::serialize(value).size() + name.size() + 4);
+            if (!in_record && record_bytes + entry_bytes > bytes) continue;
+            record_bytes += entry_bytes;
             open.push_back(request.request);
-            out.open.push_back(name);
+            record.open.push_back(name);
             changed |= !in_record;
         }
     // Under a larger limit more were open than fit now: the record stands until enough of them are answered.
-    if (!changed || size > bytes) return std::nullopt;
-    out.value = records::provisioning_requests_json(open);
-    out.bytes = static_cast<std::size_t>(size);
-    return out;
+    if (!changed || record_bytes > bytes) return std::nullopt;
+    record.value = records::provisioning_requests_json(open);
+    record.bytes = static_cast<std::size_t>(record_bytes);
+    return record;
 }
 
 void ProvisioningRequests::apply_commit(const Record& record, std::uint64_t revision) {
     mod_revision_ = revision;
     for (const auto& name : record.open)
-        if (const auto it = requests_.find(name); it != requests_.end()) it->second.became_durable();
+        if (const auto it = requests_.find(name); it != requests_.end()) it->second.mark_durable();
     for (const auto& name : record.closed) requests_.erase(name);
 }
 
-std::optional<model::ProvisioningRequest> ProvisioningRequests::next() {
+std::optional<model::ProvisioningRequest> ProvisioningRequests::take_next() {
     for (auto& [name, request] : requests_) {
-        if (!request.may_be_sent()) continue;
+        if (!request.is_sendable()) continue;
         request.phase = Phase::in_flight;
         return request.request;
     }
@@ -112,7 +114,7 @@
     spdlog::info("provisioning request {}: got {} of {} (term {})", name, machines, request.count,
                  fencing_token_);
     auto& backoff = backoffs_[pool_of(request)];
-    backoff.pause_s = 0;
+    backoff.delay_s = 0;
     if (machines < request.count) {
         backoff = {now + c::no_capacity_backoff_s, c::no_capacity_backoff_s};
         withdraw_unsent(request);
@@ -126,9 +128,9 @@
     it->second.close();
     const auto& request = it->second.request;
     auto& backoff = backoffs_[pool_of(request)];
-    backoff.pause_s = backoff.pause_s <= 0 ? c::no_capacity_backoff_s
-                                           : std::min(2 * backoff.pause_s, c::no_capacity_backoff_max_s);
-    backoff.until_s = now + backoff.pause_s;
+    backoff.delay_s = backoff.delay_s <= 0 ? c::no_capacity_backoff_s
+                                           : std::min(2 * backoff.delay_s, c::no_capacity_backoff_max_s);
+    backoff.until_s = now + backoff.delay_s;
     withdraw_unsent(request);
     spdlog::info("provisioning request {}: no capacity for {} in {}{} (term {})", name, request.type,
                  request.zone, request.spot ? ", spot" : "", fencing_token_);
--- a/src/cluster/provisioning_requests.hpp
+++ b/src/cluster/provisioning_requests.hpp
@@ -41,17 +41,17 @@
         std::vector<std::string> open;    // names in it
         std::vector<std::string> closed;  // names that are no longer in it
         // Records of a single request each, from version 0.2: removed with their answers. Key and revision.
-        std::vector<std::pair<std::string, std::uint64_t>> single;
+        std::vector<std::pair<std::string, std::uint64_t>> single_request_records;
     };
     // As much as fits into so many bytes; nothing when the present record is up to date.
-    [[nodiscard]] std::optional<Record> record(double bytes) const;
+    [[nodiscard]] std::optional<Record> pending_record(double bytes) const;
     // The record was committed at this revision.
     void apply_commit(const Record& record, std::uint64_t revision);
 
     // Whether a request is durable and not under way.
-    [[nodiscard]] bool has_next() const;
+    [[nodiscard]] bool has_sendable() const;
     // The next request to be sent to the cloud; it counts as under way from here.
-    std::optional<model::ProvisioningRequest> next();
+    std::optional<model::ProvisioningRequest> take_next();
     // The cloud answered with so many machines. Returns the request, or nothing if the name is not known.
     std::optional<model::ProvisioningRequest> record_answer(const std::string& name, std::size_t machines,
                                                             double now);
@@ -63,10 +63,10 @@
    private:
     // Where a request stands.
     //   wanted -> durable -> in_flight -> closed, with in_flight -> unanswered -> in_flight for as long as no
-    //   answer comes. A request that was never sent may be withdrawn: from `wanted`, and then its record may
+    //   answer comes. A request that was never sent may be withdrawn: from `pending`, and then its record may
     //   still be committed, which makes it `closed`; from `durable` it is `closed` at once.
     enum class Phase {
-        wanted,      // not in the record yet
+        pending,     // not in the record yet
         durable,     // in the record; no call of its name was made
         in_flight,   // a call is under way
         unanswered,  // a call may have been made, by this term or an earlier one, without an answer
@@ -77,22 +77,22 @@
     struct Request {
         model::ProvisioningRequest request;
         std::uint64_t own_record_revision = 0;  // of a record of its own
-        Phase phase = Phase::wanted;
+        Phase phase = Phase::pending;
         // No answer came, and it is still wanted.
         [[nodiscard]] bool is_open() const { return phase != Phase::withdrawn && phase != Phase::closed; }
         // It stands in the record of the store.
         [[nodiscard]] bool is_in_record() const {
-            return phase != Phase::wanted && phase != Phase::withdrawn;
+            return phase != Phase::pending && phase != Phase::withdrawn;
         }
         // No call of its name can have been made.
-        [[nodiscard]] bool is_unsent() const { return phase == Phase::wanted || phase == Phase::durable; }
+        [[nodiscard]] bool is_unsent() const { return phase == Phase::pending || phase == Phase::durable; }
         // It is durable, wanted, and no call is under way.
-        [[nodiscard]] bool may_be_sent() const {
+        [[nodiscard]] bool is_sendable() const {
             return phase == Phase::durable || phase == Phase::unanswered;
         }
         // A commit wrote it into the record.
-        void became_durable() {
-            if (phase == Phase::wanted) phase = Phase::durable;
+        void mark_durable() {
+            if (phase == Phase::pending) phase = Phase::durable;
             if (phase == Phase::withdrawn) phase = Phase::closed;
         }
         // It was answered, or is not wanted any more.
@@ -101,7 +101,7 @@
     // A pool without capacity.
     struct Backoff {
         double until_s = 0;  // no machine of the pool is requested before
-        double pause_s = 0;  // the latest pause; the next is twice as long
+        double delay_s = 0;  // the latest pause; the next is twice as long
     };
     using PoolKey = std::tuple<std::string, std::string, bool>;  // type, zone, spot
     // The pool that a request names.
@@ -111,7 +111,7 @@
     // Closes the unsent requests for the pool of a refused one.
     void withdraw_unsent(const model::ProvisioningRequest& refused);
 
-    std::uint64_t fencing_token_, count_ = 0, mod_revision_ = 0;
+    std::uint64_t fencing_token_, request_count_ = 0, mod_revision_ = 0;
     std::map<std::string, Request> requests_;
     std::map<PoolKey, Backoff> backoffs_;
 };
--- a/src/cluster/segment_store.cpp
+++ b/src/cluster/segment_store.cpp
@@ -15,7 +15,7 @@
     for (const auto& [name, segment] : watch_cache.progress.segments()) {
         segments_[name] = {segment.mod_revision, segment.sequence, segment.entries};
         for (const auto& entry : segment.entries) {
-            ++references_[entry];
+            ++reference_counts_[entry];
             auto& latest = latest_segment_[entry];
             if (latest.empty() || watch_cache.progress.segments().at(latest).sequence < segment.sequence)
                 latest = name;
@@ -31,10 +31,10 @@
     }
     // Its tombstone supersedes an older entry.
     const auto latest = latest_segment_.find(entry);
-    return latest != latest_segment_.end() && latest->second == segment && references_.at(entry) > 1;
+    return latest != latest_segment_.end() && latest->second == segment && reference_counts_.at(entry) > 1;
 }
 
-bool SegmentStore::is_unused(const std::string& name) const {
+bool SegmentStore::is_reusable(const std::string& name) const {
     const auto& entries = segments_.at(name).entries;
     return std::none_of(entries.begin(), entries.end(),
                         [&](const EntryName& entry) { return is_needed_for(entry, name); });
@@ -42,15 +42,15 @@
 
 // An unused one is written over, so that a write serves for a removal too, and so that a late copy of a
 // commit always meets a newer version of its key. Their number is bounded by the fullest moment.
-std::string SegmentStore::writable_segment(const std::vector<std::string>& taken) const {
-    const auto is_taken = [&](const std::string& name) {
-        return std::find(taken.begin(), taken.end(), name) != taken.end();
+std::string SegmentStore::writable_segment(const std::vector<std::string>& reserved) const {
+    const auto is_reserved = [&](const std::string& name) {
+        return std::find(reserved.begin(), reserved.end(), name) != reserved.end();
     };
     for (const auto& [name, segment] : segments_)
-        if (!is_taken(name) && is_unused(name)) return name;
+        if (!is_reserved(name) && is_reusable(name)) return name;
     for (std::size_t number = segments_.size();; ++number) {
         auto name = fmt::format("{:04}", number);
-        if (!segments_.contains(name) && !is_taken(name)) return name;
+        if (!segments_.contains(name) && !is_reserved(name)) return name;
     }
 }
 
@@ -61,8 +61,8 @@
 
 void SegmentStore::drop_references(const Segment& segment) {
     for (const auto& entry : segment.entries) {
-        if (--references_[entry] != 0) continue;
-        references_.erase(entry);
+        if (--reference_counts_[entry] != 0) continue;
+        reference_counts_.erase(entry);
         latest_segment_.erase(entry);
         pending_tombstones_.erase(entry);
     }
@@ -73,19 +73,19 @@
     drop_references(segment);
     segment = {revision, written.sequence, written.entries};
     for (const auto& entry : written.entries) {
-        ++references_[entry];
+        ++reference_counts_[entry];
         latest_segment_[entry] = written.name;
         if (Job* job = jobs_.find(entry.job)) job->shards[entry.shard].segment = written.name;
     }
 }
 
 void SegmentStore::add_tombstones(const std::string& job) {
-    for (auto entry = references_.lower_bound({job, 0});
-         entry != references_.end() && entry->first.job == job; ++entry)
+    for (auto entry = reference_counts_.lower_bound({job, 0});
+         entry != reference_counts_.end() && entry->first.job == job; ++entry)
         pending_tombstones_.insert(entry->first);
 }
 
-bool SegmentStore::has_too_many() const {
+bool SegmentStore::has_too_many_segments() const {
     std::size_t entries = 0;
     for (const auto& [id, job] : std::as_const(jobs_).all())
         entries += std::max<std::size_t>(1, job.shards.size());
@@ -95,17 +95,17 @@
            static_cast<double>(c::min_segments) + static_cast<double>(entries) / entries_per_segment;
 }
 
-const std::pair<const std::string, SegmentStore::Segment>* SegmentStore::oldest_used() const {
+const std::pair<const std::string, SegmentStore::Segment>* SegmentStore::oldest_needed() const {
     const std::pair<const std::string, Segment>* oldest = nullptr;
     for (const auto& entry : segments_)
-        if ((!oldest || entry.second.sequence < oldest->second.sequence) && !is_unused(entry.first))
+        if ((!oldest || entry.second.sequence < oldest->second.sequence) && !is_reusable(entry.first))
             oldest = &entry;
     return oldest;
 }
 
 void SegmentStore::compact() {
-    if (!has_too_many()) return;
-    const auto* oldest = oldest_used();
+    if (!has_too_many_segments()) return;
+    const auto* oldest = oldest_needed();
     if (!oldest) return;
     for (const auto& entry : oldest->second.entries) {
         Job* job = jobs_.find(entry.job);
--- a/src/cluster/segment_store.hpp
+++ b/src/cluster/segment_store.hpp
@@ -30,19 +30,21 @@
     // Takes over the segments of earlier terms.
     void load(const store::WatchCache& watch_cache);
 
-    // The name of a segment to be written: one that is not needed any more, or a new one; none of `taken`.
-    [[nodiscard]] std::string writable_segment(const std::vector<std::string>& taken) const;
+    // The name of a segment to be written: one that is not needed any more, or a new one; none of `reserved`.
+    [[nodiscard]] std::string writable_segment(const std::vector<std::string>& reserved) const;
     // Revision of the segment that a write replaces; 0: there is none.
     [[nodiscard]] std::uint64_t mod_revision(const std::string& name) const;
     // The sequence of the next segment: greater than all before.
-    [[nodiscard]] wire::records::Sequence next_sequence() { return {context_.fencing_token, ++written_}; }
+    [[nodiscard]] wire::records::Sequence next_sequence() {
+        return {context_.fencing_token, ++segments_written_};
+    }
     // Entries of jobs that are over and still stand in a segment: a tombstone is to be written for each.
     [[nodiscard]] const std::set<EntryName>& pending_tombstones() const { return pending_tombstones_; }
 
     // The segment was written at this revision.
     void apply_commit(const WrittenSegment& written, std::uint64_t revision);
     // A tombstone for the entry was written.
-    void tombstone_written(const EntryName& entry) { pending_tombstones_.erase(entry); }
+    void mark_tombstone_written(const EntryName& entry) { pending_tombstones_.erase(entry); }
     // The job is over and none of its tasks is left: its entries are to get tombstones.
     void add_tombstones(const std::string& job);
     // Has the entries of the oldest segment written anew when there are too many segments. Long jobs would
@@ -57,23 +59,23 @@
         std::vector<EntryName> entries;
     };
     // Whether nobody needs the segment.
-    [[nodiscard]] bool is_unused(const std::string& name) const;
+    [[nodiscard]] bool is_reusable(const std::string& name) const;
     // Whether the segment is needed for the sake of this entry of its own.
     [[nodiscard]] bool is_needed_for(const EntryName& entry, const std::string& segment) const;
     // Whether there are too many segments for the entries that jobs have.
-    [[nodiscard]] bool has_too_many() const;
+    [[nodiscard]] bool has_too_many_segments() const;
     // The used segment with the smallest sequence, or nullptr.
-    [[nodiscard]] const std::pair<const std::string, Segment>* oldest_used() const;
+    [[nodiscard]] const std::pair<const std::string, Segment>* oldest_needed() const;
     // The segment does not hold its entries any more.
     void drop_references(const Segment& segment);
 
     const TermContext& context_;
     JobTable& jobs_;
     std::map<std::string, Segment> segments_;
-    std::map<EntryName, int> references_;              // number of segments that hold an entry
+    std::map<EntryName, int> reference_counts_;        // number of segments that hold an entry
     std::map<EntryName, std::string> latest_segment_;  // the latest of them
     std::set<EntryName> pending_tombstones_;
-    std::uint64_t written_ = 0;  // segments of this term
+    std::uint64_t segments_written_ = 0;  // segments of this term
 };
 
 }  // namespace pineroad::cluster
--- a/src/cluster/snapshot_builder.cpp
+++ b/src/cluster/snapshot_builder.cpp
@@ -152,7 +152,7 @@
                                                               const model::MachineType& type) const {
     scheduling::MachineSnapshot out;
     out.id = machine.id, out.type = machine.type, out.zone = machine.zone, out.spot = machine.spot;
-    out.ready = machines_.is_usable(machine, context_.now_s);
+    out.ready = machines_.is_schedulable(machine, context_.now_s);
     out.booting = !machine.has_reported() && !machine.is_listed_as(model::MachineStatus::failed);
     out.free = type.capacity;
     for (const auto& [job, task] : machine.tasks) {
--- a/src/cluster/state_loader.cpp
+++ b/src/cluster/state_loader.cpp
@@ -15,7 +15,7 @@
     for (const auto& [name, progress] : watch_cache.progress) load_progress(watch_cache, name, progress);
     state_.segments.load(watch_cache);
     state_.provisioning.load(watch_cache);
-    for (const auto& [id, job] : std::as_const(state_.jobs).all()) settle(state_.jobs.at(id));
+    for (const auto& [id, job] : std::as_const(state_.jobs).all()) reconcile_job(state_.jobs.at(id));
     for (const auto& id : watch_cache.dependencies().cancelled()) state_.tasks.cancel_job_by_dependency(id);
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-void StateLoader::settle(Job& job) {
+void StateLoader::reconcile_job(Job& job) {
     if (!job.spec) {
         state_.tasks.cancel_job(job.id);
     } else if (job.finish_if_complete()) {
--- a/src/cluster/state_loader.hpp
+++ b/src/cluster/state_loader.hpp
@@ -38,7 +38,7 @@
     void load_placements(const store::WatchCache& watch_cache, const wire::records::EntryName& name,
                          const model::Progress& entry, Job& job);
     // What an earlier term left undone with the job.
-    void settle(Job& job);
+    void reconcile_job(Job& job);
 
     LoadedState state_;
 };
--- a/src/cluster/task_lifecycle.cpp
+++ b/src/cluster/task_lifecycle.cpp
@@ -176,7 +176,7 @@
                               static_cast<int>(job.failures.machines.size()) >= c::max_job_error_machines;
     if (job_at_fault) {
         job.failures.retry_at_s = context_.now_s + retry_pause_s(job.failures.count);
-        machines_.forget_failures_of(job.id);
+        machines_.clear_failures_of(job.id);
         return;
     }
     ++machine.consecutive_failures;
--- a/src/cluster/write_batch.hpp
+++ b/src/cluster/write_batch.hpp
@@ -41,7 +41,7 @@
     std::vector<wire::records::EntryName> tombstones;
     std::optional<ProvisioningRequests::Record> provisioning_requests;
     std::vector<WrittenSegment> segments;
-    bool machine_types = false, category_averages = false;  // whether their records are in it
+    bool has_machine_types = false, has_category_averages = false;  // whether their records are in it
 };
 
 }  // namespace pineroad::cluster
--- a/src/cluster/write_batch_builder.cpp
+++ b/src/cluster/write_batch_builder.cpp
@@ -72,23 +72,23 @@
 
 void WriteBatchBuilder::add_machine_types() {
     const auto& types = state_.machines.types();
-    if (!types.is_changed()) return;
+    if (!types.needs_write()) return;
     auto value = wire::machine_types_json(types.all());
     const auto bytes = boost::json::serialize(value).size() + c::machine_types_frame_bytes;
     if (static_cast<double>(bytes) < state_.context.settings.value_kb * 1024)
         put(std::string(records::machine_types_key), std::move(value), types.mod_revision(), bytes);
     else
         spdlog::error("{} machine types do not fit one value of the store", types.all().size());
-    batch_.machine_types = true;
+    batch_.has_machine_types = true;
 }
 
 void WriteBatchBuilder::add_provisioning_requests() {
-    auto record = state_.provisioning.record(limits_.value_bytes);
-    if (!record) return;
-    put(std::string(records::provisioning_requests_key), record->value, record->mod_revision,
-        record->bytes + c::provisioning_frame_bytes);
-    for (const auto& [key, mod_revision] : record->single) remove(key, mod_revision);
-    batch_.provisioning_requests = std::move(record);
+    auto pending_record = state_.provisioning.pending_record(limits_.value_bytes);
+    if (!pending_record) return;
+    put(std::string(records::provisioning_requests_key), pending_record->value, pending_record->mod_revision,
+        pending_record->bytes + c::provisioning_frame_bytes);
+    for (const auto& [key, mod_revision] : pending_record->single_request_records) remove(key, mod_revision);
+    batch_.provisioning_requests = std::move(pending_record);
 }
 
 void WriteBatchBuilder::add_category_averages() {
@@ -96,7 +96,7 @@
     if (!averages.is_write_due(state_.context.now_s) || !fits(1, c::category_averages_bytes)) return;
     put(std::string(records::category_averages_key), records::category_averages_json(averages.values()),
         averages.mod_revision(), c::category_averages_bytes);
-    batch_.category_averages = true;
+    batch_.has_category_averages = true;
 }
 
 // --- segments ----------------------------------------------------------------------------------------------
@@ -113,11 +113,12 @@
 
 // Whether the shard holds placements that are not durable. The first shard goes with the first of any: it
 // says what counts for the whole job.
-bool WriteBatchBuilder::is_awaited_by_starts(const Job& job, std::uint32_t number,
+bool WriteBatchBuilder::is_awaited_by_starts(const Job& job, std::uint32_t shard_number,
                                              const ProgressShard& shard) {
-    const bool goes_first = number == 0 && shard.segment.empty();
-    const auto placements = goes_first ? PlacementRange{job.placements.begin(), job.placements.end()}
-                                       : placements_in_shard(job, number);
+    const bool is_unwritten_first_shard = shard_number == 0 && shard.segment.empty();
+    const auto placements = is_unwritten_first_shard
+                                ? PlacementRange{job.placements.begin(), job.placements.end()}
+                                : placements_in_shard(job, shard_number);
     return std::any_of(placements.begin(), placements.end(),
                        [&](const auto& entry) { return entry.second.version > shard.durable; });
 }
@@ -127,33 +128,33 @@
     for (const auto& id : state_.pending_changes.jobs()) {
         Job& job = state_.jobs.at(id);
         if (job.phase != JobPhase::active) continue;
-        for (const auto& [number, shard] : job.shards) {
-            if (!shard.is_changed() || is_awaited_by_starts(job, number, shard) != awaited_by_starts)
+        for (const auto& [shard_number, shard] : job.shards) {
+            if (!shard.is_changed() || is_awaited_by_starts(job, shard_number, shard) != awaited_by_starts)
                 continue;
             // A new leader would miss the placements that stand in that entry alone.
-            if (number == 0 && !job.shards_in_unsharded_entry.empty()) continue;
-            if (!add_shard(job, number, shard)) return false;
+            if (shard_number == 0 && !job.shards_in_unsharded_entry.empty()) continue;
+            if (!add_shard(job, shard_number, shard)) return false;
         }
     }
     return true;
 }
 
-bool WriteBatchBuilder::add_shard(Job& job, std::uint32_t number, const ProgressShard& shard) {
-    const records::EntryName entry{job.id, number};
-    auto value = records::progress_json(progress_of_shard(job, number), number);
+bool WriteBatchBuilder::add_shard(Job& job, std::uint32_t shard_number, const ProgressShard& shard) {
+    const records::EntryName entry{job.id, shard_number};
+    auto value = records::progress_json(progress_of_shard(job, shard_number), shard_number);
     const auto name = records::entry_name(entry);
     const auto bytes = boost::json::serialize(value).size() + name.size() + c::entry_frame_bytes;
     if (!fits_value(entry, bytes)) return true;
-    const bool fills_segment = static_cast<double>(segment_bytes_ + bytes) > limits_.value_bytes;
-    if (!segment_entries_.empty() && fills_segment) close_segment();
+    const bool fills_segment = static_cast<double>(open_segment_bytes_ + bytes) > limits_.value_bytes;
+    if (!open_segment_entries_.empty() && fills_segment) close_segment();
     // The other half of the changes is left for what users wait for.
     const bool segments_fill_half = (batch_.segments.size() + 1) * 2 > limits_.changes;
-    if (!fits(2, segment_bytes_ + bytes + c::segment_reserve_bytes) || segments_fill_half) return false;
-    segment_bytes_ += bytes;
-    segment_[name] = std::move(value);
-    segment_entries_.push_back(entry);
-    batch_.written_shards.push_back({job.id, number, shard.version});
-    if (number == 0 && job.progress_revision) {
+    if (!fits(2, open_segment_bytes_ + bytes + c::segment_reserve_bytes) || segments_fill_half) return false;
+    open_segment_bytes_ += bytes;
+    open_segment_[name] = std::move(value);
+    open_segment_entries_.push_back(entry);
+    batch_.written_shards.push_back({job.id, shard_number, shard.version});
+    if (shard_number == 0 && job.progress_revision) {
         remove(records::progress_key(job.id), job.progress_revision);
         batch_.removed_jobs.push_back(job.id);
     }
@@ -173,30 +174,30 @@
 
 // Jobs that are over and still stand in an older segment, as far as the open segment has space for them.
 void WriteBatchBuilder::add_tombstones() {
-    if (segment_entries_.empty()) return;
+    if (open_segment_entries_.empty()) return;
     for (const auto& entry : state_.segments.pending_tombstones()) {
         const auto name = records::entry_name(entry);
-        if (static_cast<double>(segment_bytes_ + name.size() + c::tombstone_reserve_bytes) >=
+        if (static_cast<double>(open_segment_bytes_ + name.size() + c::tombstone_reserve_bytes) >=
             limits_.value_bytes)
             break;
-        segment_[name] = nullptr;
-        segment_entries_.push_back(entry);
-        segment_bytes_ += name.size() + c::entry_frame_bytes;
+        open_segment_[name] = nullptr;
+        open_segment_entries_.push_back(entry);
+        open_segment_bytes_ += name.size() + c::entry_frame_bytes;
         batch_.tombstones.push_back(entry);
     }
 }
 
 void WriteBatchBuilder::close_segment() {
-    if (segment_entries_.empty()) return;
-    const auto name = state_.segments.writable_segment(taken_segments_);
+    if (open_segment_entries_.empty()) return;
+    const auto name = state_.segments.writable_segment(reserved_segments_);
     const auto sequence = state_.segments.next_sequence();
-    put(records::segment_key(name), records::segment_json(sequence, std::move(segment_)),
-        state_.segments.mod_revision(name), segment_bytes_ + c::segment_frame_bytes);
-    batch_.segments.push_back({name, sequence, std::move(segment_entries_)});
-    taken_segments_.push_back(name);
-    segment_ = {};
-    segment_entries_.clear();
-    segment_bytes_ = 0;
+    put(records::segment_key(name), records::segment_json(sequence, std::move(open_segment_)),
+        state_.segments.mod_revision(name), open_segment_bytes_ + c::segment_frame_bytes);
+    batch_.segments.push_back({name, sequence, std::move(open_segment_entries_)});
+    reserved_segments_.push_back(name);
+    open_segment_ = {};
+    open_segment_entries_.clear();
+    open_segment_bytes_ = 0;
 }
 
 // --- finished jobs -----------------------------------------------------------------------------------------
@@ -246,8 +247,9 @@
         return false;
     // The cancellation of a user and this compare the same revision: one of the two wins.
     remove(records::job_key(job.id), job.mod_revision);
-    for (std::uint32_t number = 1; number <= dependency_records; ++number)
-        batch_.txn.changes.push_back({records::dependencies_key(job.id, number), std::nullopt, std::nullopt});
+    for (std::uint32_t record_number = 1; record_number <= dependency_records; ++record_number)
+        batch_.txn.changes.push_back(
+            {records::dependencies_key(job.id, record_number), std::nullopt, std::nullopt});
     const model::JobOutcome outcome{status, std::max<std::int64_t>(state_.context.wall_ms(), 0)};
     put(records::outcome_key(job.id), records::outcome_json(outcome), 0, c::outcome_bytes);
     batch_.finished_jobs.push_back({job.id, outcome});
--- a/src/cluster/write_batch_builder.hpp
+++ b/src/cluster/write_batch_builder.hpp
@@ -65,7 +65,7 @@
     // Entries of shards that starts wait for, or of the others. False: not all of them fit.
     bool add_changed_shards(bool awaited_by_starts);
     // The entry of one shard. False: the batch is full.
-    bool add_shard(Job& job, std::uint32_t number, const ProgressShard& shard);
+    bool add_shard(Job& job, std::uint32_t shard_number, const ProgressShard& shard);
     // Tombstones, as far as the open segment has space for them.
     void add_tombstones();
     // Adds the open segment to the transaction.
@@ -82,7 +82,7 @@
     void add_leader_condition();
 
     // Whether the shard holds placements that are not durable.
-    [[nodiscard]] static bool is_awaited_by_starts(const Job& job, std::uint32_t number,
+    [[nodiscard]] static bool is_awaited_by_starts(const Job& job, std::uint32_t shard_number,
                                                    const ProgressShard& shard);
     // Whether so many more changes and bytes fit into the transaction.
     [[nodiscard]] bool fits(std::size_t changes, std::size_t bytes) const;
@@ -98,10 +98,10 @@
     WriteBatch batch_;
     std::size_t bytes_ = 0;
     // The segment that is being filled.
-    boost::json::object segment_;
-    std::size_t segment_bytes_ = 0;
-    std::vector<wire::records::EntryName> segment_entries_;
-    std::vector<std::string> taken_segments_;
+    boost::json::object open_segment_;
+    std::size_t open_segment_bytes_ = 0;
+    std::vector<wire::records::EntryName> open_segment_entries_;
+    std::vector<std::string> reserved_segments_;
 };
 
 }  // namespace pineroad::cluster
--- a/src/controller/commit_loop.cpp
+++ b/src/controller/commit_loop.cpp
@@ -92,7 +92,7 @@
             handle_malformed(leader, result.body, uncertain);
             co_return Settlement::settled;
         case CommitStatus::rate_limited:
-            leader.writes.refused();
+            leader.writes.record_rate_limited();
             co_return Settlement::retry;
         case CommitStatus::unavailable:
         case CommitStatus::unanswered:  // the same again: at most one copy can be applied
--- a/src/controller/format_loop.cpp
+++ b/src/controller/format_loop.cpp
@@ -28,7 +28,7 @@
     const auto& term = *leader->term;
     while (!term.over() && !record_format_.agreed()) {
         auto readers = record_format_.readers();
-        if (term.may_start() && readers != watch_cache_.format.value)
+        if (term.may_start() && readers != watch_cache_.record_format_readers.value)
             co_await record(term, std::move(readers));
         co_await net::sleep_for(c::format_period_s);
     }
@@ -37,8 +37,9 @@
 
 net::awaitable<void> FormatLoop::record(const leadership::Term& term, std::set<std::string> readers) {
     wire::Transaction transaction;
-    transaction.conditions = {{std::string(records::leader_key), term.identity().mod_revision},
-                              {std::string(records::format_key), watch_cache_.format.mod_revision}};
+    transaction.conditions = {
+        {std::string(records::leader_key), term.identity().mod_revision},
+        {std::string(records::format_key), watch_cache_.record_format_readers.mod_revision}};
     transaction.changes = {{std::string(records::format_key), records::format_json(readers), std::nullopt}};
     co_await store_.commit(wire::commit_request(transaction));
     co_await linearizable_read_.catch_up();
--- a/src/controller/leader_loops.cpp
+++ b/src/controller/leader_loops.cpp
@@ -42,7 +42,7 @@
 bool LeaderLoops::load(cluster::ClusterState& cluster_state) {
     const auto& watch_cache = dependencies_.watch_cache;
     cluster_state.load(watch_cache, steady_now_s(), net::Clock::wall_ms());
-    const auto cancellations = watch_cache.cancellations().after(watch_cache.revision);
+    const auto cancellations = watch_cache.cancellations().entries_after(watch_cache.revision);
     if (!cancellations) return false;
     for (const auto& [revision, job] : *cancellations) cluster_state.job_cancelled(job, steady_now_s());
     return true;
@@ -51,19 +51,19 @@
 // The callbacks refer to the term; finish() removes them before it can go.
 void LeaderLoops::follow_watch_cache(cluster::LeaderTerm& leader) {
     auto& watch_cache = dependencies_.watch_cache;
-    watch_cache.on_job = [&leader](const model::JobSpec& spec, std::uint64_t mod_revision) {
+    watch_cache.on_job_added = [&leader](const model::JobSpec& spec, std::uint64_t mod_revision) {
         leader.cluster_state.job_added(spec, mod_revision, steady_now_s());
         leader.writes.record_writes_of_others(1);
         leader.term->plan_due.notify();
     };
-    watch_cache.on_cancelled = [&leader](const std::string& id, bool fresh) {
+    watch_cache.on_job_cancelled = [&leader](const std::string& id, bool fresh) {
         // A job that this term itself ended has left the cluster state.
         const bool by_user = leader.cluster_state.jobs().contains(id);
         leader.cluster_state.job_cancelled(id, steady_now_s());
         if (fresh && by_user) leader.writes.record_writes_of_others(2);
         leader.term->plan_due.notify();
     };
-    watch_cache.on_dependencies = [&leader](const model::DependencyGraph::Change& change) {
+    watch_cache.on_dependency_change = [&leader](const model::DependencyGraph::Change& change) {
         for (const auto& id : change.cancelled)
             leader.cluster_state.job_cancelled_by_dependency(id, steady_now_s());
         leader.term->plan_due.notify();
@@ -91,9 +91,9 @@
 
 void LeaderLoops::finish() {
     auto& watch_cache = dependencies_.watch_cache;
-    watch_cache.on_job = nullptr;
-    watch_cache.on_cancelled = nullptr;
-    watch_cache.on_dependencies = nullptr;
+    watch_cache.on_job_added = nullptr;
+    watch_cache.on_job_cancelled = nullptr;
+    watch_cache.on_dependency_change = nullptr;
     active_term_.reset();
 }
 
--- a/src/controller/planning_loop.cpp
+++ b/src/controller/planning_loop.cpp
@@ -42,7 +42,7 @@
         if (!std::exchange(lease_was_provable, true)) cluster_state.restart_silence_timers(steady_now_s());
         cluster_state.detect_failures(steady_now_s());
         cluster_state.plan(steady_now_s(), net::Clock::wall_ms(),
-                           watch_cache_.demand.classes(settings_, steady_now_s()));
+                           watch_cache_.demand.by_class(settings_, steady_now_s()));
     } else {
         lease_was_provable = false;
     }
--- a/src/leadership/election.cpp
+++ b/src/leadership/election.cpp
@@ -157,7 +157,7 @@
 
 std::optional<EndReason> Election::reason_to_step_down(const Term& term) const {
     const double now = steady_now_s();
-    if (lease_guard_.should_step_down(now, store_.refusal(), peers_.store_contacts()))
+    if (lease_guard_.should_step_down(now, store_.outage(), peers_.store_contacts()))
         return EndReason::isolated;
     // Workers reach a peer and not this controller: that peer should lead.
     const bool without_heartbeats = now - term.started() > c::no_heartbeat_step_down_s &&
--- a/src/leadership/leadership_state.cpp
+++ b/src/leadership/leadership_state.cpp
@@ -22,15 +22,15 @@
     return std::max(term_->fencing_token(), highest_token_);
 }
 
-void LeadershipState::cache_lost() {
+void LeadershipState::on_cache_lost() {
     if (term_) term_->end(EndReason::watch_cache_lost);
 }
 
-void LeadershipState::leader_seen(const wire::records::Leader& leader) {
+void LeadershipState::on_leader_seen(const wire::records::Leader& leader) {
     observe(leader.fencing_token, leader.node);
 }
 
-void LeadershipState::watch_applied(bool leader_removed) {
+void LeadershipState::on_watch_applied(bool leader_removed) {
     if (leader_removed) changed_.notify();
     if (term_) term_->commit_due.notify();
 }
--- a/src/leadership/leadership_state.hpp
+++ b/src/leadership/leadership_state.hpp
@@ -38,17 +38,17 @@
 
     // --- store::WatchCacheObserver ---
     // A proof for the lease guard.
-    void cache_current_at(double sent) override { lease_guard_.cancellations_known_until(sent); }
+    void on_cache_current(double sent) override { lease_guard_.cancellations_known_until(sent); }
     // An election may be held.
-    void cache_loaded() override { changed_.notify(); }
+    void on_cache_loaded() override { changed_.notify(); }
     // Ends the own term: its state is built on the cache.
-    void cache_lost() override;
+    void on_cache_lost() override;
     // Observes its token.
-    void leader_seen(const wire::records::Leader& leader) override;
+    void on_leader_seen(const wire::records::Leader& leader) override;
     // Wakes the election or the own term's commits.
-    void watch_applied(bool leader_removed) override;
+    void on_watch_applied(bool leader_removed) override;
     // Whether there is an own term.
-    [[nodiscard]] bool leads() const override { return term_ != nullptr; }
+    [[nodiscard]] bool is_leader() const override { return term_ != nullptr; }
 
    private:
     LeaseGuard& lease_guard_;
--- a/src/leadership/lease_guard.cpp
+++ b/src/leadership/lease_guard.cpp
@@ -40,7 +40,7 @@
 // Contact that is only recent proves nothing: in the first seconds of an outage of the whole store, every
 // controller's is (found in a day-long load test: a leader ended its term 4 s into an outage, nobody else
 // could lead, and 3,800 tasks were stopped by the expiry of their workers' leases).
-bool LeaseGuard::store_serves_peer(double now, const store::StoreRefusal& own, const PeerStoreContact& peer) {
+bool LeaseGuard::store_serves_peer(double now, const store::StoreOutage& own, const PeerStoreContact& peer) {
     return own.since >= 0 && peer.contacted_at >= now - c::peer_contact_fresh_s &&
            peer.contacted_at - peer.store_contact_age_s > own.since &&
            own.last_sent > peer.contacted_at + c::peer_message_timeout_s;
@@ -52,7 +52,7 @@
 // before that proves nothing: where the store refuses the leader alone and then everybody, its lease still
 // lives there and nobody else can lead (found in the operators' day-long test: thousands of tasks were
 // stopped by the expiry of worker leases, since the leader ended its term 3 s into the outage).
-bool LeaseGuard::should_step_down(double now, const store::StoreRefusal& own,
+bool LeaseGuard::should_step_down(double now, const store::StoreOutage& own,
                                   const std::vector<PeerStoreContact>& peers) const {
     if (peers.empty() || now < lease_until_) return false;
     bool any_answers = false;
--- a/src/leadership/lease_guard.hpp
+++ b/src/leadership/lease_guard.hpp
@@ -38,10 +38,10 @@
     void confirm_by_peers(const std::vector<PeerConfirmation>& peers);
 
     // The peer was served by the store after this controller was refused, and this one is refused still.
-    [[nodiscard]] static bool store_serves_peer(double now, const store::StoreRefusal& own,
+    [[nodiscard]] static bool store_serves_peer(double now, const store::StoreOutage& own,
                                                 const PeerStoreContact& peer);
     // Whether a leader without a provable lease should end its term, so that its workers find the next one.
-    [[nodiscard]] bool should_step_down(double now, const store::StoreRefusal& own,
+    [[nodiscard]] bool should_step_down(double now, const store::StoreOutage& own,
                                         const std::vector<PeerStoreContact>& peers) const;
     // Whether tasks may be started, and whatever else needs the lease.
     [[nodiscard]] bool may_start(double now) const;
--- a/src/peers/peer_directory.cpp
+++ b/src/peers/peer_directory.cpp
@@ -58,7 +58,7 @@
     return confirmations;
 }
 
-bool PeerDirectory::store_down_for_all(const store::StoreRefusal& own) const {
+bool PeerDirectory::store_down_for_all(const store::StoreOutage& own) const {
     const double now = steady_now_s();
     return std::all_of(contacts_.begin(), contacts_.end(), [&](const PeerContact& peer) {
         return peer.contacted_at >= now - c::peer_contact_fresh_s &&
--- a/src/peers/peer_directory.hpp
+++ b/src/peers/peer_directory.hpp
@@ -51,7 +51,7 @@
     // The latest answers, as the lease guard weighs them.
     [[nodiscard]] std::vector<leadership::PeerConfirmation> confirmations() const;
     // Every peer answers, and the store has served none of them since it refused this controller.
-    [[nodiscard]] bool store_down_for_all(const store::StoreRefusal& own) const;
+    [[nodiscard]] bool store_down_for_all(const store::StoreOutage& own) const;
 
     // --- leadership::PeerView ---
     // One entry for each peer.
--- a/src/peers/peer_exchange.cpp
+++ b/src/peers/peer_exchange.cpp
@@ -42,7 +42,7 @@
     message.fencing_token = leadership_.advertised_token();
     message.leader = leadership_.known_leader();
     message.uptime_ms = age_ms(started_at_);
-    message.store_contact_age_ms = age_ms(store_.last_contact());
+    message.store_contact_age_ms = age_ms(store_.last_contact_s());
     message.heartbeat_age_ms = age_ms(last_heartbeat_);
     message.revision = watch_cache_.ready ? watch_cache_.revision : 0;
     message.format = record_format_.own_format();
@@ -61,7 +61,7 @@
     if (message->dependencies_requested) record_format_.request_dependencies();
     directory_.record_request(*message);
     auto answer = own_message();
-    if (auto known = watch_cache_.cancellations().after(message->revision)) {
+    if (auto known = watch_cache_.cancellations().entries_after(message->revision)) {
         answer.confirms_cancellations = true;
         answer.cancelled = std::move(*known);
     }
--- a/src/peers/record_format.cpp
+++ b/src/peers/record_format.cpp
@@ -21,7 +21,7 @@
 }
 
 bool RecordFormat::agreed() const {
-    const auto& recorded = watch_cache_.format.value;
+    const auto& recorded = watch_cache_.record_format_readers.value;
     return reads_present_format() && recorded.contains(settings_.name) &&
            std::all_of(settings_.peers.begin(), settings_.peers.end(),
                        [&](const config::Peer& peer) { return recorded.contains(peer.name); });
@@ -31,7 +31,7 @@
 // dependencies, peers that are silent. Users ask only after every controller was replaced, so a silent one is
 // not an earlier version that goes on.
 std::set<std::string> RecordFormat::readers() const {
-    auto readers = watch_cache_.format.value;
+    auto readers = watch_cache_.record_format_readers.value;
     readers.insert(settings_.name);
     const double before = store::steady_now_s() - constants::format_silence_s;
     for (std::size_t i = 0; i < directory_.size(); ++i) {
--- a/src/store/arrival_tracker.cpp
+++ b/src/store/arrival_tracker.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-void ArrivalTracker::arrived(const model::JobSpec& spec, double now) {
+void ArrivalTracker::record_arrival(const model::JobSpec& spec, double now) {
     if (!classes_.contains(spec.job_class) && classes_.size() >= constants::demand_classes) return;
     auto& job_class = classes_[spec.job_class];
     auto& arrivals = job_class.arrivals;
@@ -35,21 +35,21 @@
 }
 
 double ArrivalTracker::arrivals_per_s(const ClassArrivals& job_class, double now) {
-    const double from =
+    const double counted_from =
         std::max(job_class.first_arrival + constants::demand_settle_s, now - constants::demand_window_s);
     const auto count = std::count_if(job_class.arrivals.begin(), job_class.arrivals.end(),
-                                     [from](double arrival) { return arrival >= from; });
-    return static_cast<double>(count) / std::max(now - from, constants::min_demand_window_s);
+                                     [counted_from](double arrival) { return arrival >= counted_from; });
+    return static_cast<double>(count) / std::max(now - counted_from, constants::min_demand_window_s);
 }
 
-std::map<std::string, scheduling::ClassDemand> ArrivalTracker::classes(const config::Settings& settings,
-                                                                       double now) const {
+std::map<std::string, scheduling::ClassDemand> ArrivalTracker::by_class(const config::Settings& settings,
+                                                                        double now) const {
     std::map<std::string, scheduling::ClassDemand> demand;
     for (const auto& [name, job_class] : classes_) {
-        auto& of_class = demand[name];
-        of_class.sample = job_class.sample;
-        of_class.arrivals_per_s = arrivals_per_s(job_class, now);
-        of_class.start_within_s = tightest_start_objective(settings, name);
+        auto& class_demand = demand[name];
+        class_demand.sample = job_class.sample;
+        class_demand.arrivals_per_s = arrivals_per_s(job_class, now);
+        class_demand.start_within_s = tightest_start_objective(settings, name);
     }
     return demand;
 }
--- a/src/store/arrival_tracker.hpp
+++ b/src/store/arrival_tracker.hpp
@@ -19,11 +19,11 @@
     // Records that a job became ready for scheduling at `now`. Classes beyond constants::demand_classes are
     // not tracked, and of one class only the latest constants::demand_arrivals arrivals are kept: both bound
     // memory.
-    void arrived(const model::JobSpec& spec, double now);
+    void record_arrival(const model::JobSpec& spec, double now);
     // The demand of each tracked class: arrivals per second, the tightest objective for starting (in seconds)
     // and the latest job as a sample.
-    [[nodiscard]] std::map<std::string, scheduling::ClassDemand> classes(const config::Settings& settings,
-                                                                         double now) const;
+    [[nodiscard]] std::map<std::string, scheduling::ClassDemand> by_class(const config::Settings& settings,
+                                                                          double now) const;
 
    private:
     // The arrivals of one class.
--- a/src/store/cancellation_log.hpp
+++ b/src/store/cancellation_log.hpp
@@ -26,7 +26,7 @@
     bool add(const std::string& job, std::uint64_t revision) {
         if (!entries_.emplace(revision, job).second) return false;
         while (entries_.size() > constants::max_cancellations_kept) {
-            forgotten_up_to_ = std::max(forgotten_up_to_, entries_.begin()->first);
+            last_evicted_revision_ = std::max(last_evicted_revision_, entries_.begin()->first);
             entries_.erase(entries_.begin());
         }
         return true;
@@ -34,16 +34,16 @@
     // Every cancellation known here after the revision, in ascending order. Nothing, rather than a part of
     // them, when some were forgotten or they are more than one message holds: the asker would take a part for
     // all.
-    [[nodiscard]] std::optional<std::vector<Entry>> after(std::uint64_t revision) const {
-        if (revision < forgotten_up_to_) return std::nullopt;
-        std::vector<Entry> known(entries_.lower_bound({revision + 1, ""}), entries_.end());
-        if (known.size() > constants::max_cancellations_per_message) return std::nullopt;
-        return known;
+    [[nodiscard]] std::optional<std::vector<Entry>> entries_after(std::uint64_t revision) const {
+        if (revision < last_evicted_revision_) return std::nullopt;
+        std::vector<Entry> entries(entries_.lower_bound({revision + 1, ""}), entries_.end());
+        if (entries.size() > constants::max_cancellations_per_message) return std::nullopt;
+        return entries;
     }
 
    private:
     std::set<Entry> entries_;
-    std::uint64_t forgotten_up_to_ = 0;  // the greatest revision that was forgotten
+    std::uint64_t last_evicted_revision_ = 0;  // the greatest revision that was forgotten
 };
 
 }  // namespace pineroad::store
--- a/src/store/dependency_assembler.hpp
+++ b/src/store/dependency_assembler.hpp
@@ -29,11 +29,11 @@
     void clear();
 
    private:
-    using RecordsByNumber = std::map<std::string, std::vector<std::string>>;
+    using DependencyRecords = std::map<std::string, std::vector<std::string>>;
     // Appends the further records to the job's list. False, and the list as it was, while one is missing.
-    [[nodiscard]] bool complete(model::JobSpec& spec) const;
+    [[nodiscard]] bool append_dependency_records(model::JobSpec& spec) const;
 
-    std::map<std::string, RecordsByNumber> records_;               // by job
+    std::map<std::string, DependencyRecords> dependency_records_;  // by job
     std::map<std::string, Versioned<model::JobSpec>> incomplete_;  // by job
 };
 
--- a/src/store/linearizable_read.cpp
+++ b/src/store/linearizable_read.cpp
@@ -12,37 +12,38 @@
 net::awaitable<bool> LinearizableRead::catch_up() {
     if (!watch_cache_.ready) co_return false;
     // A check that started before this call proves nothing for it: wait for the next one.
-    const auto wanted = started_ + 1;
+    const auto required_check = checks_started_ + 1;
     const double deadline = steady_now_s() + c::store_timeout_s + 0.2;
-    while (done_ < wanted) {
-        if (running_) {
+    while (checks_done_ < required_check) {
+        if (check_running_) {
             if (steady_now_s() > deadline) co_return false;
-            co_await finished_.wait(deadline - steady_now_s() + 0.01);
+            co_await check_finished_.wait(deadline - steady_now_s() + 0.01);
             continue;
         }
-        if (co_await check() >= wanted) co_return succeeded_;
+        if (co_await run_check() >= required_check) co_return last_check_succeeded_;
     }
-    co_return succeeded_;
+    co_return last_check_succeeded_;
 }
 
-net::awaitable<std::uint64_t> LinearizableRead::check() {
-    running_ = true;
-    const double gap = last_sent_ + store_.pacing_interval_s(c::linearizable_read_share) - steady_now_s();
-    if (gap > 0) co_await net::sleep_for(gap);  // others arrive meanwhile and share the check
-    const auto number = ++started_;
-    const double sent = last_sent_ = steady_now_s();
+net::awaitable<std::uint64_t> LinearizableRead::run_check() {
+    check_running_ = true;
+    const double delay_s =
+        last_check_sent_s_ + store_.pacing_interval_s(c::linearizable_read_share) - steady_now_s();
+    if (delay_s > 0) co_await net::sleep_for(delay_s);  // others arrive meanwhile and share the check
+    const auto check_number = ++checks_started_;
+    const double sent = last_check_sent_s_ = steady_now_s();
     const auto events = co_await store_.events_since(watch_cache_.revision);
     // While the check was under way the watch cache may have been lost.
-    succeeded_ = watch_cache_.ready && events.has_value();
-    if (succeeded_) {
+    last_check_succeeded_ = watch_cache_.ready && events.has_value();
+    if (last_check_succeeded_) {
         watch_cache_.apply(*events, steady_now_s());
-        observer_.cache_current_at(sent);
-        if (watch_cache_.leader) observer_.leader_seen(watch_cache_.leader->value);
+        observer_.on_cache_current(sent);
+        if (watch_cache_.leader) observer_.on_leader_seen(watch_cache_.leader->value);
     }
-    done_ = number;
-    running_ = false;
-    finished_.notify();
-    co_return number;
+    checks_done_ = check_number;
+    check_running_ = false;
+    check_finished_.notify();
+    co_return check_number;
 }
 
 }  // namespace pineroad::store
--- a/src/store/linearizable_read.hpp
+++ b/src/store/linearizable_read.hpp
@@ -23,16 +23,16 @@
 
    private:
     // Waits for its turn, then brings the cache up to the store. The number of this check.
-    net::awaitable<std::uint64_t> check();
+    net::awaitable<std::uint64_t> run_check();
 
     StoreClient& store_;
     WatchCache& watch_cache_;
     WatchCacheObserver& observer_;
-    bool running_ = false;
-    std::uint64_t started_ = 0, done_ = 0;  // checks
-    bool succeeded_ = false;                // the last one that is done
-    double last_sent_ = -1;
-    net::Notification finished_;
+    bool check_running_ = false;
+    std::uint64_t checks_started_ = 0, checks_done_ = 0;  // checks
+    bool last_check_succeeded_ = false;                   // the last one that is done
+    double last_check_sent_s_ = -1;
+    net::Notification check_finished_;
 };
 
 }  // namespace pineroad::store
--- a/src/store/progress_view.cpp
+++ b/src/store/progress_view.cpp
@@ -8,14 +8,14 @@
 
 void ProgressView::apply_segment(const std::string& name, wire::records::Segment&& segment,
                                  std::uint64_t mod_revision) {
-    auto& known = segments_[name];
-    forget_entries_of(known);
-    known = {segment.sequence, {}, mod_revision};
+    auto& known_segment = segments_[name];
+    remove_entries_of(known_segment);
+    known_segment = {segment.sequence, {}, mod_revision};
     for (auto& [entry, progress] : segment.entries) {
-        known.entries.push_back(entry);
-        auto& latest = latest_[entry];  // a new entry's {0, 0} is less than any sequence
-        if (latest > segment.sequence) continue;
-        latest = segment.sequence;
+        known_segment.entries.push_back(entry);
+        auto& current_sequence = current_sequences_[entry];  // a new entry's {0, 0} is less than any sequence
+        if (current_sequence > segment.sequence) continue;
+        current_sequence = segment.sequence;
         if (progress) {
             entries_[entry] = {std::move(*progress), mod_revision, name};
         } else {  // a tombstone: no task of it is left anywhere
@@ -25,11 +25,12 @@
 }
 
 // An overwritten segment is written only once none of its former entries is needed any more.
-void ProgressView::forget_entries_of(const Segment& segment) {
+void ProgressView::remove_entries_of(const Segment& segment) {
     for (const auto& entry : segment.entries) {
-        const auto latest = latest_.find(entry);
-        if (latest == latest_.end() || latest->second != segment.sequence) continue;
-        latest_.erase(latest);
+        const auto current_sequence = current_sequences_.find(entry);
+        if (current_sequence == current_sequences_.end() || current_sequence->second != segment.sequence)
+            continue;
+        current_sequences_.erase(current_sequence);
         entries_.erase(entry);
     }
 }
@@ -37,20 +38,20 @@
 void ProgressView::apply_job_record(const std::string& job, model::Progress progress,
                                     std::uint64_t mod_revision) {
     const EntryName whole_job{job, 0};
-    const auto known = entries_.find(whole_job);
-    if (known != entries_.end() && !known->second.segment.empty()) return;
+    const auto known_entry = entries_.find(whole_job);
+    if (known_entry != entries_.end() && !known_entry->second.segment.empty()) return;
     entries_[whole_job] = {std::move(progress), mod_revision, ""};
 }
 
 void ProgressView::remove_job_record(const std::string& job) {
-    const auto known = entries_.find({job, 0});
-    if (known != entries_.end() && known->second.segment.empty()) entries_.erase(known);
+    const auto known_entry = entries_.find({job, 0});
+    if (known_entry != entries_.end() && known_entry->second.segment.empty()) entries_.erase(known_entry);
 }
 
 void ProgressView::clear() {
     entries_.clear();
     segments_.clear();
-    latest_.clear();
+    current_sequences_.clear();
 }
 
 bool ProgressView::is_current(const EntryName& entry, const model::Placement& placement) const {
@@ -61,10 +62,12 @@
 ProgressView::TaskCounts ProgressView::task_counts(const std::string& job) const {
     model::TaskSet done;
     TaskCounts counts;
-    for (auto at = entries_.lower_bound({job, 0}); at != entries_.end() && at->first.job == job; ++at) {
-        const auto& progress = at->second.value;
+    for (auto entry = entries_.lower_bound({job, 0}); entry != entries_.end() && entry->first.job == job;
+         ++entry) {
+        const auto& progress = entry->second.value;
         done += progress.done;
-        for (const auto& placement : progress.placements) counts.placed += is_current(at->first, placement);
+        for (const auto& placement : progress.placements)
+            counts.placed += is_current(entry->first, placement);
     }
     counts.done = done.size();
     return counts;
--- a/src/store/progress_view.hpp
+++ b/src/store/progress_view.hpp
@@ -60,12 +60,12 @@
 
    private:
     // Drops the entries that are current in that segment.
-    void forget_entries_of(const Segment& segment);
+    void remove_entries_of(const Segment& segment);
 
     std::map<EntryName, Entry> entries_;
     std::map<std::string, Segment> segments_;
     std::map<EntryName, wire::records::Sequence>
-        latest_;  // sequence of the segment that is current for an entry
+        current_sequences_;  // sequence of the segment that is current for an entry
 };
 
 }  // namespace pineroad::store
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -18,11 +18,11 @@
     // 503 is an outage, for every controller or for this one alone; anything else shows that the store serves
     // this controller.
     if (reply && reply->status != 503) {
-        last_contact_ = std::max(last_contact_, sent);
-        if (sent > refusal_.since) refusal_ = {};
+        last_contact_s_ = std::max(last_contact_s_, sent);
+        if (sent > outage_.since) outage_ = {};
     } else {
-        if (refusal_.since < 0) refusal_.since = steady_now_s();
-        refusal_.last_sent = std::max(refusal_.last_sent, sent);
+        if (outage_.since < 0) outage_.since = steady_now_s();
+        outage_.last_sent = std::max(outage_.last_sent, sent);
     }
     co_return reply;
 }
@@ -61,7 +61,7 @@
 }
 
 bool StoreClient::recently_served() const {
-    return last_contact_ >= 0 && steady_now_s() - last_contact_ < constants::store_contact_fresh_s;
+    return last_contact_s_ >= 0 && steady_now_s() - last_contact_s_ < constants::store_contact_fresh_s;
 }
 
 double StoreClient::pacing_interval_s(double share) const {
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -16,7 +16,7 @@
 
 // The store refuses this controller: when it first did so since it last served it, and when the latest
 // request was sent that failed. Seconds on the steady clock, -1: never.
-struct StoreRefusal {
+struct StoreOutage {
     double since = -1, last_sent = -1;
 };
 
@@ -66,11 +66,11 @@
     net::awaitable<std::optional<wire::WatchEvents>> events_since(std::uint64_t revision);
 
     // When the latest request was sent that the store has answered; -1: none.
-    [[nodiscard]] double last_contact() const { return last_contact_; }
+    [[nodiscard]] double last_contact_s() const { return last_contact_s_; }
     // Whether the store served this controller within store_contact_fresh_s.
     [[nodiscard]] bool recently_served() const;
     // Since the last contact.
-    [[nodiscard]] const StoreRefusal& refusal() const { return refusal_; }
+    [[nodiscard]] const StoreOutage& outage() const { return outage_; }
     // Seconds between requests of one kind, so that all controllers together keep to its share of what the
     // store serves.
     [[nodiscard]] double pacing_interval_s(double share) const;
@@ -79,8 +79,8 @@
     std::unique_ptr<net::Client> client_;
     const double requests_per_s_;
     const std::size_t controllers_;
-    double last_contact_ = -1;
-    StoreRefusal refusal_;
+    double last_contact_s_ = -1;
+    StoreOutage outage_;
 };
 
 }  // namespace pineroad::store
--- a/src/store/watch_cache.cpp
+++ b/src/store/watch_cache.cpp
@@ -7,7 +7,7 @@
 
 namespace pineroad::store {
 
-WatchCache::WatchCache() : outcomes_(constants::outcome_cache_size) {}
+WatchCache::WatchCache() : recent_outcomes_(constants::outcome_cache_size) {}
 
 void WatchCache::clear() {
     ready = false;
@@ -20,7 +20,7 @@
     term = {};
     machine_types.reset();
     category_averages = {};
-    format = {};
+    record_format_readers = {};
     dependencies_.clear();
     dependency_assembler_.clear();
 }
@@ -29,57 +29,59 @@
     for (const auto& event : events.events) {
         if (event.mod_revision <= revision) continue;
         if (event.value) {
-            apply_row(event.key, *event.value, event.mod_revision, now);
+            apply_put(event.key, *event.value, event.mod_revision, now);
         } else {
-            apply_drop(event.key);
+            apply_delete(event.key);
         }
     }
     revision = std::max(revision, events.revision);
-    now_ = now;
+    last_event_s_ = now;
 }
 
-void WatchCache::complete() {
+void WatchCache::mark_ready() {
     ready = true;
     dependencies_.forget_unneeded();
 }
 
 void WatchCache::record_outcome(const std::string& id, const model::JobOutcome& outcome,
                                 std::uint64_t mod_revision) {
-    outcomes_.insert(id, outcome);
+    recent_outcomes_.insert(id, outcome);
     const auto change = dependencies_.end(id, outcome);
     if (outcome.status == model::FinalStatus::cancelled) {
-        const bool fresh = cancellations_.add(id, mod_revision);
-        if (on_cancelled) on_cancelled(id, fresh);
+        const bool is_new = cancellations_.add(id, mod_revision);
+        if (on_job_cancelled) on_job_cancelled(id, is_new);
     }
-    dependencies_changed(change);
+    notify_dependency_change(change);
 }
 
 std::optional<model::FinalStatus> WatchCache::outcome_of(const std::string& id) {
-    if (const auto outcome = outcomes_.get(id)) return outcome->status;
+    if (const auto outcome = recent_outcomes_.get(id)) return outcome->status;
     if (dependencies_.is_cancelled(id)) return model::FinalStatus::cancelled;
     return std::nullopt;
 }
 
-void WatchCache::dependencies_changed(const model::DependencyGraph::Change& change) {
+void WatchCache::notify_dependency_change(const model::DependencyGraph::Change& change) {
     for (const auto& id : change.ready)
-        if (const auto job = jobs.find(id); job != jobs.end()) demand.arrived(job->second.value, now_);
-    if (on_dependencies && !(change.ready.empty() && change.cancelled.empty())) on_dependencies(change);
+        if (const auto job = jobs.find(id); job != jobs.end())
+            demand.record_arrival(job->second.value, last_event_s_);
+    if (on_dependency_change && !(change.ready.empty() && change.cancelled.empty()))
+        on_dependency_change(change);
 }
 
 void WatchCache::add_job(Versioned<model::JobSpec> added, double now) {
-    now_ = now;
+    last_event_s_ = now;
     const std::string id = added.value.id;
-    const bool fresh = !jobs.contains(id);
+    const bool is_new = !jobs.contains(id);
     auto& job = jobs[id] = std::move(added);
-    if (!fresh) return;
+    if (!is_new) return;
     const auto change = dependencies_.add(job.value);
-    if (on_job) on_job(job.value, job.mod_revision);
+    if (on_job_added) on_job_added(job.value, job.mod_revision);
     // Until its dependencies are done a job adds nothing to the demand.
-    if (dependencies_.is_ready(id)) demand.arrived(job.value, now);
-    dependencies_changed(change);
+    if (dependencies_.is_ready(id)) demand.record_arrival(job.value, now);
+    notify_dependency_change(change);
     for (const auto& dependency : job.value.dependencies)
-        if (const auto outcome = outcomes_.get(dependency))
-            dependencies_changed(dependencies_.end(dependency, *outcome));
+        if (const auto outcome = recent_outcomes_.get(dependency))
+            notify_dependency_change(dependencies_.end(dependency, *outcome));
 }
 
 }  // namespace pineroad::store
--- a/src/store/watch_cache.hpp
+++ b/src/store/watch_cache.hpp
@@ -35,14 +35,14 @@
     // they do not depend on what is live, and an acknowledged cancellation must stay known.
     void clear();
     // A record was written, with this value and this revision of its key. Keys of other services are ignored.
-    void apply_row(const std::string& key, const wire::Json& value, std::uint64_t mod_revision, double now);
+    void apply_put(const std::string& key, const wire::Json& value, std::uint64_t mod_revision, double now);
     // A record was deleted.
-    void apply_drop(const std::string& key);
+    void apply_delete(const std::string& key);
     // The events of one watch answer, in their order. Two watches may overlap and answer out of order, and
     // each holds everything after its start: events up to `revision` are skipped.
     void apply(const wire::WatchEvents& events, double now);
     // Every record up to `revision` was applied: the cache is ready for use.
-    void complete();
+    void mark_ready();
     // Makes a job's outcome known: the only way to do so, taken before any user or peer is answered, whether
     // the outcome comes from a watch, an answer of the store or a peer. `mod_revision` is that of its record.
     void record_outcome(const std::string& id, const model::JobOutcome& outcome, std::uint64_t mod_revision);
@@ -79,32 +79,33 @@
     Versioned<std::uint64_t> term;                           // the greatest fencing token given out
     std::optional<Versioned<std::vector<model::MachineType>>> machine_types;
     Versioned<model::CategoryAverages> category_averages;
-    Versioned<std::set<std::string>> format;  // controllers that read the present record format
-    ArrivalTracker demand;                    // of jobs since their dependencies are done
+    Versioned<std::set<std::string>>
+        record_format_readers;  // controllers that read the present record format
+    ArrivalTracker demand;      // of jobs since their dependencies are done
 
     // Hooks of the leader, called while a record or an outcome is applied; empty ones are not called.
     // A job became live; with the revision of its record.
-    std::function<void(const model::JobSpec&, std::uint64_t mod_revision)> on_job;
-    // A job is cancelled; `fresh` if this cancellation was not known here before.
-    std::function<void(const std::string& id, bool fresh)> on_cancelled;
+    std::function<void(const model::JobSpec&, std::uint64_t mod_revision)> on_job_added;
+    // A job is cancelled; `is_new` if this cancellation was not known here before.
+    std::function<void(const std::string& id, bool is_new)> on_job_cancelled;
     // Jobs became ready, or cancelled because of a job that they depend on.
-    std::function<void(const model::DependencyGraph::Change&)> on_dependencies;
+    std::function<void(const model::DependencyGraph::Change&)> on_dependency_change;
 
    private:
     // How each kind of record is applied (watch_cache_records.cpp).
-    struct RecordKinds;
+    struct RecordHandlers;
 
     // Takes in a job whose dependency list is complete, new or written again.
     void add_job(Versioned<model::JobSpec> job, double now);
     // Passes on jobs that became ready, or cancelled, to the demand and to the hook.
-    void dependencies_changed(const model::DependencyGraph::Change& change);
+    void notify_dependency_change(const model::DependencyGraph::Change& change);
 
     DependencyAssembler dependency_assembler_;
     model::DependencyGraph dependencies_;
     // Of jobs that ended lately; the least recently used are dropped beyond constants::outcome_cache_size.
-    boost::compute::detail::lru_cache<std::string, model::JobOutcome> outcomes_;
+    boost::compute::detail::lru_cache<std::string, model::JobOutcome> recent_outcomes_;
     CancellationLog cancellations_;
-    double now_ = 0;  // when an event was last applied
+    double last_event_s_ = 0;  // when an event was last applied
 };
 
 }  // namespace pineroad::store
--- a/src/store/watch_cache_records.cpp
+++ b/src/store/watch_cache_records.cpp
@@ -29,18 +29,18 @@
 
 }  // namespace
 
-struct WatchCache::RecordKinds {
+struct WatchCache::RecordHandlers {
     enum class Match { prefix, whole_key };
 
     // One kind of record: its key, and what a record of it changes.
-    struct Kind {
+    struct Handler {
         std::string_view key;
         Match match;  // prefix: the key of many records, each with a name of its own after it
-        void (*put)(WatchCache&, const WrittenRecord&);
-        void (*drop)(WatchCache&, const std::string& name);  // null: deleting one changes nothing here
+        void (*on_put)(WatchCache&, const WrittenRecord&);
+        void (*on_delete)(WatchCache&, const std::string& name);  // null: deleting one changes nothing here
 
         // The record's name, or nothing if it is of another kind.
-        [[nodiscard]] std::optional<std::string> name_in(const std::string& record_key) const {
+        [[nodiscard]] std::optional<std::string> record_name_in(const std::string& record_key) const {
             if (match == Match::prefix) return records::under(record_key, key);
             if (record_key == key) return "";
             return std::nullopt;
@@ -50,18 +50,18 @@
     static void put_job(WatchCache& cache, const WrittenRecord& record) {
         auto spec = records::parse_job(record.name, record.value);
         if (!spec) return log_unreadable(record.key);
-        cache.now_ = record.now;
-        auto complete = cache.dependency_assembler_.add_job({std::move(*spec), record.mod_revision});
-        if (complete) cache.add_job(std::move(*complete), record.now);
+        cache.last_event_s_ = record.now;
+        auto completed_job = cache.dependency_assembler_.add_job({std::move(*spec), record.mod_revision});
+        if (completed_job) cache.add_job(std::move(*completed_job), record.now);
     }
 
     static void put_dependencies(WatchCache& cache, const WrittenRecord& record) {
         const auto slash = record.name.find('/');
         auto dependencies = records::parse_dependencies(record.value);
         if (slash == std::string::npos || !dependencies) return log_unreadable(record.key);
-        auto complete = cache.dependency_assembler_.add_dependencies(
+        auto completed_job = cache.dependency_assembler_.add_dependencies(
             record.name.substr(0, slash), record.name.substr(slash + 1), std::move(*dependencies));
-        if (complete) cache.add_job(std::move(*complete), record.now);
+        if (completed_job) cache.add_job(std::move(*completed_job), record.now);
     }
 
     static void put_job_progress(WatchCache& cache, const WrittenRecord& record) {
@@ -112,7 +112,7 @@
 
     static void put_format(WatchCache& cache, const WrittenRecord& record) {
         if (auto controllers = records::parse_format(record.value))
-            cache.format = {std::move(*controllers), record.mod_revision};
+            cache.record_format_readers = {std::move(*controllers), record.mod_revision};
     }
 
     static void put_category_averages(WatchCache& cache, const WrittenRecord& record) {
@@ -120,55 +120,56 @@
     }
 
     // The further records of its dependency list are deleted in the same transaction.
-    static void drop_job(WatchCache& cache, const std::string& id) {
+    static void delete_job(WatchCache& cache, const std::string& id) {
         cache.jobs.erase(id);
         cache.dependency_assembler_.remove(id);
         cache.dependencies_.remove(id);
     }
 
-    static void drop_job_progress(WatchCache& cache, const std::string& id) {
+    static void delete_job_progress(WatchCache& cache, const std::string& id) {
         cache.progress.remove_job_record(id);
     }
 
-    static void drop_provisioning_record(WatchCache& cache, const std::string& name) {
+    static void delete_provisioning_record(WatchCache& cache, const std::string& name) {
         cache.provisioning_records.erase(name);
     }
 
-    static void drop_leader(WatchCache& cache, const std::string&) { cache.leader.reset(); }
+    static void delete_leader(WatchCache& cache, const std::string&) { cache.leader.reset(); }
 
-    static const Kind all[];
+    static const Handler all[];
 };
 
-const WatchCache::RecordKinds::Kind WatchCache::RecordKinds::all[] = {
-    {records::job_prefix, Match::prefix, put_job, drop_job},
+const WatchCache::RecordHandlers::Handler WatchCache::RecordHandlers::all[] = {
+    {records::job_prefix, Match::prefix, put_job, delete_job},
     {records::dependencies_prefix, Match::prefix, put_dependencies, nullptr},
-    {records::progress_prefix, Match::prefix, put_job_progress, drop_job_progress},
+    {records::progress_prefix, Match::prefix, put_job_progress, delete_job_progress},
     {records::segment_prefix, Match::prefix, put_segment, nullptr},
-    {records::provisioning_request_prefix, Match::prefix, put_provisioning_record, drop_provisioning_record},
+    {records::provisioning_request_prefix, Match::prefix, put_provisioning_record,
+     delete_provisioning_record},
     {records::outcome_prefix, Match::prefix, put_outcome, nullptr},
     {records::provisioning_requests_key, Match::whole_key, put_provisioning_requests, nullptr},
-    {records::leader_key, Match::whole_key, put_leader, drop_leader},
+    {records::leader_key, Match::whole_key, put_leader, delete_leader},
     {records::term_key, Match::whole_key, put_term, nullptr},
     {records::machine_types_key, Match::whole_key, put_machine_types, nullptr},
     {records::format_key, Match::whole_key, put_format, nullptr},
     {records::category_averages_key, Match::whole_key, put_category_averages, nullptr},
 };
 
-void WatchCache::apply_row(const std::string& key, const wire::Json& value, std::uint64_t mod_revision,
+void WatchCache::apply_put(const std::string& key, const wire::Json& value, std::uint64_t mod_revision,
                            double now) {
-    for (const auto& kind : RecordKinds::all) {
-        const auto name = kind.name_in(key);
+    for (const auto& handler : RecordHandlers::all) {
+        const auto name = handler.record_name_in(key);
         if (!name) continue;
-        kind.put(*this, {key, *name, value, mod_revision, now});
+        handler.on_put(*this, {key, *name, value, mod_revision, now});
         return;
     }
 }
 
-void WatchCache::apply_drop(const std::string& key) {
-    for (const auto& kind : RecordKinds::all) {
-        const auto name = kind.name_in(key);
+void WatchCache::apply_delete(const std::string& key) {
+    for (const auto& handler : RecordHandlers::all) {
+        const auto name = handler.record_name_in(key);
         if (!name) continue;
-        if (kind.drop) kind.drop(*this, *name);
+        if (handler.on_delete) handler.on_delete(*this, *name);
         return;
     }
 }
--- a/src/store/watch_loop.cpp
+++ b/src/store/watch_loop.cpp
@@ -23,13 +23,13 @@
                 co_await sleep_for(c::store_retry_s);
                 continue;
             }
-            observer_.cache_loaded();
+            observer_.on_cache_loaded();
         }
         co_await watch_once();
     }
 }
 
-net::awaitable<std::optional<std::uint64_t>> WatchLoop::load_rows() {
+net::awaitable<std::optional<std::uint64_t>> WatchLoop::load_records() {
     std::string after;
     std::uint64_t first_revision = 0;
     for (bool more = true; more;) {
@@ -41,7 +41,7 @@
         if (!page) co_return std::nullopt;
         if (first_revision == 0) first_revision = page->revision;
         for (const auto& row : page->rows)
-            watch_cache_.apply_row(row.key, row.value, row.mod_revision, steady_now_s());
+            watch_cache_.apply_put(row.key, row.value, row.mod_revision, steady_now_s());
         more = page->truncated && !page->rows.empty();
         if (more) after = page->rows.back().key;
     }
@@ -50,7 +50,7 @@
 
 net::awaitable<bool> WatchLoop::load() {
     watch_cache_.clear();
-    const auto first_revision = co_await load_rows();
+    const auto first_revision = co_await load_records();
     if (!first_revision) co_return false;
     // Pages were read one after the other; what changed between them comes again from the first page's
     // revision.
@@ -59,8 +59,8 @@
     const auto events = co_await store_.events_since(*first_revision);
     if (!events) co_return false;
     watch_cache_.apply(*events, steady_now_s());
-    watch_cache_.complete();
-    observer_.cache_current_at(sent);
+    watch_cache_.mark_ready();
+    observer_.on_cache_current(sent);
     spdlog::info("watch cache ready: {} jobs at revision {}", watch_cache_.jobs.size(),
                  watch_cache_.revision);
     co_return true;
@@ -75,7 +75,7 @@
     if (reply && (reply->status == 410 || reply->too_large)) {
         spdlog::info("watch too old, the watch cache is loaded anew");
         watch_cache_.ready = false;
-        observer_.cache_lost();
+        observer_.on_cache_lost();
         co_return;
     }
     const auto events = reply && reply->status == 200 ? wire::parse_watch_events(reply->body) : std::nullopt;
@@ -85,11 +85,12 @@
     }
     const bool had_leader = watch_cache_.leader.has_value();
     watch_cache_.apply(*events, steady_now_s());
-    observer_.cache_current_at(sent);
-    if (watch_cache_.leader) observer_.leader_seen(watch_cache_.leader->value);
-    observer_.watch_applied(had_leader && !watch_cache_.leader);
+    observer_.on_cache_current(sent);
+    if (watch_cache_.leader) observer_.on_leader_seen(watch_cache_.leader->value);
+    observer_.on_watch_applied(had_leader && !watch_cache_.leader);
     // Changes come in bursts; a short pause turns many answers into one. The leader needs them sooner.
-    co_await sleep_for(observer_.leads() ? c::watch_gap_leader_s : store_.pacing_interval_s(c::watch_share));
+    co_await sleep_for(observer_.is_leader() ? c::watch_gap_leader_s
+                                             : store_.pacing_interval_s(c::watch_share));
 }
 
 }  // namespace pineroad::store
--- a/src/store/watch_loop.hpp
+++ b/src/store/watch_loop.hpp
@@ -20,7 +20,7 @@
     // Loads the cache; false: a request failed.
     net::awaitable<bool> load();
     // The revision of the first page, or nothing if a page could not be read.
-    net::awaitable<std::optional<std::uint64_t>> load_rows();
+    net::awaitable<std::optional<std::uint64_t>> load_records();
     // Waits for one watch, applies its events and pauses.
     net::awaitable<void> watch_once();
 
--- a/tests/leader_simulator.cpp
+++ b/tests/leader_simulator.cpp
@@ -79,13 +79,13 @@
 }
 
 void LeaderSimulator::add_accepted_job(const model::JobSpec& spec) {
-    watch_cache_->apply_row(records::job_key(spec.id), records::job_json(spec), store.revision, now);
+    watch_cache_->apply_put(records::job_key(spec.id), records::job_json(spec), store.revision, now);
     leader_state_->job_added(spec, store.revision, now);
 }
 
 // What the leader's process learns of a job's end.
 void LeaderSimulator::record_ending(const std::string& id, const model::JobOutcome& ending) {
-    watch_cache_->apply_drop(records::job_key(id));
+    watch_cache_->apply_delete(records::job_key(id));
     watch_cache_->record_outcome(id, ending, store.revision);
 }
 
@@ -125,8 +125,8 @@
                                                             store.rows.at(leader_key).mod_revision, now);
     leader_state_->set_machine_types(machine_types());
     watch_cache_ = std::make_unique<store::WatchCache>();
-    for (const auto& [key, row] : store.rows) watch_cache_->apply_row(key, row.value, row.mod_revision, now);
-    watch_cache_->on_dependencies = [this](const model::DependencyGraph::Change& change) {
+    for (const auto& [key, row] : store.rows) watch_cache_->apply_put(key, row.value, row.mod_revision, now);
+    watch_cache_->on_dependency_change = [this](const model::DependencyGraph::Change& change) {
         for (const auto& id : change.cancelled) leader_state_->job_cancelled_by_dependency(id, now);
     };
     leader_state_->load(*watch_cache_, now, wall_ms());
--- a/tests/lease_guard_test.cpp
+++ b/tests/lease_guard_test.cpp
@@ -12,7 +12,7 @@
     leadership::LeaseGuard p(66, 36);
     p.cancellations_known_until(100);
     p.renewed(100);  // good until 104.5
-    const store::StoreRefusal refused{101, 106};
+    const store::StoreOutage refused{101, 106};
     EXPECT_FALSE(p.should_step_down(104, refused, {{103, 0.5}, {-1, 0}}));
     // Served after we were refused, but while our lease may still have lived: an outage of all may have begun
     // since, in which nobody else can lead.
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -47,7 +47,7 @@
     std::map<std::uint32_t, std::string> placements_read(const std::string& job) {
         store::WatchCache watch_cache;
         for (const auto& [key, row] : store.rows)
-            watch_cache.apply_row(key, row.value, row.mod_revision, now);
+            watch_cache.apply_put(key, row.value, row.mod_revision, now);
         cluster::ClusterState reader(config, tuning, 99, 1, now);
         reader.load(watch_cache, now);
         std::map<std::uint32_t, std::string> out;
--- a/tests/watch_cache_test.cpp
+++ b/tests/watch_cache_test.cpp
@@ -14,21 +14,21 @@
     EXPECT_TRUE(log.add("j-1", 5));
     EXPECT_TRUE(log.add("j-2", 9));
     EXPECT_FALSE(log.add("j-2", 9));
-    EXPECT_EQ(log.after(0)->size(), 2U);
-    EXPECT_EQ(log.after(5), (std::vector<store::CancellationLog::Entry>{{9, "j-2"}}));
-    EXPECT_TRUE(log.after(9)->empty());
+    EXPECT_EQ(log.entries_after(0)->size(), 2U);
+    EXPECT_EQ(log.entries_after(5), (std::vector<store::CancellationLog::Entry>{{9, "j-2"}}));
+    EXPECT_TRUE(log.entries_after(9)->empty());
     namespace c = constants;
     for (std::uint64_t r = 10; r < 10 + c::max_cancellations_per_message; ++r)
         log.add("j-" + std::to_string(r), r);
-    EXPECT_FALSE(log.after(8));  // one more than a message holds
-    EXPECT_EQ(log.after(9)->size(), c::max_cancellations_per_message);
+    EXPECT_FALSE(log.entries_after(8));  // one more than a message holds
+    EXPECT_EQ(log.entries_after(9)->size(), c::max_cancellations_per_message);
     for (std::uint64_t r = 100000; r < 100000 + c::max_cancellations_kept; ++r) log.add("j-0", r);
-    EXPECT_FALSE(log.after(2008));  // the last that was forgotten is 2009
-    EXPECT_FALSE(log.after(2009));  // still more than a message
-    EXPECT_EQ(log.after(100000 + c::max_cancellations_kept - 3)->size(), 2U);
+    EXPECT_FALSE(log.entries_after(2008));  // the last that was forgotten is 2009
+    EXPECT_FALSE(log.entries_after(2009));  // still more than a message
+    EXPECT_EQ(log.entries_after(100000 + c::max_cancellations_kept - 3)->size(), 2U);
     // An entry of an old revision that comes late is not dropped silently either.
     log.add("j-1", 5);
-    EXPECT_FALSE(log.after(4));
+    EXPECT_FALSE(log.entries_after(4));
 }
 
 // A peer names a cancellation that the cache does not hold; it is passed on, the leader's state learns of
@@ -36,14 +36,14 @@
 TEST(WatchCache, LearnsFinalStatesFromAnyPeer) {
     store::WatchCache m;
     std::vector<std::string> learned;
-    m.on_cancelled = [&](const std::string& id, bool fresh) {
+    m.on_job_cancelled = [&](const std::string& id, bool fresh) {
         learned.push_back(id + (fresh ? " new" : ""));
     };
     m.record_outcome("j-1", {model::FinalStatus::cancelled}, 8);
     m.record_outcome("j-2", {model::FinalStatus::done}, 9);
     m.clear();
     EXPECT_EQ(m.outcome_of("j-1"), model::FinalStatus::cancelled);
-    EXPECT_EQ(m.cancellations().after(7)->size(), 1U);
+    EXPECT_EQ(m.cancellations().entries_after(7)->size(), 1U);
     m.apply({{{records::outcome_key("j-1"), records::outcome_json({model::FinalStatus::cancelled}), 8}}, 9},
             0);
     EXPECT_EQ(learned, (std::vector<std::string>{"j-1 new", "j-1"}));
