--- a/src/cluster/durable_writes.cpp
+++ b/src/cluster/durable_writes.cpp
@@ -24,7 +24,7 @@
     WriteBatchBuilder builder(state_, limits);
     auto batch = builder.build();
     if (!batch.txn.changes.empty()) return batch;
-    // Jobs that left no trace need no transaction.
+    // Jobs without any record in the store are removed without a transaction.
     if (!batch.written_shards.empty()) apply_commit(batch, 0, 0);
     return std::nullopt;
 }
--- a/src/cluster/durable_writes.hpp
+++ b/src/cluster/durable_writes.hpp
@@ -1,4 +1,4 @@
-// What of the cluster state is made durable, batch by batch, and what a commit means for it.
+// Writes the cluster state to the store in batches and applies their commits.
 #pragma once
 
 #include <cstddef>
@@ -12,28 +12,29 @@
 
 namespace pineroad::cluster {
 
-// Builds batches and applies their commits. One batch is under way at a time.
+// Builds batches and applies their commits. At most one batch is in flight.
 class DurableWrites {
    public:
     // Everything that the state refers to must outlive this object.
     explicit DurableWrites(const DurableState& state) : state_(state) {}
 
-    // Whether a batch is to be written now.
+    // Returns whether a batch must be written now.
     [[nodiscard]] bool is_due() const;
-    // The next batch of at most so many changes, or nothing if nothing is to be written.
+    // Returns the next batch of at most this many changes, or nothing if there is nothing to write.
     std::optional<WriteBatch> next_batch(std::size_t changes);
-    // The batch was committed at this revision and time of day.
+    // Applies the commit of the batch at this revision and wall-clock time.
     void apply_commit(const WriteBatch& batch, std::uint64_t revision, std::int64_t wall_ms);
-    // The store rejected a batch as malformed: its limits are lower than announced. What follows is smaller.
-    // False: that has not helped so far.
+    // Records that the store rejected a batch as malformed: its limits are lower than announced, and later
+    // batches are smaller. Returns false if too many batches were rejected.
     bool record_rejection();
-    // Machines with starts that became durable since the last call. A machine may be named several times.
+    // Returns the machines with starts that became durable since the last call. A machine may occur several
+    // times.
     std::vector<std::string> take_machines_with_durable_starts();
 
    private:
-    // Progress records of version 0.1 that the batch removed.
+    // Applies the removal of progress records of version 0.1 by the batch.
     void apply_progress_removals(const WriteBatch& batch);
-    // The final state of a job is durable.
+    // Applies the final state of a job, which is now durable.
     void apply_outcome(const FinishedJob& finished, std::int64_t wall_ms);
     // Removes a job that is over and has no task left.
     void remove_if_over(const std::string& id);
--- a/src/cluster/failure_detector.cpp
+++ b/src/cluster/failure_detector.cpp
@@ -57,8 +57,9 @@
     commands_reach_most_machines_ = contact.commands_reach_most();
     for (auto& [id, machine] : machines_.all()) {
         if (machine.releasing) continue;
-        // Its own lease must have ended by now. In the same agent epoch still, it was renewed: answers reach
-        // it.
+        // Without responses, its lease would have expired by now and its agent would have started a new
+        // epoch, upon which it is released. It still reports in the same epoch, so its lease was renewed and
+        // responses reach it.
         if (machine.unacknowledged.is_partitioned() &&
             machine.last_heartbeat_s - machine.unacknowledged.latest_at_s > context_.settings.worker_lease_s)
             machine.unacknowledged.reset();
@@ -121,7 +122,6 @@
     return std::nullopt;
 }
 
-// The same for one that has not reported in this term.
 std::optional<ReleaseReason> FailureDetector::release_reason_unreported(const Machine& machine,
                                                                         bool others_report,
                                                                         double silent_s) const {
@@ -130,8 +130,8 @@
         if (silent_s <= lease_timeout_s()) return std::nullopt;
         return ReleaseReason::running_without_heartbeat;
     }
-    // Old enough is not enough: after a failover no machine has reported yet (found by incident: a new leader
-    // released running machines 0.3 s into its term).
+    // The age of the machine alone is not sufficient: after a failover no machine has reported yet. In an
+    // incident, a new leader released running machines 0.3 s into its term.
     const auto* type = machines_.types().find(machine.type);
     const double boot_s = std::max(c::boot_patience * (type ? type->boot_s : 0), c::boot_patience_min_s);
     if (silent_s > detection_timeout_s() && context_.now_s - machine.provisioned_at_s > boot_s)
@@ -146,13 +146,13 @@
                                  ? std::max(context_.settings.worker_lease_s / 2, detection_timeout_s())
                                  : lease_timeout_s();
     if (silent_s > timeout_s) return ReleaseReason::unreported_with_tasks;
-    // Found by incident: spot machines interrupted while nobody led kept their tasks unknown for 28 s.
+    // In an incident, spot machines were interrupted while there was no leader, and the state of their tasks
+    // stayed unknown for 28 s.
     if (machine.unlisted_since_s && silent_s > 1.5 * context_.settings.heartbeat_period_s)
         return ReleaseReason::unlisted_with_tasks;
     return std::nullopt;
 }
 
-// Placements whose start was not sent, on machines that stopped being usable, or that are to be stopped.
 void FailureDetector::withdraw_unsent_starts() {
     for (auto& [id, machine] : machines_.all()) {
         if (machine.tasks.empty()) continue;
--- a/src/cluster/failure_detector.hpp
+++ b/src/cluster/failure_detector.hpp
@@ -1,4 +1,4 @@
-// Which machines are given up, and why.
+// Detects lost machines and decides which machines to release.
 #pragma once
 
 #include <cstddef>
@@ -14,71 +14,72 @@
 enum class ReleaseReason {
     listed_as_failed,
     interrupted,                 // the time of its interruption notice has run out
-    unlisted_and_silent,         // the cloud does not list it any more, and no heartbeat arrives
+    unlisted_and_silent,         // the cloud no longer lists it, and no heartbeat arrives
     silent_while_others_report,  // no heartbeat arrives while most machines report
     silent_past_lease,           // no heartbeat arrived for longer than its lease
-    never_showed_token,          // its heartbeats never showed this term's fencing token
+    never_showed_token,          // its heartbeats never carried this term's fencing token
     quarantined,                 // its tasks fail
     unreported_with_tasks,       // has tasks of an earlier term, and has not reported in this term
-    unlisted_with_tasks,         // has tasks of an earlier term, and the cloud does not list it any more
+    unlisted_with_tasks,         // has tasks of an earlier term, and the cloud no longer lists it
     running_without_heartbeat,   // listed as running, and has not reported in this term
     never_booted,
-    receives_no_commands,  // a one-way partition: its heartbeats arrive, and answers do not reach it
+    receives_no_commands,  // a one-way partition: its heartbeats arrive, but responses do not reach it
     idle,
 };
 
-// Judges by the heartbeats of all machines which of them are lost. Releasing a machine needs no certainty:
-// the answer to the release is the proof that nothing runs there.
+// Decides from the heartbeats of all machines which of them are lost. A release needs no certainty, because
+// its confirmation by the cloud proves that nothing runs on the machine any more.
 class FailureDetector {
    public:
     // All arguments must outlive this object.
     FailureDetector(const TermContext& context, MachineTable& machines, TaskLifecycle& tasks)
         : context_(context), machines_(machines), tasks_(tasks), silence_start_s_(context.started_at_s) {}
 
-    // Releases the machines that are lost, and withdraws starts that were not sent to machines that stopped
-    // being usable.
+    // Releases lost machines, and withdraws unsent starts from machines that are no longer schedulable.
     void detect();
-    // No heartbeat could arrive before: silence counts from here.
+    // Restarts the measurement of silence at `now`, because no heartbeat could arrive before.
     void restart_silence_timers(double now) { silence_start_s_ = now; }
-    // Whether answers reach most machines. If not, the fault is on this side, and says nothing about a
-    // machine.
+    // Returns whether responses reach most machines. If not, the fault is on the controllers' side, and
+    // missing acknowledgements say nothing about a single machine.
     [[nodiscard]] bool commands_reach_most_machines() const { return commands_reach_most_machines_; }
-    // Marks the machine to be released.
+    // Marks the machine for release.
     void release(Machine& machine, ReleaseReason reason) const;
 
    private:
-    // How many machines have reported in this term, and what reaches whom.
+    // Numbers of machines by their contact in this term.
     struct ContactCounts {
         std::size_t reporting = 0;               // have reported in this term
-        std::size_t in_contact = 0;              // ... and did so lately
-        std::size_t not_receiving_commands = 0;  // report, and do not show what they were sent
-        // Whether at least half of the machines are in contact.
+        std::size_t in_contact = 0;              // of these, have reported recently
+        std::size_t not_receiving_commands = 0;  // of these, do not reflect what they were sent
+        // Returns whether at least half of the machines are in contact.
         [[nodiscard]] bool most_in_contact() const { return in_contact > 0 && 2 * in_contact >= reporting; }
-        // Whether few machines receive nothing. Many mean that the fault is on this side.
+        // Returns whether only few machines receive nothing. Many of them indicate a fault on the
+        // controllers' side.
         [[nodiscard]] bool commands_reach_most() const;
     };
-    // Counts all machines.
+    // Counts the machines by their contact.
     [[nodiscard]] ContactCounts count_contacts() const;
-    // Time without a heartbeat after which a machine counts as lost while others report.
+    // Returns the time without a heartbeat after which a machine counts as lost while others report.
     [[nodiscard]] double detection_timeout_s() const;
-    // Time without a heartbeat after which the lease of a machine has ended.
+    // Returns the time without a heartbeat after which the lease of a machine has ended.
     [[nodiscard]] double lease_timeout_s() const;
-    // Why a machine is lost, or nothing. `others_report`: most machines are in contact.
+    // Returns why a machine must be released, or nothing. `others_report`: most machines are in contact.
     [[nodiscard]] std::optional<ReleaseReason> release_reason(const Machine& machine,
                                                               bool others_report) const;
-    // The same of a machine that has reported in this term.
+    // Handles a machine that has reported in this term. `silent_s`: time without a heartbeat.
     [[nodiscard]] std::optional<ReleaseReason> release_reason_reporting(const Machine& machine,
                                                                         bool others_report,
                                                                         double silent_s) const;
-    // The same of a machine that has not reported in this term.
+    // Handles a machine that has not reported in this term.
     [[nodiscard]] std::optional<ReleaseReason> release_reason_unreported(const Machine& machine,
                                                                          bool others_report,
                                                                          double silent_s) const;
-    // The same of one that has tasks of an earlier term.
+    // Handles a machine that has tasks of an earlier term and has not reported in this one.
     [[nodiscard]] std::optional<ReleaseReason> release_reason_with_inherited_tasks(const Machine& machine,
                                                                                    bool others_report,
                                                                                    double silent_s) const;
-    // Starts that were not sent to machines that are not usable any more.
+    // Withdraws unsent starts on machines that are no longer schedulable, and of tasks that are to be
+    // stopped.
     void withdraw_unsent_starts();
 
     const TermContext& context_;
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -14,16 +14,16 @@
 
 namespace pineroad::cluster {
 
-// What the worker of a machine has shown in this term.
+// Which fencing token the worker of a machine has shown in this term.
 enum class WorkerContact {
-    none,           // no heartbeat
+    none,           // no heartbeat yet
     older_token,    // its latest heartbeat carried the fencing token of an earlier term
-    current_token,  // its latest heartbeat carried this term's token: it refuses commands of earlier terms
+    current_token,  // its latest heartbeat carried this term's token: it rejects commands of earlier terms
 };
 
-// The cloud will interrupt a spot machine.
+// Notice that the cloud will interrupt a spot machine.
 struct InterruptionNotice {
-    double remaining_s = 0;  // at the latest heartbeat
+    double remaining_s = 0;  // as of the latest heartbeat
     double reported_at_s = 0;
 };
 
@@ -32,48 +32,49 @@
     Job* job = nullptr;
     std::uint32_t index = 0;
     bool operator==(const PlacedTask&) const = default;
-    // The placement of this task.
+    // Returns the placement of this task.
     [[nodiscard]] TaskPlacement& placement() const { return job->placements.at(index); }
 };
 
-// A task that ended and that the worker reports until it gets the command to forget it.
+// A task that ended, which the worker reports until it receives the command to forget it.
 struct ExitedTask {
     model::TaskId task;
     std::uint64_t attempt = 0;
-    std::uint64_t version = 0;  // of the job with this exit: it must be durable before the worker may forget
+    std::uint64_t version = 0;  // of the job with this exit; must be durable before the worker may forget it
 };
 
-// A command to forget an exited task, given by the last answer.
+// A command to forget an exited task, sent with the latest response.
 struct SentForget {
     model::TaskId task;
     std::uint64_t attempt = 0;
     bool operator==(const SentForget&) const = default;
 };
 
-// An image that the machine holds or fetches, as far as its placements tell.
+// An image that the machine has cached or is fetching, as inferred from its placements.
 struct CachedImage {
     std::string name;
     double size_gb = 0;
 };
 
-// Heartbeats in a row that ignore commands: answers to the machine are lost, while its heartbeats arrive.
+// Counts consecutive heartbeats that ignore commands: responses to the machine are lost although its
+// heartbeats arrive.
 struct UnacknowledgedCommands {
     int heartbeats = 0;
     double latest_at_s = 0;
-    // A heartbeat ignored the commands of the last answer.
+    // Records a heartbeat that ignored the commands of the latest response.
     void record_ignored(double now) {
         ++heartbeats;
         latest_at_s = now;
     }
-    // Answers reach the machine.
+    // Resets the count because responses reach the machine.
     void reset() { heartbeats = 0; }
-    // A one-way partition is assumed: nothing reaches the machine.
+    // Returns whether a one-way partition is assumed, in which no response reaches the machine.
     [[nodiscard]] bool is_partitioned() const {
         return heartbeats >= constants::max_unacknowledged_heartbeats;
     }
 };
 
-// A machine from its provisioning, listing or first heartbeat until its release was answered.
+// State of a machine, from its provisioning, listing or first heartbeat until its release is confirmed.
 struct Machine {
     std::string id, type, zone, address;
     bool spot = false;
@@ -83,38 +84,39 @@
     std::uint64_t agent_epoch = 0, sequence = 0;
     double last_heartbeat_s = 0;
     std::optional<InterruptionNotice> interruption_notice;
-    std::optional<double> older_token_since_s;       // heartbeats without this term's token
+    std::optional<double> older_token_since_s;       // since when heartbeats lack this term's token
     std::vector<ExitedTask> exited_tasks;            // the worker may forget them once their exit is durable
-    std::vector<model::ReportedTask> unknown_tasks;  // tasks that no placement names
-    // What it ran when it did not show this term's token yet.
+    std::vector<model::ReportedTask> unknown_tasks;  // reported without a placement
+    // Tasks that it reported before its heartbeats carried this term's token.
     std::vector<model::ReportedTask> tasks_under_older_token;
 
-    // Delivery of commands: sent by CommandDelivery, acknowledged in the HeartbeatReconciler, judged by the
+    // Command delivery: sent by CommandDelivery, acknowledged in the HeartbeatReconciler, evaluated by the
     // FailureDetector.
     UnacknowledgedCommands unacknowledged;
     std::vector<SentForget> sent_forgets;
 
-    // The cloud: written by the MachineLifecycle; `releasing` by the FailureDetector alone.
+    // Cloud state: written by the MachineLifecycle, except `releasing`, which only the FailureDetector
+    // writes.
     double provisioned_at_s = 0;
-    std::optional<model::MachineStatus> listed_status;  // of its latest listing; nothing: never listed
-    std::optional<double> unlisted_since_s;             // was listed, and is no longer
+    std::optional<model::MachineStatus> listed_status;  // in the latest listing; empty: never listed
+    std::optional<double> unlisted_since_s;             // since when the list has lacked it
     bool releasing = false;
 
     // Tasks and their failures: written by the TaskLifecycle.
-    std::vector<PlacedTask> tasks;  // the placements that name it, in the order of their decision
+    std::vector<PlacedTask> tasks;  // placed on it, in the order of the decisions
     bool quarantined = false;
     std::set<std::string> failed_jobs;  // jobs whose tasks failed here since a task last succeeded
     int consecutive_failures = 0;
 
-    // Use: written by the MachineTable and the Planner, `idle_since_s` also by the HeartbeatReconciler.
+    // Usage: written by the MachineTable and the Planner, `idle_since_s` also by the HeartbeatReconciler.
     double idle_since_s = 0;
-    std::deque<CachedImage> images;  // latest last
+    std::deque<CachedImage> images;  // most recently used last
 
-    // A heartbeat arrived in this term.
+    // Returns whether a heartbeat arrived in this term.
     [[nodiscard]] bool has_reported() const { return contact != WorkerContact::none; }
-    // Its latest heartbeat carried this term's token.
+    // Returns whether its latest heartbeat carried this term's token.
     [[nodiscard]] bool token_confirmed() const { return contact == WorkerContact::current_token; }
-    // Its latest listing has this status.
+    // Returns whether its latest listing has this status.
     [[nodiscard]] bool is_listed_as(model::MachineStatus status) const { return listed_status == status; }
 };
 
--- a/src/cluster/machine_lifecycle.cpp
+++ b/src/cluster/machine_lifecycle.cpp
@@ -62,8 +62,8 @@
 }
 
 void MachineLifecycle::mark_unlisted(const std::set<std::string>& listed) {
-    // Whatever ran a task in an earlier term is older than the list's lag by now: not listed, it does not
-    // exist any more.
+    // A machine that ran tasks in an earlier term is by now older than the list's lag, so it no longer exists
+    // if it is not listed.
     const bool list_is_current =
         context_.now_s - context_.started_at_s > 2 * context_.settings.list_lag_s + c::list_period_s;
     for (auto& [id, machine] : machines_.all()) {
--- a/src/cluster/machine_lifecycle.hpp
+++ b/src/cluster/machine_lifecycle.hpp
@@ -1,4 +1,4 @@
-// What the cloud says of machines: provisioned, listed, released.
+// Applies what the cloud reports about machines: provisioned, listed, released.
 #pragma once
 
 #include <set>
@@ -12,26 +12,26 @@
 
 namespace pineroad::cluster {
 
-// Applies the cloud's answers to the machine table.
+// Applies the cloud's responses to the machine table.
 class MachineLifecycle {
    public:
     // All arguments must outlive this object.
     MachineLifecycle(const TermContext& context, MachineTable& machines, TaskLifecycle& tasks)
         : context_(context), machines_(machines), tasks_(tasks) {}
 
-    // The cloud provisioned the machines for the request.
+    // Adds the machines that the cloud provisioned for the request.
     void add_provisioned(const model::ProvisioningRequest& request, const std::vector<std::string>& ids);
-    // The cloud's list of machines. It lags.
+    // Applies the cloud's list of machines, which lags behind the actual state.
     void apply_list(const std::vector<model::ListedMachine>& list);
-    // Machines to be released next, as many as one request may name.
+    // Returns the machines to release next, at most as many as one request may name.
     [[nodiscard]] std::vector<std::string> machines_to_release() const;
-    // The release of the machines was answered: nothing runs there any more.
+    // Removes machines whose release the cloud confirmed: nothing runs on them any more.
     void remove_released(const std::vector<std::string>& ids);
 
    private:
-    // One machine of the list.
+    // Applies one machine of the list.
     void apply_listed_machine(const model::ListedMachine& listed);
-    // Machines that should be listed and are not.
+    // Marks machines that should be in the list but are not.
     void mark_unlisted(const std::set<std::string>& listed);
 
     const TermContext& context_;
--- a/src/cluster/machine_table.cpp
+++ b/src/cluster/machine_table.cpp
@@ -36,7 +36,7 @@
            !machine.unacknowledged.is_partitioned();
 }
 
-// What a machine's cache still holds, as far as one can tell: the latest images that fit into it.
+// Estimates what the machine's cache still holds: the latest images that fit into it.
 void MachineTable::record_cached_image(Machine& machine, const model::JobSpec& spec) {
     std::erase_if(machine.images, [&](const CachedImage& image) { return image.name == spec.image; });
     machine.images.push_back({spec.image, spec.image_gb});
--- a/src/cluster/machine_table.hpp
+++ b/src/cluster/machine_table.hpp
@@ -1,4 +1,4 @@
-// The machines of a term.
+// Table of the machines known in a term.
 #pragma once
 
 #include <map>
@@ -11,41 +11,41 @@
 
 namespace pineroad::cluster {
 
-// Owns the machines, their types and the names of those that were released.
+// Owns the machines, the machine types and the names of released machines.
 class MachineTable {
    public:
     // The context must outlive the table.
     explicit MachineTable(const TermContext& context) : context_(context) {}
 
-    // All machines, by name.
+    // Returns all machines, by name.
     [[nodiscard]] const std::map<std::string, Machine>& all() const { return machines_; }
-    // All machines, by name.
+    // Returns all machines, by name.
     [[nodiscard]] std::map<std::string, Machine>& all() { return machines_; }
-    // The machine, or nullptr.
+    // Returns the machine, or nullptr if it is not known.
     [[nodiscard]] Machine* find(const std::string& id);
-    // The machine, or nullptr.
+    // Returns the machine, or nullptr if it is not known.
     [[nodiscard]] const Machine* find(const std::string& id) const;
-    // The machine, added as idle and just provisioned if it was not known.
+    // Returns the machine; adds it as idle and just provisioned if it was not known.
     Machine& find_or_add(const std::string& id);
-    // The release of the machine was answered: it is proven that nothing runs there. Its placements must have
-    // been removed.
+    // Removes a machine whose release the cloud confirmed, which proves that nothing runs on it. Its
+    // placements must have been removed before.
     void remove(const std::string& id) { machines_.erase(id); }
 
-    // Whether tasks may be started on the machine: it is in contact under this term's token, and nothing
-    // speaks against it.
+    // Returns whether tasks may be started on the machine: it is in contact under this term's token, and
+    // nothing (such as a quarantine or an interruption notice) rules it out.
     [[nodiscard]] bool is_schedulable(const Machine& machine, double now) const;
-    // A task of the job is placed on the machine: its cache will hold the job's image.
+    // Records that the machine's cache will hold the job's image, after a task of the job was placed there.
     void record_cached_image(Machine& machine, const model::JobSpec& spec);
-    // Tasks of the job do not count against any machine any more.
+    // Stops counting failures of the job against any machine.
     void clear_failures_of(const std::string& job);
 
-    // The machine types.
+    // Returns the machine types.
     [[nodiscard]] MachineTypes& types() { return types_; }
-    // The machine types.
+    // Returns the machine types.
     [[nodiscard]] const MachineTypes& types() const { return types_; }
-    // The names of released machines.
+    // Returns the names of released machines.
     [[nodiscard]] ReleasedMachines& released() { return released_; }
-    // The names of released machines.
+    // Returns the names of released machines.
     [[nodiscard]] const ReleasedMachines& released() const { return released_; }
 
    private:
--- a/src/cluster/machine_types.cpp
+++ b/src/cluster/machine_types.cpp
@@ -5,7 +5,7 @@
 namespace pineroad::cluster {
 
 namespace {
-// Prices move; only the shape of the fleet is written down.
+// Prices change often, and a change of prices alone is not written.
 bool equal_except_price(const model::MachineType& first, const model::MachineType& second) {
     return first.name == second.name && first.capacity.cpus == second.capacity.cpus &&
            first.capacity.gpus == second.capacity.gpus &&
--- a/src/cluster/machine_types.hpp
+++ b/src/cluster/machine_types.hpp
@@ -1,4 +1,4 @@
-// The machine types that the cloud offers, and what of them is durable.
+// The machine types that the cloud offers, and the state of their record in the store.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +13,21 @@
 // Owns the list of machine types and the revision of its record.
 class MachineTypes {
    public:
-    // Takes over what an earlier term wrote, if anything.
+    // Loads the record that an earlier term wrote, if any.
     void load(const store::WatchCache& watch_cache);
-    // The cloud's present list. Returns whether more than prices changed, so that it is to be written.
+    // Replaces the list by the cloud's current one. Returns whether it must be written, because more than
+    // prices changed or no record exists.
     bool set(const std::vector<model::MachineType>& types);
-    // All types, in the cloud's order.
+    // Returns all types in the cloud's order.
     [[nodiscard]] const std::vector<model::MachineType>& all() const { return types_; }
-    // The type of this name, or nullptr.
+    // Returns the type of this name, or nullptr.
     [[nodiscard]] const model::MachineType* find(const std::string& name) const;
 
-    // Whether the list is to be written.
+    // Returns whether the list must be written.
     [[nodiscard]] bool needs_write() const { return needs_write_; }
-    // Revision of the record that a write replaces; 0: there is none.
+    // Returns the revision of the record that a write replaces; 0: there is none.
     [[nodiscard]] std::uint64_t mod_revision() const { return mod_revision_; }
-    // The list was written at this revision.
+    // Records that the list was written at this revision.
     void apply_commit(std::uint64_t revision);
 
    private:
--- a/src/cluster/provisioning_requests.cpp
+++ b/src/cluster/provisioning_requests.cpp
@@ -24,7 +24,7 @@
     for (std::uint32_t remaining = decision.count; remaining > 0;) {
         const auto count = std::min<std::uint32_t>(remaining, c::max_machines_per_request);
         remaining -= count;
-        // The token is never given twice, so neither is the name.
+        // A fencing token is never issued twice, so the name is unique.
         const auto name = "r-" + std::to_string(fencing_token_) + "-" + std::to_string(++request_count_);
         spdlog::info("provisioning request {}: {} {} in {}{} wanted (term {})", name, count, decision.type,
                      decision.zone, decision.spot ? ", spot" : "", fencing_token_);
@@ -49,16 +49,16 @@
                        [](const auto& entry) { return entry.second.is_sendable(); });
 }
 
-// One record for all: a record each took two changes a request, and in a burst, when pools are refused one
-// after the other, half of all that the store accepts.
+// All open requests share one record. With one record each, a request took two changes, and a burst of
+// refusals by one pool after the other used half of all changes that the store accepts.
 std::optional<ProvisioningRequests::Record> ProvisioningRequests::pending_record(double bytes) const {
     Record record;
     record.mod_revision = mod_revision_;
     std::vector<model::ProvisioningRequest> open;
-    constexpr std::size_t max_single_records = 2;  // the smallest commit has room for them
+    constexpr std::size_t max_single_records = 2;  // the smallest batch has room for them
     double record_bytes = 0;
     bool changed = false;
-    // Those that may have been sent stay in it, whatever else has room.
+    // Requests that may have been sent come first: they must stay in the record, whatever else fits.
     for (const bool in_record : {true, false})
         for (const auto& [name, request] : requests_) {
             if (request.is_in_record() != in_record) continue;
@@ -81,7 +81,8 @@
             record.open.push_back(name);
             changed |= !in_record;
         }
-    // Under a larger limit more were open than fit now: the record stands until enough of them are answered.
+    // More requests may be open than fit after the limit was lowered; the stored record then stays until
+    // enough of them are answered.
     if (!changed || record_bytes > bytes) return std::nullopt;
     record.value = records::provisioning_requests_json(open);
     record.bytes = static_cast<std::size_t>(record_bytes);
@@ -141,8 +142,8 @@
     if (it != requests_.end() && it->second.phase == Phase::in_flight) it->second.phase = Phase::unanswered;
 }
 
-// What was wanted of a pool that has just run out, and was not sent yet: another pool may have it. A name
-// that never left this process names nothing.
+// Lets the planner choose another pool for what this pool, which has just run out, was to provide. A request
+// that was never sent can be dropped safely, because the cloud does not know its name.
 void ProvisioningRequests::withdraw_unsent(const model::ProvisioningRequest& refused) {
     for (auto& [name, request] : requests_)
         if (request.is_unsent() && pool_of(request.request) == pool_of(refused)) request.close();
--- a/src/cluster/provisioning_requests.hpp
+++ b/src/cluster/provisioning_requests.hpp
@@ -1,5 +1,5 @@
-// The provisioning requests of a term. Those that are open stand by name in one record of the store, written
-// before any of them is sent to the cloud; beside them, which machine pools lately had no capacity.
+// Provisioning requests of a term. One record in the store holds all open requests by name and is written
+// before any of them is sent to the cloud. Also tracks which machine pools recently had no capacity.
 #pragma once
 
 #include <cstdint>
@@ -20,91 +20,95 @@
 // Owns the provisioning requests of one term, from the decision to scale out until their answers are durable.
 class ProvisioningRequests {
    public:
-    // For the term with this fencing token, which makes the names of its requests unique.
+    // Creates the requests of the term with this fencing token, which makes their names unique.
     explicit ProvisioningRequests(std::uint64_t fencing_token) : fencing_token_(fencing_token) {}
-    // Takes over the requests of earlier terms, to be sent again under their names: each provisions only
-    // once.
+    // Loads the requests of earlier terms, to be sent again under their names: the cloud provisions each name
+    // only once.
     void load(const store::WatchCache& watch_cache);
 
-    // Adds requests for as many machines of a pool.
+    // Adds requests for the machines of the decision.
     void scale_out(const scheduling::ScaleOut& decision);
-    // Requests without an answer: capacity on its way.
+    // Returns the requests without an answer: their capacity may still arrive.
     [[nodiscard]] std::vector<model::ProvisioningRequest> open_requests() const;
-    // Whether the cloud had no capacity in the pool a moment ago.
+    // Returns whether the cloud recently had no capacity in the pool.
     [[nodiscard]] bool lacks_capacity(const scheduling::MachinePool& pool, double now) const;
 
-    // The record of open requests, as it is to be written.
+    // The record of open requests to be written.
     struct Record {
         wire::Json value;
         std::uint64_t mod_revision = 0;  // of the record that it replaces
         std::size_t bytes = 0;
-        std::vector<std::string> open;    // names in it
-        std::vector<std::string> closed;  // names that are no longer in it
-        // Records of a single request each, from version 0.2: removed with their answers. Key and revision.
+        std::vector<std::string> open;    // names in the record
+        std::vector<std::string> closed;  // names no longer in the record
+        // Records of version 0.2, with a single request each, that are removed because it was answered: key
+        // and revision.
         std::vector<std::pair<std::string, std::uint64_t>> single_request_records;
     };
-    // As much as fits into so many bytes; nothing when the present record is up to date.
+    // Returns the record to be written, with as many requests as fit into `bytes`. Returns nothing if the
+    // stored record is up to date, or if the requests that it must keep do not fit.
     [[nodiscard]] std::optional<Record> pending_record(double bytes) const;
-    // The record was committed at this revision.
+    // Records that the record was committed at this revision.
     void apply_commit(const Record& record, std::uint64_t revision);
 
-    // Whether a request is durable and not under way.
+    // Returns whether a request is durable and can be sent, with no call in flight.
     [[nodiscard]] bool has_sendable() const;
-    // The next request to be sent to the cloud; it counts as under way from here.
+    // Returns the next request to send to the cloud, and marks it as in flight.
     std::optional<model::ProvisioningRequest> take_next();
-    // The cloud answered with so many machines. Returns the request, or nothing if the name is not known.
+    // Records that the cloud provisioned this many machines. Returns the request, or nothing if the name is
+    // not known.
     std::optional<model::ProvisioningRequest> record_answer(const std::string& name, std::size_t machines,
                                                             double now);
-    // The cloud had no capacity for the request.
+    // Records that the cloud had no capacity for the request.
     void record_refusal(const std::string& name, double now);
-    // No answer came: the request is sent again under its name.
+    // Records that no answer arrived; the request is sent again under its name.
     void record_missing_answer(const std::string& name);
 
    private:
-    // Where a request stands.
-    //   wanted -> durable -> in_flight -> closed, with in_flight -> unanswered -> in_flight for as long as no
-    //   answer comes. A request that was never sent may be withdrawn: from `pending`, and then its record may
-    //   still be committed, which makes it `closed`; from `durable` it is `closed` at once.
+    // State of a request.
+    //   pending -> durable -> in_flight -> closed, with in_flight -> unanswered -> in_flight until an answer
+    // arrives.
+    // A request that was never sent may be withdrawn. From `durable` it becomes `closed` at once. From
+    // `pending` it becomes `withdrawn`, and then `closed` if a commit that contains it still succeeds.
     enum class Phase {
         pending,     // not in the record yet
-        durable,     // in the record; no call of its name was made
-        in_flight,   // a call is under way
-        unanswered,  // a call may have been made, by this term or an earlier one, without an answer
-        withdrawn,   // not wanted any more, and not in the record
-        closed,      // answered or not wanted any more, and still in the record
+        durable,     // in the record, never sent to the cloud
+        in_flight,   // a call to the cloud is in flight
+        unanswered,  // may have been sent, in this term or an earlier one, but has no answer
+        withdrawn,   // no longer wanted, and not in the record
+        closed,      // answered or no longer wanted, and still in the record
     };
     // A request of this term or of an earlier one.
     struct Request {
         model::ProvisioningRequest request;
-        std::uint64_t own_record_revision = 0;  // of a record of its own
+        std::uint64_t own_record_revision = 0;  // of its separate record; 0: none
         Phase phase = Phase::pending;
-        // No answer came, and it is still wanted.
+        // Returns whether it has no answer and is still wanted.
         [[nodiscard]] bool is_open() const { return phase != Phase::withdrawn && phase != Phase::closed; }
-        // It stands in the record of the store.
+        // Returns whether it is in the record in the store.
         [[nodiscard]] bool is_in_record() const {
             return phase != Phase::pending && phase != Phase::withdrawn;
         }
-        // No call of its name can have been made.
+        // Returns whether it was certainly never sent.
         [[nodiscard]] bool is_unsent() const { return phase == Phase::pending || phase == Phase::durable; }
-        // It is durable, wanted, and no call is under way.
+        // Returns whether it is durable and still wanted, and no call is in flight.
         [[nodiscard]] bool is_sendable() const {
             return phase == Phase::durable || phase == Phase::unanswered;
         }
-        // A commit wrote it into the record.
+        // Applies a commit that wrote it into the record.
         void mark_durable() {
             if (phase == Phase::pending) phase = Phase::durable;
             if (phase == Phase::withdrawn) phase = Phase::closed;
         }
-        // It was answered, or is not wanted any more.
+        // Closes it, because it was answered or is no longer wanted.
         void close() { phase = is_in_record() ? Phase::closed : Phase::withdrawn; }
     };
-    // A pool without capacity.
+    // Backoff of a pool without capacity.
     struct Backoff {
-        double until_s = 0;  // no machine of the pool is requested before
-        double delay_s = 0;  // the latest pause; the next is twice as long
+        double until_s = 0;  // no machine of the pool is requested before this time
+        double delay_s = 0;  // latest delay; the next is twice as long
     };
     using PoolKey = std::tuple<std::string, std::string, bool>;  // type, zone, spot
-    // The pool that a request names.
+    // Returns the pool that a request names.
     static PoolKey pool_of(const model::ProvisioningRequest& request) {
         return {request.type, request.zone, request.spot};
     }
--- a/src/cluster/released_machines.hpp
+++ b/src/cluster/released_machines.hpp
@@ -1,4 +1,4 @@
-// The names of released machines. Late copies of their heartbeats and lagging machine lists mean nothing.
+// Names of released machines, so that late copies of their heartbeats and outdated machine lists are ignored.
 #pragma once
 
 #include <deque>
@@ -10,16 +10,16 @@
 
 namespace pineroad::cluster {
 
-// Remembers the machines whose release was answered, for a time and up to a number.
+// Remembers machines whose release was confirmed, limited in time and number.
 class ReleasedMachines {
    public:
-    // The release of the machine was answered.
+    // Adds a machine whose release was confirmed.
     void add(const std::string& machine, double now) {
         if (names_.insert(machine).second) order_.emplace_back(now, machine);
     }
-    // Whether the machine was released.
+    // Returns whether the machine was released.
     [[nodiscard]] bool contains(const std::string& machine) const { return names_.contains(machine); }
-    // Forgets what is older than the retention, and the oldest beyond the number.
+    // Forgets names older than the retention time, and the oldest ones beyond the maximum number.
     void expire(double now) {
         while (!order_.empty() && (now - order_.front().first > constants::released_machine_retention_s ||
                                    order_.size() > constants::max_released_machines)) {
@@ -30,7 +30,7 @@
 
    private:
     std::set<std::string> names_;
-    std::deque<std::pair<double, std::string>> order_;  // when it was released, and its name
+    std::deque<std::pair<double, std::string>> order_;  // time of release and name, oldest first
 };
 
 }  // namespace pineroad::cluster
--- a/src/cluster/segment_store.cpp
+++ b/src/cluster/segment_store.cpp
@@ -29,7 +29,7 @@
         return shard == job->shards.end() || shard->second.segment == segment ||
                shard->second.segment.empty();
     }
-    // Its tombstone supersedes an older entry.
+    // The tombstone is needed while an older entry remains in another segment.
     const auto latest = latest_segment_.find(entry);
     return latest != latest_segment_.end() && latest->second == segment && reference_counts_.at(entry) > 1;
 }
@@ -40,8 +40,9 @@
                         [&](const EntryName& entry) { return is_needed_for(entry, name); });
 }
 
-// An unused one is written over, so that a write serves for a removal too, and so that a late copy of a
-// commit always meets a newer version of its key. Their number is bounded by the fullest moment.
+// Reuses a segment that is no longer needed, so that one write also removes the old contents, and a late copy
+// of a commit always meets a newer revision of its key. The number of segments is thus bounded by the peak
+// use.
 std::string SegmentStore::writable_segment(const std::vector<std::string>& reserved) const {
     const auto is_reserved = [&](const std::string& name) {
         return std::find(reserved.begin(), reserved.end(), name) != reserved.end();
--- a/src/cluster/segment_store.hpp
+++ b/src/cluster/segment_store.hpp
@@ -1,8 +1,8 @@
-// The segments of the store: which entries each holds, which are still needed, and which is written next.
+// Segments in the store: which entries each of them holds, which are still needed, and which is written next.
 //
-// Of a job's entry in several segments, the one in the segment with the greatest sequence counts. A segment
-// is needed while it holds the latest entry of a job that goes on, or a tombstone that supersedes an older
-// entry of a job that is over. What nobody needs is written over, never removed.
+// If several segments hold an entry of a job, the one with the greatest sequence counts. A segment is needed
+// while it holds the latest entry of a job that is not over, or a tombstone that supersedes an older entry of
+// a job that is over. A segment that is no longer needed is overwritten, never deleted.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 
 namespace pineroad::cluster {
 
-// Owns what is known of the segments and of the tombstones that are still to be written.
+// Owns the known state of the segments and the tombstones that are still to be written.
 class SegmentStore {
    public:
     using EntryName = wire::records::EntryName;
@@ -27,55 +27,56 @@
     // Both arguments must outlive the store.
     SegmentStore(const TermContext& context, JobTable& jobs) : context_(context), jobs_(jobs) {}
 
-    // Takes over the segments of earlier terms.
+    // Loads the segments of earlier terms.
     void load(const store::WatchCache& watch_cache);
 
-    // The name of a segment to be written: one that is not needed any more, or a new one; none of `reserved`.
+    // Returns the name of the segment to write next: one that is no longer needed, or a new one, but none of
+    // `reserved`.
     [[nodiscard]] std::string writable_segment(const std::vector<std::string>& reserved) const;
-    // Revision of the segment that a write replaces; 0: there is none.
+    // Returns the revision of the segment that a write replaces; 0: there is none.
     [[nodiscard]] std::uint64_t mod_revision(const std::string& name) const;
-    // The sequence of the next segment: greater than all before.
+    // Returns the sequence of the next segment, which is greater than all earlier ones.
     [[nodiscard]] wire::records::Sequence next_sequence() {
         return {context_.fencing_token, ++segments_written_};
     }
-    // Entries of jobs that are over and still stand in a segment: a tombstone is to be written for each.
+    // Returns the entries that segments still hold for jobs that are over; each needs a tombstone.
     [[nodiscard]] const std::set<EntryName>& pending_tombstones() const { return pending_tombstones_; }
 
-    // The segment was written at this revision.
+    // Applies a write of the segment at this revision.
     void apply_commit(const WrittenSegment& written, std::uint64_t revision);
-    // A tombstone for the entry was written.
+    // Records that a tombstone for the entry was written.
     void mark_tombstone_written(const EntryName& entry) { pending_tombstones_.erase(entry); }
-    // The job is over and none of its tasks is left: its entries are to get tombstones.
+    // Requests tombstones for the entries of a job that is over and has no tasks left.
     void add_tombstones(const std::string& job);
-    // Has the entries of the oldest segment written anew when there are too many segments. Long jobs would
-    // otherwise hold on to sparse segments for ever.
+    // Schedules the entries of the oldest segment to be written again if there are too many segments.
+    // Otherwise long jobs would keep sparse segments in use for ever.
     void compact();
 
    private:
-    // A segment as the store holds it.
+    // A segment as stored.
     struct Segment {
         std::uint64_t mod_revision = 0;
         wire::records::Sequence sequence;
         std::vector<EntryName> entries;
     };
-    // Whether nobody needs the segment.
+    // Returns whether none of the entries of the segment is needed.
     [[nodiscard]] bool is_reusable(const std::string& name) const;
-    // Whether the segment is needed for the sake of this entry of its own.
+    // Returns whether the segment is needed because of this one of its entries.
     [[nodiscard]] bool is_needed_for(const EntryName& entry, const std::string& segment) const;
-    // Whether there are too many segments for the entries that jobs have.
+    // Returns whether there are too many segments for the number of entries of all jobs.
     [[nodiscard]] bool has_too_many_segments() const;
-    // The used segment with the smallest sequence, or nullptr.
+    // Returns the needed segment with the smallest sequence, or nullptr.
     [[nodiscard]] const std::pair<const std::string, Segment>* oldest_needed() const;
-    // The segment does not hold its entries any more.
+    // Removes the references of the segment to its entries.
     void drop_references(const Segment& segment);
 
     const TermContext& context_;
     JobTable& jobs_;
     std::map<std::string, Segment> segments_;
     std::map<EntryName, int> reference_counts_;        // number of segments that hold an entry
-    std::map<EntryName, std::string> latest_segment_;  // the latest of them
+    std::map<EntryName, std::string> latest_segment_;  // name of the latest of them
     std::set<EntryName> pending_tombstones_;
-    std::uint64_t segments_written_ = 0;  // segments of this term
+    std::uint64_t segments_written_ = 0;  // in this term
 };
 
 }  // namespace pineroad::cluster
--- a/src/cluster/state_loader.cpp
+++ b/src/cluster/state_loader.cpp
@@ -37,7 +37,7 @@
     load_placements(watch_cache, name, entry, job);
 }
 
-// Each is treated as running where it was placed until it is proven off.
+// A task counts as running where it was placed until it is proven not to run there.
 void StateLoader::load_placements(const store::WatchCache& watch_cache, const wire::records::EntryName& name,
                                   const model::Progress& entry, Job& job) {
     for (const auto& stored : entry.placements) {
--- a/src/cluster/state_loader.hpp
+++ b/src/cluster/state_loader.hpp
@@ -1,4 +1,4 @@
-// Builds the cluster state of a new term from the durable records: the failover.
+// Builds the cluster state of a new term from the durable records after a failover.
 #pragma once
 
 #include "cluster/job_table.hpp"
@@ -11,7 +11,7 @@
 
 namespace pineroad::cluster {
 
-// The parts of the cluster state that a term takes over.
+// The parts of the cluster state that a new term restores.
 struct LoadedState {
     JobTable& jobs;
     MachineTable& machines;
@@ -21,23 +21,23 @@
     SlowdownAverages& averages;
 };
 
-// Loads records that no earlier term can add to any more.
+// Loads the records, once no earlier term can change them any more.
 class StateLoader {
    public:
     // Everything that the state refers to must outlive this object.
     explicit StateLoader(const LoadedState& state) : state_(state) {}
 
-    // Loads everything. Progress without a job belongs to a cancelled one.
+    // Loads the whole state. Progress without a job belongs to a cancelled job.
     void load(const store::WatchCache& watch_cache, double now);
 
    private:
-    // One entry of a job.
+    // Loads one progress entry of a job.
     void load_progress(const store::WatchCache& watch_cache, const wire::records::EntryName& name,
                        const store::WatchCache::Progress& progress);
-    // The placements of an entry, as inherited ones.
+    // Loads the placements of an entry as inherited ones.
     void load_placements(const store::WatchCache& watch_cache, const wire::records::EntryName& name,
                          const model::Progress& entry, Job& job);
-    // What an earlier term left undone with the job.
+    // Completes what an earlier term left unfinished for the job.
     void reconcile_job(Job& job);
 
     LoadedState state_;
--- a/src/cluster/write_batch.hpp
+++ b/src/cluster/write_batch.hpp
@@ -15,7 +15,7 @@
 // A version of a job that a commit makes durable: of one shard, or of the whole job.
 struct WrittenShard {
     std::string job;
-    std::optional<std::uint32_t> shard;  // nothing: every shard
+    std::optional<std::uint32_t> shard;  // empty: every shard
     std::uint64_t version = 0;
 };
 
@@ -32,16 +32,16 @@
     std::vector<wire::records::EntryName> entries;
 };
 
-// A compare-and-swap transaction, and what it means for the cluster state once it is applied.
+// A compare-and-swap transaction, and its meaning for the cluster state once it is applied.
 struct WriteBatch {
     wire::Transaction txn;
     std::vector<WrittenShard> written_shards;
     std::vector<FinishedJob> finished_jobs;
-    std::vector<std::string> removed_jobs;  // nothing of them is left to be written
+    std::vector<std::string> removed_jobs;  // have nothing left to write
     std::vector<wire::records::EntryName> tombstones;
     std::optional<ProvisioningRequests::Record> provisioning_requests;
     std::vector<WrittenSegment> segments;
-    bool has_machine_types = false, has_category_averages = false;  // whether their records are in it
+    bool has_machine_types = false, has_category_averages = false;  // it contains their records
 };
 
 }  // namespace pineroad::cluster
--- a/src/cluster/write_batch_builder.cpp
+++ b/src/cluster/write_batch_builder.cpp
@@ -101,9 +101,9 @@
 
 // --- segments ----------------------------------------------------------------------------------------------
 
-// Placements first: starts wait for them. Jobs share segments, so that a write serves many of them; one
-// record a job took more writes than the store accepts once a second brings dozens of starts. Of the rest,
-// each is served in turn, none is passed over.
+// Placements come first, because starts wait for them. Jobs share segments, so that one write serves many
+// jobs: one record per job took more writes than the store accepts when dozens of tasks start per second. The
+// other shards follow in order, and none is skipped for a smaller one.
 void WriteBatchBuilder::add_segments() {
     const bool all_fit = add_changed_shards(true) && add_changed_shards(false);
     if (!all_fit) state_.pending_changes.request_commit();
@@ -111,8 +111,8 @@
     close_segment();
 }
 
-// Whether the shard holds placements that are not durable. The first shard goes with the first of any: it
-// says what counts for the whole job.
+// The first shard also holds the data of the whole job, so its first write is due with the first placement of
+// any shard.
 bool WriteBatchBuilder::is_awaited_by_starts(const Job& job, std::uint32_t shard_number,
                                              const ProgressShard& shard) {
     const bool is_unwritten_first_shard = shard_number == 0 && shard.segment.empty();
@@ -123,7 +123,6 @@
                        [&](const auto& entry) { return entry.second.version > shard.durable; });
 }
 
-// The shards that starts wait for, or the others. False: not all of them fit.
 bool WriteBatchBuilder::add_changed_shards(bool awaited_by_starts) {
     for (const auto& id : state_.pending_changes.jobs()) {
         Job& job = state_.jobs.at(id);
@@ -131,7 +130,7 @@
         for (const auto& [shard_number, shard] : job.shards) {
             if (!shard.is_changed() || is_awaited_by_starts(job, shard_number, shard) != awaited_by_starts)
                 continue;
-            // A new leader would miss the placements that stand in that entry alone.
+            // Without that entry, a new leader would miss the placements that only it holds.
             if (shard_number == 0 && !job.shards_in_unsharded_entry.empty()) continue;
             if (!add_shard(job, shard_number, shard)) return false;
         }
@@ -147,7 +146,7 @@
     if (!fits_value(entry, bytes)) return true;
     const bool fills_segment = static_cast<double>(open_segment_bytes_ + bytes) > limits_.value_bytes;
     if (!open_segment_entries_.empty() && fills_segment) close_segment();
-    // The other half of the changes is left for what users wait for.
+    // Half of the changes are reserved for records that users wait for.
     const bool segments_fill_half = (batch_.segments.size() + 1) * 2 > limits_.changes;
     if (!fits(2, open_segment_bytes_ + bytes + c::segment_reserve_bytes) || segments_fill_half) return false;
     open_segment_bytes_ += bytes;
@@ -161,8 +160,9 @@
     return true;
 }
 
-// An entry that an earlier version wrote under a larger limit may not fit before it may be sharded. It goes
-// by the limit in force, until a batch is rejected; then its job waits until it is sharded.
+// An entry that an earlier version wrote under a larger limit may not fit until its job may be sharded. It is
+// written under the limit currently in force until a batch is rejected; then the job waits until it is
+// sharded.
 bool WriteBatchBuilder::fits_value(const records::EntryName& entry, std::size_t bytes) const {
     const double current_bytes = state_.context.settings.current_value_kb * 1024 * c::value_fill_ratio;
     if (static_cast<double>(bytes) <= limits_.value_bytes) return true;
@@ -172,7 +172,6 @@
     return false;
 }
 
-// Jobs that are over and still stand in an older segment, as far as the open segment has space for them.
 void WriteBatchBuilder::add_tombstones() {
     if (open_segment_entries_.empty()) return;
     for (const auto& entry : state_.segments.pending_tombstones()) {
@@ -202,8 +201,8 @@
 
 // --- finished jobs -----------------------------------------------------------------------------------------
 
-// Jobs that are done first, since others may wait for them; then those cancelled by a dependency, of which
-// all controllers tell already.
+// Jobs that are done come first, because others may wait for them. Jobs cancelled by a dependency follow,
+// because all controllers report them as cancelled already.
 void WriteBatchBuilder::add_finished_jobs() {
     const auto& changed = state_.pending_changes.jobs();
     const std::vector<std::string> ids(changed.begin(), changed.end());
@@ -215,7 +214,6 @@
         }
 }
 
-// What is left to be written of a job that is done or over. False: it does not fit.
 bool WriteBatchBuilder::add_finished_job(Job& job) {
     if (job.is_ending()) {
         const auto status =
@@ -225,7 +223,7 @@
             return false;
         }
     } else if (!job.is_over() || !job.placements.empty()) {
-        return true;  // written in a segment, or nothing to say until the last task has ended
+        return true;  // written in a segment, or nothing to write until the last task has ended
     }
     if (job.placements.empty()) {
         if (job.progress_revision) {
@@ -238,14 +236,14 @@
     return true;
 }
 
-// Asks for exactly what it takes: where a small batch of segments left no third change, the ends of jobs
-// waited for minutes in a burst. False: it does not fit.
+// Requests exactly the changes that it needs. When it always requested three, batches whose segments left
+// only two delayed the final states of jobs by minutes in a burst.
 bool WriteBatchBuilder::add_outcome(Job& job, model::FinalStatus status) {
     const auto dependency_records = job.spec->dependency_records;
     const std::size_t changes = (job.progress_revision ? 3 : 2) + dependency_records;
     if (!fits(changes, c::outcome_reserve_bytes + c::dependency_removal_bytes * dependency_records))
         return false;
-    // The cancellation of a user and this compare the same revision: one of the two wins.
+    // A user's cancellation compares the same revision, so only one of the two can be committed.
     remove(records::job_key(job.id), job.mod_revision);
     for (std::uint32_t record_number = 1; record_number <= dependency_records; ++record_number)
         batch_.txn.changes.push_back(
--- a/src/cluster/write_batch_builder.hpp
+++ b/src/cluster/write_batch_builder.hpp
@@ -20,7 +20,7 @@
 
 namespace pineroad::cluster {
 
-// The parts of the cluster state that are made durable.
+// The parts of the cluster state that are written to the store.
 struct DurableState {
     const TermContext& context;
     JobTable& jobs;
@@ -34,63 +34,66 @@
 // The limits of one batch.
 struct BatchLimits {
     std::size_t changes = 0;
-    double value_bytes = 0;           // of a segment, with room left for numbers that grow
-    bool current_limits_hold = true;  // no batch was rejected: the limits in force are as announced
+    double value_bytes = 0;           // of a segment, less a margin for growing numbers
+    bool current_limits_hold = true;  // no batch was rejected: the old limits are still in force
 
-    // For a write of at most `changes` changes, after so many batches of this term were rejected as
-    // malformed. The first rejection tells that the announced limits are in force; later ones, that these are
-    // lower.
+    // Returns the limits for a write of at most `changes` changes, after this many batches of this term were
+    // rejected as malformed. The first rejection shows that the announced limits are in force. Each later one
+    // shows that the actual limits are lower, and halves the limits.
     static BatchLimits after_rejections(int rejections, std::size_t changes,
                                         const config::Settings& settings);
 };
 
-// One batch while it is built: what is more urgent is added first, as long as it fits.
+// Builds one batch. More urgent changes are added first, as long as they fit.
 class WriteBatchBuilder {
    public:
     // The state must outlive the builder.
     WriteBatchBuilder(const DurableState& state, const BatchLimits& limits)
         : state_(state), limits_(limits) {}
 
-    // Adds everything that is to be written and fits, and returns the batch. It has no changes if nothing is
-    // to be written; it may then still name jobs that left no trace in the store.
+    // Adds everything that must be written and fits, and returns the batch. A batch without changes means
+    // that there is nothing to write, but it may still name jobs that have no record in the store.
     WriteBatch build();
 
    private:
-    // The record of machine types.
+    // Adds the record of machine types.
     void add_machine_types();
-    // The record of open provisioning requests.
+    // Adds the record of open provisioning requests.
     void add_provisioning_requests();
-    // Segments with the entries of changed shards, and tombstones.
+    // Adds segments with the entries of changed shards, and tombstones.
     void add_segments();
-    // Entries of shards that starts wait for, or of the others. False: not all of them fit.
+    // Adds the entries of the shards that starts wait for, or of all others. Returns false if not all of them
+    // fit.
     bool add_changed_shards(bool awaited_by_starts);
-    // The entry of one shard. False: the batch is full.
+    // Adds the entry of one shard. Returns false if the batch is full.
     bool add_shard(Job& job, std::uint32_t shard_number, const ProgressShard& shard);
-    // Tombstones, as far as the open segment has space for them.
+    // Adds tombstones for entries that older segments hold for jobs that are over, as far as the open segment
+    // has space.
     void add_tombstones();
     // Adds the open segment to the transaction.
     void close_segment();
-    // The final states of jobs that are done or cancelled by a dependency, and removals.
+    // Adds the final states of jobs that are done or cancelled by a dependency, and removals.
     void add_finished_jobs();
-    // The same of one job. False: it does not fit.
+    // Adds what is left to write of one job that is done or over. Returns false if it does not fit.
     bool add_finished_job(Job& job);
-    // The final state of a job. False: it does not fit.
+    // Adds the final state of a job. Returns false if it does not fit.
     bool add_outcome(Job& job, model::FinalStatus status);
-    // The record of slowdown averages.
+    // Adds the record of slowdown averages.
     void add_category_averages();
-    // Nothing is applied once the leadership key has changed.
+    // Adds the condition that the leader record is unchanged, so that a former leader cannot commit.
     void add_leader_condition();
 
-    // Whether the shard holds placements that are not durable.
+    // Returns whether the shard holds placements that are not durable.
     [[nodiscard]] static bool is_awaited_by_starts(const Job& job, std::uint32_t shard_number,
                                                    const ProgressShard& shard);
-    // Whether so many more changes and bytes fit into the transaction.
+    // Returns whether this many more changes and bytes fit into the transaction.
     [[nodiscard]] bool fits(std::size_t changes, std::size_t bytes) const;
-    // Whether an entry of this size fits into one value.
+    // Returns whether an entry of this size fits into one value.
     [[nodiscard]] bool fits_value(const wire::records::EntryName& entry, std::size_t bytes) const;
-    // Writes the value on the condition of the present revision; 0: there is none.
+    // Adds a write of the value, on the condition that the key still has this revision; 0: the key does not
+    // exist.
     void put(const std::string& key, wire::Json value, std::uint64_t mod_revision, std::size_t bytes);
-    // Removes the key on the condition of its present revision.
+    // Adds a removal of the key, on the condition that it still has this revision.
     void remove(const std::string& key, std::uint64_t mod_revision);
 
     const DurableState& state_;
--- a/src/store/arrival_tracker.cpp
+++ b/src/store/arrival_tracker.cpp
@@ -8,7 +8,7 @@
 namespace pineroad::store {
 namespace {
 
-// The shortest time, in seconds, within which an objective wants jobs of the class to start.
+// Returns the shortest time, in seconds, within which an objective requires jobs of the class to start.
 std::optional<double> tightest_start_objective(const config::Settings& settings,
                                                const std::string& job_class) {
     std::optional<double> tightest;
--- a/src/store/arrival_tracker.hpp
+++ b/src/store/arrival_tracker.hpp
@@ -1,5 +1,5 @@
-// How often jobs of each class arrive. Every controller tracks it, so that a new leader knows the demand at
-// once.
+// Tracks how often jobs of each class arrive. Every controller does so, so that a newly elected leader knows
+// the demand immediately.
 #pragma once
 
 #include <deque>
@@ -12,15 +12,15 @@
 
 namespace pineroad::store {
 
-// Arrivals of jobs by class within the last constants::demand_window_s seconds. All times are seconds of the
-// steady clock.
+// Keeps the arrivals of jobs by class over the last constants::demand_window_s seconds. All times are seconds
+// on the steady clock.
 class ArrivalTracker {
    public:
-    // Records that a job became ready for scheduling at `now`. Classes beyond constants::demand_classes are
-    // not tracked, and of one class only the latest constants::demand_arrivals arrivals are kept: both bound
-    // memory.
+    // Records that a job became ready for scheduling at `now`. To bound memory, classes beyond
+    // constants::demand_classes are ignored and only the latest constants::demand_arrivals arrivals of a
+    // class are kept.
     void record_arrival(const model::JobSpec& spec, double now);
-    // The demand of each tracked class: arrivals per second, the tightest objective for starting (in seconds)
+    // Returns the demand of each tracked class: arrivals per second, the tightest start objective in seconds
     // and the latest job as a sample.
     [[nodiscard]] std::map<std::string, scheduling::ClassDemand> by_class(const config::Settings& settings,
                                                                           double now) const;
@@ -29,10 +29,11 @@
     // The arrivals of one class.
     struct ClassArrivals {
         model::JobSpec sample;        // the latest job of the class
-        double first_arrival = 0;     // when the first one arrived; 0: none has
+        double first_arrival = 0;     // time of the first arrival; 0: none yet
         std::deque<double> arrivals;  // times, in ascending order
     };
-    // Over the time since the class's first arrivals settled, and at most the window.
+    // Returns the arrival rate over at most the demand window. The first constants::demand_settle_s seconds
+    // after the first arrival of a class are left out.
     [[nodiscard]] static double arrivals_per_s(const ClassArrivals& job_class, double now);
 
     std::map<std::string, ClassArrivals> classes_;
--- a/src/store/cancellation_log.hpp
+++ b/src/store/cancellation_log.hpp
@@ -1,7 +1,7 @@
-// The cancellations that this process knows of, by the revision of the store that holds them. A user gets an
-// answer that says "cancelled" only once the cancellation is recorded here, whoever committed it and whatever
-// the answer belongs to (a cancel, a repeated one, a poll, a repeated submission). That makes this log what a
-// controller confirms to its peers: docs/safety.md, "What a peer confirms".
+// Log of the cancellations that this process knows of, by store revision. A user receives an answer that says
+// "cancelled" only after the cancellation is recorded here, whoever committed it and whatever the request was
+// (a cancellation, a repeated one, a status poll or a repeated submission). A controller therefore confirms
+// the contents of this log to its peers: docs/safety.md, "What a peer confirms".
 #pragma once
 
 #include <algorithm>
@@ -16,13 +16,13 @@
 
 namespace pineroad::store {
 
-// The latest constants::max_cancellations_kept cancellations, by revision.
+// Holds the latest constants::max_cancellations_kept cancellations, by revision.
 class CancellationLog {
    public:
-    // A revision of the store, and the id of the job that was cancelled at it.
+    // Store revision of a cancellation, and the id of the cancelled job.
     using Entry = std::pair<std::uint64_t, std::string>;
 
-    // Records a cancellation, and forgets the oldest where there are too many. True if it was not known.
+    // Records a cancellation, and evicts the oldest ones beyond the limit. Returns whether it was new.
     bool add(const std::string& job, std::uint64_t revision) {
         if (!entries_.emplace(revision, job).second) return false;
         while (entries_.size() > constants::max_cancellations_kept) {
@@ -31,9 +31,9 @@
         }
         return true;
     }
-    // Every cancellation known here after the revision, in ascending order. Nothing, rather than a part of
-    // them, when some were forgotten or they are more than one message holds: the asker would take a part for
-    // all.
+    // Returns every known cancellation after the revision, in ascending order. Returns nothing if some of
+    // them were evicted or if they do not fit into one message, because the caller would take a partial list
+    // for a complete one.
     [[nodiscard]] std::optional<std::vector<Entry>> entries_after(std::uint64_t revision) const {
         if (revision < last_evicted_revision_) return std::nullopt;
         std::vector<Entry> entries(entries_.lower_bound({revision + 1, ""}), entries_.end());
@@ -43,7 +43,7 @@
 
    private:
     std::set<Entry> entries_;
-    std::uint64_t last_evicted_revision_ = 0;  // the greatest revision that was forgotten
+    std::uint64_t last_evicted_revision_ = 0;  // greatest revision that was evicted
 };
 
 }  // namespace pineroad::store
--- a/src/store/linearizable_read.cpp
+++ b/src/store/linearizable_read.cpp
@@ -11,7 +11,7 @@
 
 net::awaitable<bool> LinearizableRead::catch_up() {
     if (!watch_cache_.ready) co_return false;
-    // A check that started before this call proves nothing for it: wait for the next one.
+    // A check that started before this call may miss later commits, so wait for the next one.
     const auto required_check = checks_started_ + 1;
     const double deadline = steady_now_s() + c::store_timeout_s + 0.2;
     while (checks_done_ < required_check) {
@@ -29,11 +29,11 @@
     check_running_ = true;
     const double delay_s =
         last_check_sent_s_ + store_.pacing_interval_s(c::linearizable_read_share) - steady_now_s();
-    if (delay_s > 0) co_await net::sleep_for(delay_s);  // others arrive meanwhile and share the check
+    if (delay_s > 0) co_await net::sleep_for(delay_s);  // callers that arrive during the wait share the check
     const auto check_number = ++checks_started_;
     const double sent = last_check_sent_s_ = steady_now_s();
     const auto events = co_await store_.events_since(watch_cache_.revision);
-    // While the check was under way the watch cache may have been lost.
+    // The watch cache may have been invalidated during the check.
     last_check_succeeded_ = watch_cache_.ready && events.has_value();
     if (last_check_succeeded_) {
         watch_cache_.apply(*events, steady_now_s());
--- a/src/store/progress_view.cpp
+++ b/src/store/progress_view.cpp
@@ -13,18 +13,18 @@
     known_segment = {segment.sequence, {}, mod_revision};
     for (auto& [entry, progress] : segment.entries) {
         known_segment.entries.push_back(entry);
-        auto& current_sequence = current_sequences_[entry];  // a new entry's {0, 0} is less than any sequence
+        auto& current_sequence = current_sequences_[entry];  // {0, 0} if new: less than any sequence
         if (current_sequence > segment.sequence) continue;
         current_sequence = segment.sequence;
         if (progress) {
             entries_[entry] = {std::move(*progress), mod_revision, name};
-        } else {  // a tombstone: no task of it is left anywhere
+        } else {  // a tombstone: none of its tasks is left on any machine
             entries_.erase(entry);
         }
     }
 }
 
-// An overwritten segment is written only once none of its former entries is needed any more.
+// A segment is overwritten only after none of its former entries is needed any more.
 void ProgressView::remove_entries_of(const Segment& segment) {
     for (const auto& entry : segment.entries) {
         const auto current_sequence = current_sequences_.find(entry);
--- a/src/store/progress_view.hpp
+++ b/src/store/progress_view.hpp
@@ -1,5 +1,5 @@
-// The progress of live jobs as the store's records hold it: which segment holds the current entry of a job,
-// and what the entries of one job say together.
+// Progress of live jobs as recorded in the store: which segment holds the current entry of a job, and the
+// combined contents of all entries of a job.
 #pragma once
 
 #include <cstdint>
@@ -12,60 +12,60 @@
 
 namespace pineroad::store {
 
-// Progress entries by job and shard. An entry may stand in several segments; the one with the greatest
-// sequence is current. Iterates over the current entries in the order of job and shard.
+// Progress entries by job and shard. Several segments may hold an entry; the copy in the segment with the
+// greatest sequence is current. Iteration visits the current entries ordered by job and shard.
 class ProgressView {
    public:
-    // A job, and the shard of its tasks that the entry speaks of.
+    // Job, and the shard of its tasks that the entry covers.
     using EntryName = wire::records::EntryName;
     // A current entry.
     struct Entry {
         model::Progress value;
-        std::uint64_t mod_revision = 0;  // of the record it was read from
-        std::string segment;  // name of that segment; empty: a record of the job's own (version 0.1)
+        std::uint64_t mod_revision = 0;  // of the record that holds it
+        std::string segment;             // name of that segment; empty: a record per job (version 0.1)
     };
-    // What a segment record was found to hold.
+    // Contents of a segment record.
     struct Segment {
         wire::records::Sequence sequence;
         std::vector<EntryName> entries;
         std::uint64_t mod_revision = 0;
     };
-    // Number of a job's tasks that are done, and that are placed on a machine.
+    // Numbers of a job's tasks that are done and that are placed on a machine.
     struct TaskCounts {
         std::uint64_t done = 0, placed = 0;
     };
 
-    // A segment record was written. It replaces what this segment held before; of two segments that hold an
-    // entry the one with the greater sequence counts, whichever is applied first.
+    // Applies a written segment record, which replaces the former contents of this segment. If two segments
+    // hold an entry, the one with the greater sequence counts, whichever is applied first.
     void apply_segment(const std::string& name, wire::records::Segment&& segment, std::uint64_t mod_revision);
-    // A progress record of version 0.1, one per job. It is older than any segment and never replaces an entry
-    // that came from one.
+    // Applies a progress record of version 0.1, which wrote one record per job. It is older than any segment
+    // and never replaces an entry from one.
     void apply_job_record(const std::string& job, model::Progress progress, std::uint64_t mod_revision);
-    // Such a record was deleted. An entry that came from a segment stays.
+    // Applies the deletion of such a record. An entry from a segment stays.
     void remove_job_record(const std::string& job);
-    // Forgets everything: the store is about to be read anew.
+    // Forgets everything before the store is read again.
     void clear();
 
-    // Whether the placement, which is part of that entry, counts. An entry of a whole job counts only for
-    // tasks whose shard has no entry of its own, since that one was written later.
+    // Returns whether this placement of the entry is current. An entry of a whole job does not count for
+    // tasks whose shard has an entry of its own, because that one was written later.
     [[nodiscard]] bool is_current(const EntryName& entry, const model::Placement& placement) const;
-    // Sums up all entries of a job; zeros for a job without one.
+    // Returns the sums over all entries of a job, or zeros if it has none.
     [[nodiscard]] TaskCounts task_counts(const std::string& job) const;
-    // Every segment that was read, by name, whether or not one of its entries is still current.
+    // Returns every segment that was read, by name, even if none of its entries is current any more.
     [[nodiscard]] const std::map<std::string, Segment>& segments() const { return segments_; }
-    // The first current entry, as a pair of EntryName and Entry.
+    // Returns an iterator to the first current entry, a pair of EntryName and Entry.
     [[nodiscard]] auto begin() const { return entries_.begin(); }
-    // The end of the current entries.
+    // Returns the end of the current entries.
     [[nodiscard]] auto end() const { return entries_.end(); }
 
    private:
-    // Drops the entries that are current in that segment.
+    // Removes the entries whose current copy is in this segment.
     void remove_entries_of(const Segment& segment);
 
     std::map<EntryName, Entry> entries_;
     std::map<std::string, Segment> segments_;
     std::map<EntryName, wire::records::Sequence>
-        current_sequences_;  // sequence of the segment that is current for an entry
+        current_sequences_;  // sequence of the segment that holds the current copy
 };
 
 }  // namespace pineroad::store
--- a/src/store/steady_time.hpp
+++ b/src/store/steady_time.hpp
@@ -1,4 +1,4 @@
-// The time that leases, time-outs and pacing are measured by.
+// The clock for leases, timeouts and rate limits.
 #pragma once
 
 #include <chrono>
@@ -7,7 +7,8 @@
 
 namespace pineroad::store {
 
-// The steady clock, in seconds since an arbitrary start. Tests simulate it through net::Clock.
+// Returns the time of the steady clock in seconds since an arbitrary start. Tests simulate it through
+// net::Clock.
 inline double steady_now_s() {
     return std::chrono::duration<double>(net::Clock::now().time_since_epoch()).count();
 }
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -15,8 +15,8 @@
                                                                std::string body, double timeout_s) {
     const double sent = steady_now_s();
     auto reply = co_await client_->request(std::move(method), std::move(target), std::move(body), timeout_s);
-    // 503 is an outage, for every controller or for this one alone; anything else shows that the store serves
-    // this controller.
+    // A 503 is an outage, which may affect every controller or only this one. Any other status shows that the
+    // store serves this controller.
     if (reply && reply->status != 503) {
         last_contact_s_ = std::max(last_contact_s_, sent);
         if (sent > outage_.since) outage_ = {};
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -1,5 +1,5 @@
 // Client of the consensus-backed key-value store. Every request passes through it, so that it knows when the
-// store last served this controller, and since when it has refused it.
+// store last served this controller, and since when requests have failed.
 #pragma once
 
 #include <cstddef>
@@ -14,8 +14,8 @@
 
 namespace pineroad::store {
 
-// The store refuses this controller: when it first did so since it last served it, and when the latest
-// request was sent that failed. Seconds on the steady clock, -1: never.
+// Failures since the store last served this controller: the time of the first one, and the time at which the
+// latest failed request was sent. Seconds on the steady clock; -1: none.
 struct StoreOutage {
     double since = -1, last_sent = -1;
 };
@@ -23,37 +23,38 @@
 // How the store answered a compare-and-swap transaction.
 enum class CommitStatus {
     committed,
-    unreadable,    // committed, but the answer does not hold a revision
+    unreadable,    // committed, but the response contains no valid revision
     conflict,      // a condition did not hold
-    malformed,     // never to be accepted as it is
+    malformed,     // the same transaction will never be accepted
     rate_limited,  // not executed
     unavailable,   // not executed
-    unanswered     // it may have been executed, or may yet be
+    unanswered     // may have been executed, or may still be
 };
 
-// The answer to a compare-and-swap transaction.
+// Response to a compare-and-swap transaction.
 struct CommitResult {
     CommitStatus status = CommitStatus::unanswered;
     std::uint64_t revision = 0;  // when committed
-    std::string body;            // of the answer, when it was not committed
+    std::string body;            // of the response, when not committed
 };
 
 // Whether a key was found.
 enum class ReadStatus { found, absent, unavailable };
 
-// The answer to the read of one key.
+// Response to the read of one key.
 struct ReadResult {
     ReadStatus status = ReadStatus::unavailable;
-    std::optional<wire::Row> row;  // when found; nothing if it can't be parsed
+    std::optional<wire::Row> row;  // when found; empty if it cannot be parsed
 };
 
-// Sends requests to the store and keeps account of their success.
+// Sends requests to the store and tracks when it served them.
 class StoreClient {
    public:
-    // `requests_per_s` is what the store serves to all `controllers` together.
+    // `requests_per_s` is the rate at which the store serves all `controllers` together.
     StoreClient(std::unique_ptr<net::Client> client, double requests_per_s, std::size_t controllers);
 
-    // The answer, or nothing: then the request may or may not have been executed, and may yet be.
+    // Sends a request and returns the response. Returns nothing if no response arrived; the request may then
+    // have been executed, or may still be.
     net::awaitable<std::optional<net::Reply>> request(std::string method, std::string target,
                                                       std::string body = {},
                                                       double timeout_s = constants::store_timeout_s);
@@ -61,18 +62,18 @@
     net::awaitable<CommitResult> commit(std::string body, double timeout_s = constants::store_timeout_s);
     // Reads one key.
     net::awaitable<ReadResult> read(std::string key);
-    // The events on all keys of this service after the revision, without waiting for one. Nothing if the
-    // request failed.
+    // Returns the events on all keys of this service after the revision, without waiting for new ones, or
+    // nothing if the request failed.
     net::awaitable<std::optional<wire::WatchEvents>> events_since(std::uint64_t revision);
 
-    // When the latest request was sent that the store has answered; -1: none.
+    // Returns the time at which the latest request that the store has served was sent; -1: none.
     [[nodiscard]] double last_contact_s() const { return last_contact_s_; }
-    // Whether the store served this controller within store_contact_fresh_s.
+    // Returns whether the store served this controller within the last store_contact_fresh_s seconds.
     [[nodiscard]] bool recently_served() const;
-    // Since the last contact.
+    // Returns the failures since the store last served this controller.
     [[nodiscard]] const StoreOutage& outage() const { return outage_; }
-    // Seconds between requests of one kind, so that all controllers together keep to its share of what the
-    // store serves.
+    // Returns the interval, in seconds, between requests of one kind that keeps all controllers together
+    // within this share of the store's request rate.
     [[nodiscard]] double pacing_interval_s(double share) const;
 
    private:
--- a/src/store/watch_cache.hpp
+++ b/src/store/watch_cache.hpp
@@ -1,5 +1,5 @@
 // This controller's copy of the service's records in the store, kept current by watches. It may lag behind
-// the store: whoever needs an answer no older than one already given makes a linearizable read first.
+// the store: a caller that needs an answer no older than one already given makes a linearizable read first.
 #pragma once
 
 #include <boost/compute/detail/lru_cache.hpp>
@@ -23,89 +23,89 @@
 
 namespace pineroad::store {
 
-// The live records, decoded, and what follows from them: the dependency graph, the outcomes of jobs that
-// ended lately and the demand by class. Times are seconds of the steady clock. A record that cannot be read
-// is logged or skipped, and leaves what was known before.
+// The decoded live records and what is derived from them: the dependency graph, the outcomes of recently
+// ended jobs and the demand by class. Times are seconds on the steady clock. A record that cannot be read is
+// logged or skipped, and the previous value stays.
 class WatchCache {
    public:
-    // Holds nothing, and is not ready.
+    // Creates an empty cache that is not ready.
     WatchCache();
 
-    // Forgets the live records before they are read anew. Outcomes, cancellations, demand and the hooks stay:
-    // they do not depend on what is live, and an acknowledged cancellation must stay known.
+    // Forgets the live records before they are read again. Outcomes, cancellations, demand and hooks stay:
+    // they do not depend on the live records, and an acknowledged cancellation must stay known.
     void clear();
-    // A record was written, with this value and this revision of its key. Keys of other services are ignored.
+    // Applies a written record, with its value and the revision of its key. Ignores keys of other services.
     void apply_put(const std::string& key, const wire::Json& value, std::uint64_t mod_revision, double now);
-    // A record was deleted.
+    // Applies the deletion of a record.
     void apply_delete(const std::string& key);
-    // The events of one watch answer, in their order. Two watches may overlap and answer out of order, and
-    // each holds everything after its start: events up to `revision` are skipped.
+    // Applies the events of one watch response in order. Two watches may overlap and complete out of order,
+    // and each returns everything after its start, so events up to `revision` are skipped.
     void apply(const wire::WatchEvents& events, double now);
-    // Every record up to `revision` was applied: the cache is ready for use.
+    // Marks the cache as ready for use, after every record up to `revision` was applied.
     void mark_ready();
-    // Makes a job's outcome known: the only way to do so, taken before any user or peer is answered, whether
-    // the outcome comes from a watch, an answer of the store or a peer. `mod_revision` is that of its record.
+    // Records the outcome of a job, read from its record at `mod_revision`. Every outcome passes through here
+    // before any user or peer is answered, whether it came from a watch, a response of the store or a peer.
     void record_outcome(const std::string& id, const model::JobOutcome& outcome, std::uint64_t mod_revision);
 
-    // How the job ended, as far as memory has it. A live job counts as cancelled once a job that it depends
-    // on is: it cannot end in any other way, whether or not its own final record is written yet.
+    // Returns how the job ended, if the outcome is in memory. A live job counts as cancelled once a job that
+    // it depends on is: it cannot end in any other way, even before its own final record is written.
     std::optional<model::FinalStatus> outcome_of(const std::string& id);
-    // Whether a placement that is part of the entry counts: see ProgressView.
+    // Returns whether this placement of the entry is current; see ProgressView.
     [[nodiscard]] bool is_current(const wire::records::EntryName& entry,
                                   const model::Placement& placement) const {
         return progress.is_current(entry, placement);
     }
-    // Number of the job's tasks that are done, and that are placed on a machine.
+    // Returns the numbers of the job's tasks that are done and that are placed on a machine.
     [[nodiscard]] ProgressView::TaskCounts task_counts(const std::string& id) const {
         return progress.task_counts(id);
     }
-    // The dependencies between live jobs.
+    // Returns the dependencies between live jobs.
     [[nodiscard]] const model::DependencyGraph& dependencies() const { return dependencies_; }
-    // The cancellations known to this process.
+    // Returns the cancellations known to this process.
     [[nodiscard]] const CancellationLog& cancellations() const { return cancellations_; }
 
     using Progress = ProgressView::Entry;
 
     bool ready = false;          // every record up to `revision` is applied
-    std::uint64_t revision = 0;  // of the store, up to which events are applied
+    std::uint64_t revision = 0;  // store revision up to which events are applied
     std::map<std::string, Versioned<model::JobSpec>>
         jobs;  // live jobs with their whole dependency list, by id
     ProgressView progress;
-    // Provisioning requests without an answer, in the one record that holds them all.
+    // Provisioning requests that the cloud has not answered yet, in the one record that holds them all.
     Versioned<std::vector<model::ProvisioningRequest>> open_provisioning_requests;
-    // The same in records of their own, by name, as version 0.2 wrote them.
+    // Unanswered provisioning requests in separate records, by name, as version 0.2 wrote them.
     std::map<std::string, Versioned<model::ProvisioningRequest>> provisioning_records;
-    std::optional<Versioned<wire::records::Leader>> leader;  // who holds the term; nothing: it is vacant
-    Versioned<std::uint64_t> term;                           // the greatest fencing token given out
+    std::optional<Versioned<wire::records::Leader>> leader;  // empty: there is no leader
+    Versioned<std::uint64_t> term;                           // greatest fencing token issued
     std::optional<Versioned<std::vector<model::MachineType>>> machine_types;
     Versioned<model::CategoryAverages> category_averages;
-    Versioned<std::set<std::string>>
-        record_format_readers;  // controllers that read the present record format
-    ArrivalTracker demand;      // of jobs since their dependencies are done
+    Versioned<std::set<std::string>> record_format_readers;  // controllers that read the current format
+    ArrivalTracker demand;                                   // counts a job once its dependencies are done
 
     // Hooks of the leader, called while a record or an outcome is applied; empty ones are not called.
-    // A job became live; with the revision of its record.
+    // Called when a job became live, with the revision of its record.
     std::function<void(const model::JobSpec&, std::uint64_t mod_revision)> on_job_added;
-    // A job is cancelled; `is_new` if this cancellation was not known here before.
+    // Called when a job is cancelled. `is_new`: this cancellation was not known here before.
     std::function<void(const std::string& id, bool is_new)> on_job_cancelled;
-    // Jobs became ready, or cancelled because of a job that they depend on.
+    // Called when jobs became ready, or were cancelled because of a job that they depend on.
     std::function<void(const model::DependencyGraph::Change&)> on_dependency_change;
 
    private:
-    // How each kind of record is applied (watch_cache_records.cpp).
+    // Handlers for each kind of record (watch_cache_records.cpp).
     struct RecordHandlers;
 
-    // Takes in a job whose dependency list is complete, new or written again.
+    // Adds a job whose dependency list is complete, or replaces it if its record was written again.
     void add_job(Versioned<model::JobSpec> job, double now);
-    // Passes on jobs that became ready, or cancelled, to the demand and to the hook.
+    // Reports jobs that became ready, or were cancelled, to the demand tracker and to the hook.
     void notify_dependency_change(const model::DependencyGraph::Change& change);
 
     DependencyAssembler dependency_assembler_;
     model::DependencyGraph dependencies_;
-    // Of jobs that ended lately; the least recently used are dropped beyond constants::outcome_cache_size.
+    // Outcomes of recently ended jobs; the least recently used are evicted beyond
+    // constants::outcome_cache_size.
     boost::compute::detail::lru_cache<std::string, model::JobOutcome> recent_outcomes_;
     CancellationLog cancellations_;
-    double last_event_s_ = 0;  // when an event was last applied
+    double last_event_s_ = 0;  // time of the latest applied event
 };
 
 }  // namespace pineroad::store
--- a/src/store/watch_cache_observer.hpp
+++ b/src/store/watch_cache_observer.hpp
@@ -1,26 +1,27 @@
-// What the loops that keep the watch cache current report to the rest of the controller.
+// Notifications from the code that keeps the watch cache current to the rest of the controller.
 #pragma once
 
 #include "wire/records.hpp"
 
 namespace pineroad::store {
 
-// Receives the reports.
+// Receives notifications about the watch cache.
 class WatchCacheObserver {
    public:
     virtual ~WatchCacheObserver() = default;
 
-    // Everything committed before a request that was sent then (seconds, steady clock) is in the cache.
+    // The cache holds everything that was committed before a request sent at `sent` (seconds on the steady
+    // clock).
     virtual void on_cache_current(double sent) = 0;
     // The cache was loaded and is ready for use.
     virtual void on_cache_loaded() = 0;
-    // The cache can't be kept current any more and is loaded anew.
+    // The cache can no longer be kept current and will be loaded again.
     virtual void on_cache_lost() = 0;
-    // The leader's record stands in the cache after events were applied.
+    // The cache holds a leader record after events were applied.
     virtual void on_leader_seen(const wire::records::Leader& leader) = 0;
-    // A watch was answered and its events were applied; with them the leader's record may have been removed.
+    // The events of a watch response were applied. `leader_removed`: they removed the leader record.
     virtual void on_watch_applied(bool leader_removed) = 0;
-    // Whether this controller holds a term, and so needs changes sooner.
+    // Returns whether this controller is the leader, which needs changes sooner than the others.
     [[nodiscard]] virtual bool is_leader() const = 0;
 };
 
--- a/src/store/watch_cache_records.cpp
+++ b/src/store/watch_cache_records.cpp
@@ -1,4 +1,4 @@
-// How each kind of record changes the watch cache: one handler a kind, chosen by a table of keys.
+// Handlers that apply each kind of record to the watch cache, selected by a table of keys.
 #include <spdlog/spdlog.h>
 
 #include <optional>
@@ -17,14 +17,14 @@
 // A written record whose kind is known.
 struct WrittenRecord {
     const std::string& key;
-    const std::string& name;  // what follows the prefix in the key; empty for a key of its own
+    const std::string& name;  // key without the prefix; empty for a kind with a single key
     const wire::Json& value;
     std::uint64_t mod_revision;
     double now;  // seconds, steady clock
 };
 
 void log_unreadable(const std::string& key) {
-    spdlog::error("record {} cannot be read", key);
+    spdlog::error("cannot parse record {}", key);
 }
 
 }  // namespace
@@ -32,14 +32,14 @@
 struct WatchCache::RecordHandlers {
     enum class Match { prefix, whole_key };
 
-    // One kind of record: its key, and what a record of it changes.
+    // Key of one kind of record, and the functions that apply it.
     struct Handler {
         std::string_view key;
-        Match match;  // prefix: the key of many records, each with a name of its own after it
+        Match match;  // prefix: the kind has many records, each with its name after the prefix
         void (*on_put)(WatchCache&, const WrittenRecord&);
-        void (*on_delete)(WatchCache&, const std::string& name);  // null: deleting one changes nothing here
+        void (*on_delete)(WatchCache&, const std::string& name);  // null: deletions are ignored
 
-        // The record's name, or nothing if it is of another kind.
+        // Returns the record's name, or nothing if the key belongs to another kind.
         [[nodiscard]] std::optional<std::string> record_name_in(const std::string& record_key) const {
             if (match == Match::prefix) return records::under(record_key, key);
             if (record_key == key) return "";
@@ -73,7 +73,7 @@
     static void put_segment(WatchCache& cache, const WrittenRecord& record) {
         auto segment = records::parse_segment(record.value);
         if (!segment) {
-            spdlog::error("segment {} cannot be read", record.name);
+            spdlog::error("cannot parse segment {}", record.name);
             return;
         }
         cache.progress.apply_segment(record.name, std::move(*segment), record.mod_revision);
@@ -119,7 +119,7 @@
         cache.category_averages = {records::parse_category_averages(record.value), record.mod_revision};
     }
 
-    // The further records of its dependency list are deleted in the same transaction.
+    // The further records of the dependency list are deleted in the same transaction and need no handler.
     static void delete_job(WatchCache& cache, const std::string& id) {
         cache.jobs.erase(id);
         cache.dependency_assembler_.remove(id);
--- a/src/store/watch_loop.cpp
+++ b/src/store/watch_loop.cpp
@@ -16,8 +16,8 @@
 net::awaitable<void> WatchLoop::run() {
     for (;;) {
         if (!watch_cache_.ready) {
-            // Not awaited in the condition: GCC 12 would lay out the coroutine's frame wrongly, since it
-            // guards a virtual call.
+            // The co_await stays outside the condition, which guards a virtual call: GCC 12 would lay out the
+            // coroutine frame incorrectly.
             const bool loaded = co_await load();
             if (!loaded) {
                 co_await sleep_for(c::store_retry_s);
@@ -52,8 +52,8 @@
     watch_cache_.clear();
     const auto first_revision = co_await load_records();
     if (!first_revision) co_return false;
-    // Pages were read one after the other; what changed between them comes again from the first page's
-    // revision.
+    // Records may change while the pages are read, so the events since the revision of the first page are
+    // applied.
     watch_cache_.revision = *first_revision;
     const double sent = steady_now_s();
     const auto events = co_await store_.events_since(*first_revision);
@@ -71,7 +71,8 @@
     const auto target = wire::watch_target(records::all_prefix, watch_cache_.revision,
                                            static_cast<int>(c::watch_block_s * 1000));
     const auto reply = co_await store_.request("GET", target, {}, c::watch_block_s + c::store_timeout_s);
-    // After a long cut a watch may hold more events than memory does; a new load takes far less.
+    // After a long disconnection a watch may return more events than fit into memory; loading again takes far
+    // less.
     if (reply && (reply->status == 410 || reply->too_large)) {
         spdlog::info("watch too old, the watch cache is loaded anew");
         watch_cache_.ready = false;
@@ -88,7 +89,8 @@
     observer_.on_cache_current(sent);
     if (watch_cache_.leader) observer_.on_leader_seen(watch_cache_.leader->value);
     observer_.on_watch_applied(had_leader && !watch_cache_.leader);
-    // Changes come in bursts; a short pause turns many answers into one. The leader needs them sooner.
+    // Changes come in bursts, and a short pause batches many of them into one response. The leader pauses
+    // less because it needs them sooner.
     co_await sleep_for(observer_.is_leader() ? c::watch_gap_leader_s
                                              : store_.pacing_interval_s(c::watch_share));
 }
--- a/src/store/watch_loop.hpp
+++ b/src/store/watch_loop.hpp
@@ -11,17 +11,18 @@
 // Keeps one watch cache current.
 class WatchLoop {
    public:
-    // All of these must outlive the loop.
+    // All arguments must outlive the loop.
     WatchLoop(StoreClient& store, WatchCache& watch_cache, WatchCacheObserver& observer);
-    // Never returns.
+    // Loads the cache and then watches the store. Never returns.
     net::awaitable<void> run();
 
    private:
-    // Loads the cache; false: a request failed.
+    // Loads the cache. Returns false if a request failed.
     net::awaitable<bool> load();
-    // The revision of the first page, or nothing if a page could not be read.
+    // Applies all live records. Returns the revision of the first page, or nothing if a page could not be
+    // read.
     net::awaitable<std::optional<std::uint64_t>> load_records();
-    // Waits for one watch, applies its events and pauses.
+    // Waits for one watch response, applies its events and pauses.
     net::awaitable<void> watch_once();
 
     StoreClient& store_;
