--- a/src/cluster/failure_detector.hpp
+++ b/src/cluster/failure_detector.hpp
@@ -50,7 +50,7 @@
     struct ContactCounts {
         std::size_t reporting = 0;               // have reported in this term
         std::size_t in_contact = 0;              // of these, have reported recently
-        std::size_t not_receiving_commands = 0;  // of these, do not reflect what they were sent
+        std::size_t not_receiving_commands = 0;  // reporting, but do not reflect what they were sent
         // Returns whether at least half of the machines are in contact.
         [[nodiscard]] bool most_in_contact() const { return in_contact > 0 && 2 * in_contact >= reporting; }
         // Returns whether only few machines receive nothing. Many of them indicate a fault on the
--- a/src/cluster/provisioning_requests.hpp
+++ b/src/cluster/provisioning_requests.hpp
@@ -65,8 +65,8 @@
 
    private:
     // State of a request.
-    //   pending -> durable -> in_flight -> closed, with in_flight -> unanswered -> in_flight until an answer
-    // arrives.
+    //   pending -> durable -> in_flight -> closed
+    //   in_flight -> unanswered -> in_flight, repeated until an answer arrives
     // A request that was never sent may be withdrawn. From `durable` it becomes `closed` at once. From
     // `pending` it becomes `withdrawn`, and then `closed` if a commit that contains it still succeeds.
     enum class Phase {
@@ -82,24 +82,24 @@
         model::ProvisioningRequest request;
         std::uint64_t own_record_revision = 0;  // of its separate record; 0: none
         Phase phase = Phase::pending;
-        // Returns whether it has no answer and is still wanted.
+        // Returns whether the request has no answer and is still wanted.
         [[nodiscard]] bool is_open() const { return phase != Phase::withdrawn && phase != Phase::closed; }
-        // Returns whether it is in the record in the store.
+        // Returns whether the record in the store contains the request.
         [[nodiscard]] bool is_in_record() const {
             return phase != Phase::pending && phase != Phase::withdrawn;
         }
-        // Returns whether it was certainly never sent.
+        // Returns whether the request was certainly never sent.
         [[nodiscard]] bool is_unsent() const { return phase == Phase::pending || phase == Phase::durable; }
-        // Returns whether it is durable and still wanted, and no call is in flight.
+        // Returns whether the request is durable and still wanted, and no call is in flight.
         [[nodiscard]] bool is_sendable() const {
             return phase == Phase::durable || phase == Phase::unanswered;
         }
-        // Applies a commit that wrote it into the record.
+        // Applies a commit that wrote the request into the record.
         void mark_durable() {
             if (phase == Phase::pending) phase = Phase::durable;
             if (phase == Phase::withdrawn) phase = Phase::closed;
         }
-        // Closes it, because it was answered or is no longer wanted.
+        // Closes the request, because it was answered or is no longer wanted.
         void close() { phase = is_in_record() ? Phase::closed : Phase::withdrawn; }
     };
     // Backoff of a pool without capacity.
--- a/src/store/dependency_assembler.hpp
+++ b/src/store/dependency_assembler.hpp
@@ -17,8 +17,8 @@
 // is their number. Both add functions return the job that the added record completed, with its whole list.
 class DependencyAssembler {
    public:
-    // Adds a job's main record. Returns the job at once if all further records of its list are known or none
-    // exist.
+    // Adds a job's main record. Returns the job at once if all further records of its list are already
+    // known, or if it has none.
     std::optional<Versioned<model::JobSpec>> add_job(Versioned<model::JobSpec> job);
     // Adds a further record of the job's list. `number` is the position of the record in that list, as in its
     // key.
--- a/src/store/watch_cache.hpp
+++ b/src/store/watch_cache.hpp
@@ -83,6 +83,7 @@
     ArrivalTracker demand;                                   // counts a job once its dependencies are done
 
     // Hooks of the leader, called while a record or an outcome is applied; empty ones are not called.
+
     // Called when a job became live, with the revision of its record.
     std::function<void(const model::JobSpec&, std::uint64_t mod_revision)> on_job_added;
     // Called when a job is cancelled. `is_new`: this cancellation was not known here before.
