--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -108,10 +108,10 @@
     // Sets the cloud's machine types. Returns whether they must be written.
     bool set_machine_types(const std::vector<model::MachineType>& types);
     // Returns whether a provisioning request is durable and not yet sent.
-    [[nodiscard]] bool has_provisioning_request() const { return provisioning_requests_.has_next(); }
+    [[nodiscard]] bool has_provisioning_request() const { return provisioning_requests_.has_sendable(); }
     // Returns the next provisioning request to send and marks it as in flight.
     std::optional<model::ProvisioningRequest> next_provisioning_request() {
-        return provisioning_requests_.next();
+        return provisioning_requests_.take_next();
     }
     // Records that the cloud provisioned these machines for the request of this name.
     void machines_provisioned(const std::string& name, const std::vector<std::string>& machines, double now);
--- a/src/cluster/task_lifecycle.cpp
+++ b/src/cluster/task_lifecycle.cpp
@@ -178,7 +178,7 @@
                                                                c::max_failed_machines_per_job;
     if (job_at_fault) {
         job.failures.retry_at_s = context_.now_s + retry_backoff_s(job.failures.count);
-        machines_.forget_failures_of(job.id);
+        machines_.clear_failures_of(job.id);
         return;
     }
     ++machine.consecutive_failures;
--- a/src/controller/commit_loop.cpp
+++ b/src/controller/commit_loop.cpp
@@ -93,7 +93,7 @@
             handle_malformed(leader, result.body, uncertain);
             co_return Settlement::settled;
         case CommitStatus::rate_limited:
-            leader.write_limiter.refused();
+            leader.write_limiter.record_rate_limited();
             co_return Settlement::retry;
         case CommitStatus::unavailable:
         case CommitStatus::unanswered:  // the same again: at most one copy can be applied
--- a/src/peers/peer_directory.hpp
+++ b/src/peers/peer_directory.hpp
@@ -52,7 +52,7 @@
     [[nodiscard]] std::vector<leadership::PeerConfirmation> confirmations() const;
     // Returns whether every peer responds and the store has served none of them since it began to refuse this
     // controller; `own` describes that refusal.
-    [[nodiscard]] bool store_down_for_all(const store::StoreRefusal& own) const;
+    [[nodiscard]] bool store_down_for_all(const store::StoreOutage& own) const;
 
     // --- leadership::PeerView ---
     // Returns the store contact of each peer, one entry per peer.
--- a/src/peers/record_format.cpp
+++ b/src/peers/record_format.cpp
@@ -21,7 +21,7 @@
 }
 
 bool RecordFormat::all_controllers_read_format() const {
-    const auto& recorded_readers = watch_cache_.format.value;
+    const auto& recorded_readers = watch_cache_.record_format_readers.value;
     return reads_current_format() && recorded_readers.contains(settings_.name) &&
            std::all_of(settings_.peers.begin(), settings_.peers.end(),
                        [&](const config::Peer& peer) { return recorded_readers.contains(peer.name); });
@@ -31,7 +31,7 @@
 // has requested a job with dependencies, the silent peers. Users request dependencies only after every
 // controller has been upgraded, so a silent peer is not an earlier version that still runs.
 std::set<std::string> RecordFormat::readers() const {
-    auto readers = watch_cache_.format.value;
+    auto readers = watch_cache_.record_format_readers.value;
     readers.insert(settings_.name);
     const double silent_before = store::steady_now_s() - constants::format_silence_timeout_s;
     for (std::size_t i = 0; i < directory_.size(); ++i) {
