--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -21,7 +21,7 @@
     return spec.shape == model::Shape::service;
 }
 
-bool fits_some_machine(const model::JobSpec& spec, const std::vector<model::MachineType>& types) {
+bool fits_some_machine_type(const model::JobSpec& spec, const std::vector<model::MachineType>& types) {
     return std::any_of(types.begin(), types.end(), [&](const model::MachineType& type) {
         if (!spec.allows_type(type.name) || !spec.task_resources.fits_in(type.capacity)) return false;
         return std::any_of(type.zones.begin(), type.zones.end(),
@@ -44,7 +44,7 @@
     };
     const auto* team = settings.team(spec.team);
     if (!team) return infeasible("unknown team");
-    if (!fits_some_machine(spec, types)) return infeasible("a task fits no allowed machine type");
+    if (!fits_some_machine_type(spec, types)) return infeasible("a task fits no allowed machine type");
     if (exceeds_team_limit(spec, *team)) return infeasible("the job needs more than the team's limit");
     return {};
 }
@@ -55,8 +55,8 @@
     return {error.status, wire::error_response(error.text), error.retry_after_s, error.close_connection};
 }
 
-AdmissionError Admission::try_again(std::string_view reason) {
-    return {AdmissionErrorKind::not_yet_decided, 503, std::string(reason),
+AdmissionError Admission::retry_later_error(std::string_view reason) {
+    return {AdmissionErrorKind::retry_later, 503, std::string(reason),
             dependencies_.load_shedding.retry_after_s(), dependencies_.load_shedding.closes_connection()};
 }
 
@@ -76,12 +76,12 @@
             AdmissionErrorKind::malformed, 400,
             fmt::format("{} names more than {} jobs", wire::dependencies_field, c::max_dependencies)};
     if (std::find(spec.dependencies.begin(), spec.dependencies.end(), spec.id) != spec.dependencies.end())
-        return AdmissionError{AdmissionErrorKind::bad_dependency, 422,
+        return AdmissionError{AdmissionErrorKind::invalid_dependency, 422,
                               fmt::format("{} names itself in {}", spec.id, wire::dependencies_field)};
     // An earlier version would start the job at once.
     if (!dependencies_.record_format.agreed()) {
         dependencies_.record_format.request_dependencies();
-        return try_again("a controller of an earlier version still serves");
+        return retry_later_error("a controller of an earlier version still serves");
     }
     return {};
 }
@@ -89,10 +89,11 @@
 net::awaitable<AdmissionResult> Admission::check_dependencies(const model::JobSpec& spec) {
     int lookups = 0;
     for (const auto& id : spec.dependencies) {
-        auto state = remembered_dependency(id);
+        auto state = cached_dependency_state(id);
         if (!state) {
             // What was found is remembered: the user's next try comes further.
-            if (++lookups > c::max_dependency_lookups) co_return try_again("too many look-ups at once");
+            if (++lookups > c::max_dependency_lookups)
+                co_return retry_later_error("too many look-ups at once");
             state = co_await look_up_dependency(id);
         }
         auto acceptable = check_dependency(id, *state);
@@ -102,24 +103,24 @@
 }
 
 AdmissionResult Admission::check_dependency(const std::string& id, DependencyState state) {
-    const auto bad = [](std::string text) {
-        return AdmissionError{AdmissionErrorKind::bad_dependency, 422, std::move(text)};
+    const auto rejection = [](std::string text) {
+        return AdmissionError{AdmissionErrorKind::invalid_dependency, 422, std::move(text)};
     };
     switch (state) {
         case DependencyState::accepted:
             return {};
         case DependencyState::service:
-            return bad(fmt::format("{} is a service and never done", id));
+            return rejection(fmt::format("{} is a service and never done", id));
         case DependencyState::unknown:
-            return bad(fmt::format("{} was never accepted", id));
-        case DependencyState::undecidable:
+            return rejection(fmt::format("{} was never accepted", id));
+        case DependencyState::undetermined:
             break;
     }
     return store_unavailable();
 }
 
 // A positive answer may come from the watch cache, since what was accepted stays accepted.
-std::optional<Admission::DependencyState> Admission::remembered_dependency(const std::string& id) {
+std::optional<Admission::DependencyState> Admission::cached_dependency_state(const std::string& id) {
     auto& watch_cache = dependencies_.watch_cache;
     if (const auto job = watch_cache.jobs.find(id); job != watch_cache.jobs.end())
         return is_service(job->second.value) ? DependencyState::service : DependencyState::accepted;
@@ -131,15 +132,15 @@
 // which replaces it.
 net::awaitable<Admission::DependencyState> Admission::look_up_dependency(std::string id) {
     const auto read = co_await dependencies_.store.read(records::job_key(id));
-    if (read.status == store::ReadStatus::unavailable) co_return DependencyState::undecidable;
+    if (read.status == store::ReadStatus::unavailable) co_return DependencyState::undetermined;
     if (read.status == store::ReadStatus::found) {
         const auto spec = read.row ? records::parse_job(id, read.row->value) : std::nullopt;
-        if (!spec) co_return DependencyState::undecidable;
+        if (!spec) co_return DependencyState::undetermined;
         co_return is_service(*spec) ? DependencyState::service : DependencyState::accepted;
     }
     switch (co_await dependencies_.job_lookup.look_up_outcome(id)) {
-        case JobState::undecidable:
-            co_return DependencyState::undecidable;
+        case JobState::undetermined:
+            co_return DependencyState::undetermined;
         case JobState::unknown:
             co_return DependencyState::unknown;
         default:
--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -21,8 +21,8 @@
 enum class AdmissionErrorKind {
     malformed,            // its request can't be carried out as written
     infeasible,           // no machine type or the team's limit does not allow it
-    bad_dependency,       // it names a job that it can't depend on
-    not_yet_decided,      // the same request may be accepted later
+    invalid_dependency,   // it names a job that it can't depend on
+    retry_later,          // the same request may be accepted later
     acceptance_uncertain  // it may have been accepted; the user's next try finds out
 };
 
@@ -59,13 +59,15 @@
     // must hold the machine types.
     net::awaitable<AdmissionResult> check(const model::JobSpec& spec);
     // The user is to try again.
-    [[nodiscard]] AdmissionError try_again(std::string_view reason);
+    [[nodiscard]] AdmissionError retry_later_error(std::string_view reason);
     // ... since the store can't tell.
-    [[nodiscard]] AdmissionError store_unavailable() { return try_again("state service unavailable"); }
+    [[nodiscard]] AdmissionError store_unavailable() {
+        return retry_later_error("state service unavailable");
+    }
 
    private:
     // A job that another one depends on.
-    enum class DependencyState { accepted, service, unknown, undecidable };
+    enum class DependencyState { accepted, service, unknown, undetermined };
 
     // The checks that need no look-up.
     [[nodiscard]] AdmissionResult check_dependency_list(const model::JobSpec& spec);
@@ -74,7 +76,7 @@
     // Whether a job may depend on one of this state.
     [[nodiscard]] AdmissionResult check_dependency(const std::string& id, DependencyState state);
     // From the watch cache; nothing if it does not tell.
-    [[nodiscard]] std::optional<DependencyState> remembered_dependency(const std::string& id);
+    [[nodiscard]] std::optional<DependencyState> cached_dependency_state(const std::string& id);
     // From the store.
     net::awaitable<DependencyState> look_up_dependency(std::string id);
 
--- a/src/api/job_lookup.cpp
+++ b/src/api/job_lookup.cpp
@@ -8,7 +8,7 @@
 namespace c = constants;
 namespace records = wire::records;
 
-JobState state_of(model::FinalStatus outcome) {
+JobState job_state_of(model::FinalStatus outcome) {
     return outcome == model::FinalStatus::done ? JobState::done : JobState::cancelled;
 }
 
@@ -16,49 +16,49 @@
                      store::WatchCache& watch_cache)
     : store_(store), linearizable_read_(linearizable_read), watch_cache_(watch_cache) {}
 
-std::optional<JobState> JobLookup::remembered_outcome(const std::string& id) {
+std::optional<JobState> JobLookup::cached_outcome(const std::string& id) {
     const auto outcome = watch_cache_.outcome_of(id);
     if (!outcome) return std::nullopt;
-    return state_of(*outcome);
+    return job_state_of(*outcome);
 }
 
 // A live job that depends on others is said to be live only when the outcomes of all its ancestors are known:
 // one that ended before this controller's watch cache was loaded might have been cancelled.
 net::awaitable<JobState> JobLookup::look_up(std::string id) {
-    if (!co_await linearizable_read_.catch_up()) co_return JobState::undecidable;
+    if (!co_await linearizable_read_.catch_up()) co_return JobState::undetermined;
     if (watch_cache_.jobs.contains(id)) {
-        if (!co_await resolve(watch_cache_.dependencies().unresolved_before(id)))
-            co_return JobState::undecidable;
-        if (const auto outcome = remembered_outcome(id)) co_return *outcome;
+        if (!co_await resolve_outcomes(watch_cache_.dependencies().unresolved_before(id)))
+            co_return JobState::undetermined;
+        if (const auto outcome = cached_outcome(id)) co_return *outcome;
         if (watch_cache_.jobs.contains(id)) co_return JobState::live;
     }
     co_return co_await look_up_outcome(id);
 }
 
 net::awaitable<JobState> JobLookup::look_up_outcome(std::string id) {
-    if (const auto outcome = remembered_outcome(id)) co_return *outcome;
+    if (const auto outcome = cached_outcome(id)) co_return *outcome;
     const auto read = co_await store_.read(records::outcome_key(id));
     if (read.status == store::ReadStatus::absent) co_return JobState::unknown;
     const auto outcome = read.row ? records::parse_outcome(read.row->value) : std::nullopt;
-    if (!outcome) co_return JobState::undecidable;
+    if (!outcome) co_return JobState::undetermined;
     watch_cache_.record_outcome(id, *outcome, read.row->mod_revision);
-    co_return state_of(outcome->status);
+    co_return job_state_of(outcome->status);
 }
 
-net::awaitable<bool> JobLookup::resolve(std::vector<std::string> ids) {
+net::awaitable<bool> JobLookup::resolve_outcomes(std::vector<std::string> ids) {
     int lookups = 0;
     for (const auto& id : ids) {
         if (watch_cache_.jobs.contains(id)) continue;
         if (++lookups > c::max_dependency_lookups) co_return false;
         const auto outcome = co_await look_up_outcome(id);
-        if (outcome == JobState::undecidable || outcome == JobState::unknown) co_return false;
+        if (outcome == JobState::undetermined || outcome == JobState::unknown) co_return false;
     }
     co_return true;
 }
 
 net::awaitable<void> JobLookup::resolve_dependencies() {
     for (;;) {
-        if (watch_cache_.ready) co_await resolve(watch_cache_.dependencies().unresolved());
+        if (watch_cache_.ready) co_await resolve_outcomes(watch_cache_.dependencies().unresolved());
         co_await net::sleep_for(c::dependency_period_s);
     }
 }
--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -15,15 +15,15 @@
 
 // What is known of a job.
 enum class JobState {
-    live,        // accepted, and not over
-    done,        // over
-    cancelled,   // over
-    unknown,     // never accepted
-    undecidable  // can't be told now: the store does not answer
+    live,         // accepted, and not over
+    done,         // over
+    cancelled,    // over
+    unknown,      // never accepted
+    undetermined  // can't be told now: the store does not answer
 };
 
 // The state of a job that ended so.
-JobState state_of(model::FinalStatus outcome);
+JobState job_state_of(model::FinalStatus outcome);
 
 // Looks up jobs for users and for admission.
 class JobLookup {
@@ -33,7 +33,7 @@
               store::WatchCache& watch_cache);
 
     // How the job ended, as far as the watch cache tells; nothing if it doesn't.
-    [[nodiscard]] std::optional<JobState> remembered_outcome(const std::string& id);
+    [[nodiscard]] std::optional<JobState> cached_outcome(const std::string& id);
     // The job's state, by a read that was sent after the call.
     net::awaitable<JobState> look_up(std::string id);
     // How the job ended, from the watch cache or the store: done, cancelled, undecidable, or unknown when
@@ -45,7 +45,7 @@
 
    private:
     // Looks up the outcomes of jobs that are not live. False: not all could be told.
-    net::awaitable<bool> resolve(std::vector<std::string> ids);
+    net::awaitable<bool> resolve_outcomes(std::vector<std::string> ids);
 
     store::StoreClient& store_;
     store::LinearizableRead& linearizable_read_;
--- a/src/api/job_writes.cpp
+++ b/src/api/job_writer.cpp
@@ -1,4 +1,4 @@
-#include "api/job_writes.hpp"
+#include "api/job_writer.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -19,18 +19,19 @@
 namespace {
 
 // The conditions under which a job is accepted: nobody has accepted it yet.
-wire::Transaction unless_known(const std::string& id) {
+wire::Transaction transaction_for_new_job(const std::string& id) {
     wire::Transaction transaction;
     transaction.conditions = {{records::job_key(id), 0}, {records::outcome_key(id), 0}};
     return transaction;
 }
 
 // The transaction that accepts the job; nothing if it does not fit the store.
-std::optional<wire::Transaction> acceptance(const model::JobSpec& spec, const config::Settings& settings) {
+std::optional<wire::Transaction> acceptance_transaction(const model::JobSpec& spec,
+                                                        const config::Settings& settings) {
     const auto value_bytes = static_cast<std::size_t>(settings.value_kb * 1024 * c::value_fill_ratio);
     auto job_records = records::job_records(spec, value_bytes, c::dependency_records);
     if (!job_records) return std::nullopt;
-    auto transaction = unless_known(spec.id);
+    auto transaction = transaction_for_new_job(spec.id);
     transaction.changes = {{records::job_key(spec.id), std::move(job_records->job), std::nullopt}};
     std::uint32_t number = 0;
     for (auto& record : job_records->dependencies)
@@ -40,15 +41,15 @@
 }
 
 // The transaction that accepts the job as one that is cancelled.
-wire::Transaction acceptance_as_cancelled(const model::JobSpec& spec) {
+wire::Transaction cancelled_acceptance_transaction(const model::JobSpec& spec) {
     const model::JobOutcome outcome{model::FinalStatus::cancelled, spec.accepted_ms};
-    auto transaction = unless_known(spec.id);
+    auto transaction = transaction_for_new_job(spec.id);
     transaction.changes = {{records::outcome_key(spec.id), records::outcome_json(outcome), std::nullopt}};
     return transaction;
 }
 
-wire::Transaction cancellation(const store::Versioned<model::JobSpec>& job,
-                               const model::JobOutcome& outcome) {
+wire::Transaction cancellation_transaction(const store::Versioned<model::JobSpec>& job,
+                                           const model::JobOutcome& outcome) {
     const auto& id = job.value.id;
     wire::Transaction transaction;
     transaction.conditions = {{records::job_key(id), job.mod_revision}, {records::outcome_key(id), 0}};
@@ -61,18 +62,19 @@
 
 }  // namespace
 
-JobWrites::JobWrites(const config::Settings& settings, store::StoreClient& store,
+JobWriter::JobWriter(const config::Settings& settings, store::StoreClient& store,
                      store::WatchCache& watch_cache)
     : settings_(settings), store_(store), watch_cache_(watch_cache) {}
 
-net::awaitable<AcceptanceStatus> JobWrites::accept(model::JobSpec spec) {
+net::awaitable<AcceptanceStatus> JobWriter::accept(model::JobSpec spec) {
     spec.accepted_ms = net::Clock::wall_ms();
     // What depends on a cancelled job is over as soon as it is accepted.
     const bool cancelled =
         std::any_of(spec.dependencies.begin(), spec.dependencies.end(), [&](const std::string& dependency) {
             return watch_cache_.outcome_of(dependency) == model::FinalStatus::cancelled;
         });
-    const auto transaction = cancelled ? acceptance_as_cancelled(spec) : acceptance(spec, settings_);
+    const auto transaction =
+        cancelled ? cancelled_acceptance_transaction(spec) : acceptance_transaction(spec, settings_);
     if (!transaction) co_return AcceptanceStatus::too_large;
     const auto result = co_await store_.commit(wire::commit_request(*transaction));
     switch (result.status) {
@@ -94,11 +96,11 @@
     co_return AcceptanceStatus::accepted;
 }
 
-net::awaitable<CancellationResult> JobWrites::cancel(const store::Versioned<model::JobSpec>& job) {
+net::awaitable<CancellationResult> JobWriter::cancel(const store::Versioned<model::JobSpec>& job) {
     // The job may leave the watch cache, and so the reference become invalid, while the store is asked.
     const std::string id = job.value.id;
     const model::JobOutcome outcome{model::FinalStatus::cancelled, net::Clock::wall_ms()};
-    const auto transaction = cancellation(job, outcome);
+    const auto transaction = cancellation_transaction(job, outcome);
     const auto result = co_await store_.commit(wire::commit_request(transaction));
     if (result.status == CommitStatus::conflict) co_return CancellationResult{CancellationStatus::conflict};
     if (result.status != CommitStatus::committed) co_return CancellationResult{};
--- a/src/api/job_writes.hpp
+++ b/src/api/job_writer.hpp
@@ -34,10 +34,10 @@
 };
 
 // Writes what users decide on their jobs.
-class JobWrites {
+class JobWriter {
    public:
     // All of these must outlive the object.
-    JobWrites(const config::Settings& settings, store::StoreClient& store, store::WatchCache& watch_cache);
+    JobWriter(const config::Settings& settings, store::StoreClient& store, store::WatchCache& watch_cache);
 
     // Accepts the job as of now. One that depends on a cancelled job is recorded as cancelled at once.
     net::awaitable<AcceptanceStatus> accept(model::JobSpec spec);
--- a/src/api/load_shedding.cpp
+++ b/src/api/load_shedding.cpp
@@ -32,11 +32,11 @@
     return {503, wire::error_response(reason), retry_after_s(), closes_connection()};
 }
 
-Reply LoadShedding::overloaded() {
+Reply LoadShedding::reject_overloaded() {
     return {503, wire::error_response("too busy"), retry_after_s(), true};
 }
 
-Reply LoadShedding::no_connection() {
+Reply LoadShedding::reject_no_connection() {
     return {503, wire::error_response("no connection is free"), retry_after_s(), true};
 }
 
--- a/src/api/load_shedding.hpp
+++ b/src/api/load_shedding.hpp
@@ -34,11 +34,11 @@
     // 503 with Retry-After and the reason.
     net::Reply reject(std::string_view reason);
     // ... because the store can't tell the answer.
-    net::Reply unavailable() { return reject("state service unavailable"); }
+    net::Reply reject_unavailable() { return reject("state service unavailable"); }
     // ... because there is too much to do.
-    net::Reply overloaded();
+    net::Reply reject_overloaded();
     // ... because no connection is free.
-    net::Reply no_connection();
+    net::Reply reject_no_connection();
 
     // A random number of seconds for Retry-After.
     int retry_after_s();
--- a/src/api/router.cpp
+++ b/src/api/router.cpp
@@ -8,7 +8,7 @@
 
 using net::Reply;
 
-Route find_route(std::string_view target) {
+Route parse_route(std::string_view target) {
     std::string_view path = target.substr(0, target.find('?'));
     if (path == wire::heartbeat_path) return {Endpoint::heartbeat, {}};
     if (path == wire::health_path) return {Endpoint::health, {}};
@@ -26,7 +26,7 @@
     return {Endpoint::poll, std::string(path)};
 }
 
-std::string_view method_of(Endpoint endpoint) {
+std::string_view allowed_method(Endpoint endpoint) {
     const bool reads = endpoint == Endpoint::health || endpoint == Endpoint::poll;
     return reads ? "GET" : "POST";
 }
@@ -35,9 +35,9 @@
     : users_(users), workers_(workers), health_(health) {}
 
 net::awaitable<Reply> Router::handle(net::Request request) {
-    auto route = find_route(request.target);
+    auto route = parse_route(request.target);
     if (route.endpoint == Endpoint::none) co_return Reply{404, wire::error_response("no such path")};
-    if (request.method != method_of(route.endpoint))
+    if (request.method != allowed_method(route.endpoint))
         co_return Reply{405, wire::error_response("method not allowed")};
     switch (route.endpoint) {
         case Endpoint::heartbeat:
--- a/src/api/router.hpp
+++ b/src/api/router.hpp
@@ -21,10 +21,10 @@
 };
 
 // The route of a request's target; a query is ignored.
-Route find_route(std::string_view target);
+Route parse_route(std::string_view target);
 
 // The method that an endpoint answers to.
-std::string_view method_of(Endpoint endpoint);
+std::string_view allowed_method(Endpoint endpoint);
 
 // Passes requests on to the part of the API that answers them.
 class Router {
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -22,11 +22,11 @@
     auto& watch_cache = dependencies_.watch_cache;
     auto& job_lookup = dependencies_.job_lookup;
     auto& load_shedding = dependencies_.load_shedding;
-    if (const auto outcome = job_lookup.remembered_outcome(id)) co_return describe(id, *outcome);
-    if (load_shedding.submissions_overloaded()) co_return load_shedding.overloaded();
+    if (const auto outcome = job_lookup.cached_outcome(id)) co_return job_status_reply(id, *outcome);
+    if (load_shedding.submissions_overloaded()) co_return load_shedding.reject_overloaded();
     if (!watch_cache.ready || !watch_cache.machine_types) co_return load_shedding.reject("not ready");
-    const auto counted = load_shedding.count_submission();
-    if (watch_cache.jobs.contains(id)) co_return describe(id, co_await job_lookup.look_up(id));
+    const auto in_flight_count = load_shedding.count_submission();
+    if (watch_cache.jobs.contains(id)) co_return job_status_reply(id, co_await job_lookup.look_up(id));
     const auto admitted = co_await admit(std::move(spec));
     if (admitted) co_return Reply{201, wire::job_status_response(id, wire::JobStatus::queued)};
     // A job accepted under other settings, or when its dependencies were not known here, stays accepted: only
@@ -35,13 +35,13 @@
         co_return to_reply(admitted.error());
     const auto state = co_await job_lookup.look_up(id);
     if (state == JobState::unknown) co_return to_reply(admitted.error());
-    co_return describe(id, state);
+    co_return job_status_reply(id, state);
 }
 
 net::awaitable<AdmissionResult> UserApi::admit(model::JobSpec spec) {
     auto checked = co_await dependencies_.admission.check(spec);
     if (!checked) co_return checked;
-    switch (co_await dependencies_.job_writes.accept(std::move(spec))) {
+    switch (co_await dependencies_.job_writer.accept(std::move(spec))) {
         case AcceptanceStatus::accepted:
             break;
         case AcceptanceStatus::conflict:
@@ -60,38 +60,38 @@
 
 net::awaitable<Reply> UserApi::poll(std::string id) {
     auto& load_shedding = dependencies_.load_shedding;
-    if (!wire::valid_job_id(id)) co_return describe(id, JobState::unknown);
-    if (const auto outcome = dependencies_.job_lookup.remembered_outcome(id))
-        co_return describe(id, *outcome);
-    if (load_shedding.polls_overloaded()) co_return load_shedding.overloaded();
-    const auto counted = load_shedding.count_poll();
-    co_return describe(id, co_await dependencies_.job_lookup.look_up(id));
+    if (!wire::valid_job_id(id)) co_return job_status_reply(id, JobState::unknown);
+    if (const auto outcome = dependencies_.job_lookup.cached_outcome(id))
+        co_return job_status_reply(id, *outcome);
+    if (load_shedding.polls_overloaded()) co_return load_shedding.reject_overloaded();
+    const auto in_flight_count = load_shedding.count_poll();
+    co_return job_status_reply(id, co_await dependencies_.job_lookup.look_up(id));
 }
 
 net::awaitable<Reply> UserApi::cancel(std::string id) {
     auto& job_lookup = dependencies_.job_lookup;
     auto& load_shedding = dependencies_.load_shedding;
-    if (!wire::valid_job_id(id)) co_return describe(id, JobState::unknown);
-    if (const auto outcome = job_lookup.remembered_outcome(id)) co_return describe(id, *outcome);
-    if (load_shedding.cancellations_overloaded()) co_return load_shedding.overloaded();
-    const auto counted = load_shedding.count_submission();
+    if (!wire::valid_job_id(id)) co_return job_status_reply(id, JobState::unknown);
+    if (const auto outcome = job_lookup.cached_outcome(id)) co_return job_status_reply(id, *outcome);
+    if (load_shedding.cancellations_overloaded()) co_return load_shedding.reject_overloaded();
+    const auto in_flight_count = load_shedding.count_submission();
     for (int tries = 0; tries < max_cancellation_tries; ++tries) {
         const auto state = co_await job_lookup.look_up(id);
-        if (state != JobState::live) co_return describe(id, state);
+        if (state != JobState::live) co_return job_status_reply(id, state);
         const auto& jobs = dependencies_.watch_cache.jobs;
         const auto job = jobs.find(id);
         if (job == jobs.end()) continue;  // it ended meanwhile
-        const auto result = co_await dependencies_.job_writes.cancel(job->second);
+        const auto result = co_await dependencies_.job_writer.cancel(job->second);
         if (result.status == CancellationStatus::cancelled) {
             co_await dependencies_.peers.forward_cancellation(result.revision, id);
-            co_return describe(id, JobState::cancelled);
+            co_return job_status_reply(id, JobState::cancelled);
         }
         if (result.status == CancellationStatus::uncertain) break;
     }
-    co_return load_shedding.unavailable();
+    co_return load_shedding.reject_unavailable();
 }
 
-Reply UserApi::describe(const std::string& id, JobState state) {
+Reply UserApi::job_status_reply(const std::string& id, JobState state) {
     switch (state) {
         case JobState::done:
             return {200, wire::job_status_response(id, wire::JobStatus::done)};
@@ -99,8 +99,8 @@
             return {200, wire::job_status_response(id, wire::JobStatus::cancelled)};
         case JobState::unknown:
             return {404, wire::error_response("no such job")};
-        case JobState::undecidable:
-            return dependencies_.load_shedding.unavailable();
+        case JobState::undetermined:
+            return dependencies_.load_shedding.reject_unavailable();
         case JobState::live:
             break;
     }
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -6,7 +6,7 @@
 
 #include "api/admission.hpp"
 #include "api/job_lookup.hpp"
-#include "api/job_writes.hpp"
+#include "api/job_writer.hpp"
 #include "api/load_shedding.hpp"
 #include "net/http.hpp"
 #include "peers/peer_exchange.hpp"
@@ -21,7 +21,7 @@
     struct Dependencies {
         store::WatchCache& watch_cache;
         JobLookup& job_lookup;
-        JobWrites& job_writes;
+        JobWriter& job_writer;
         Admission& admission;
         LoadShedding& load_shedding;
         peers::PeerExchange& peers;
@@ -40,7 +40,7 @@
     // Checks the job and accepts it.
     net::awaitable<AdmissionResult> admit(model::JobSpec spec);
     // The answer that tells a job's state.
-    [[nodiscard]] net::Reply describe(const std::string& id, JobState state);
+    [[nodiscard]] net::Reply job_status_reply(const std::string& id, JobState state);
 
     Dependencies dependencies_;
 };
--- a/src/api/worker_api.cpp
+++ b/src/api/worker_api.cpp
@@ -24,10 +24,11 @@
 double response_deadline(const cluster::ClusterState& cluster_state, const model::Heartbeat& heartbeat,
                          double now) {
     if (cluster_state.has_room(heartbeat.machine, now)) return now + c::heartbeat_hold_idle_s;
-    const bool freed =
+    const bool has_exited_task =
         std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
                     [](const model::ReportedTask& task) { return task.state == model::TaskState::exited; });
-    if (freed || !cluster_state.placements_durable(heartbeat.machine)) return now + c::heartbeat_hold_s;
+    if (has_exited_task || !cluster_state.placements_durable(heartbeat.machine))
+        return now + c::heartbeat_hold_s;
     return now;
 }
 
@@ -48,7 +49,7 @@
     const auto parsed = wire::parse_heartbeat(body);
     if (!parsed) co_return Reply{400, wire::error_response(parsed.error().text())};
     const auto& heartbeat = *parsed;
-    dependencies_.leadership.observe(heartbeat.fencing_token, "");
+    dependencies_.leadership.observe_token(heartbeat.fencing_token, "");
     const auto leader = dependencies_.active_term;
     if (!leader || !leader->term->may_answer_heartbeats()) {
         dependencies_.peers.record_heartbeat();
@@ -63,7 +64,7 @@
     dependencies_.peers.record_heartbeat();
     term.plan_due.notify();
     const double deadline = response_deadline(cluster_state, heartbeat, steady_now_s());
-    while (term.may_start() && is_latest(cluster_state, heartbeat) && steady_now_s() < deadline &&
+    while (term.may_start_tasks() && is_latest(cluster_state, heartbeat) && steady_now_s() < deadline &&
            !cluster_state.has_pending_commands(heartbeat.machine) &&
            dependencies_.event_loop_lag.lag_s() < c::lag_disables_hold_s) {
         const double wait_s = std::max(deadline - steady_now_s(), c::min_wait_s);
@@ -76,17 +77,19 @@
     // carries must not count as sent, and without its commands it must not renew a lease.
     if (!is_latest(cluster_state, heartbeat))
         co_return Reply{503, wire::error_response("a newer report came meanwhile")};
-    const auto commands = cluster_state.commands_for(heartbeat.machine, term.may_start(), steady_now_s());
+    const auto commands =
+        cluster_state.commands_for(heartbeat.machine, term.may_start_tasks(), steady_now_s());
     co_return Reply{200, wire::heartbeat_response(term.fencing_token(), commands)};
 }
 
 // A controller cut off from the store still has an old leader in its watch cache; a peer may have named a
 // newer one.
 Reply WorkerApi::redirect() const {
-    const auto& recorded = dependencies_.watch_cache.leader;
+    const auto& recorded_leader = dependencies_.watch_cache.leader;
     const auto& leadership = dependencies_.leadership;
-    const bool current = recorded && recorded->value.fencing_token >= leadership.highest_token();
-    const auto& leader = current ? recorded->value.node : leadership.known_leader();
+    const bool current =
+        recorded_leader && recorded_leader->value.fencing_token >= leadership.highest_token();
+    const auto& leader = current ? recorded_leader->value.node : leadership.known_leader();
     return Reply{421, wire::redirect_response(leader == name_ ? "" : leader)};
 }
 
--- a/src/controller/cloud_client.cpp
+++ b/src/controller/cloud_client.cpp
@@ -13,10 +13,10 @@
 CloudClient::CloudClient(std::unique_ptr<net::Client> client, double requests_per_s)
     : client_(std::move(client)), interval_s_(1.0 / (requests_per_s * constants::cloud_share)) {}
 
-net::awaitable<void> CloudClient::wait_for_turn() {
-    const double turn = std::max(steady_now_s(), next_turn_);
-    next_turn_ = turn + interval_s_;
-    const double wait_s = turn - steady_now_s();
+net::awaitable<void> CloudClient::wait_for_rate_limit() {
+    const double send_at = std::max(steady_now_s(), next_request_at_);
+    next_request_at_ = send_at + interval_s_;
+    const double wait_s = send_at - steady_now_s();
     if (wait_s > 0) co_await net::sleep_for(wait_s);
 }
 
--- a/src/controller/cloud_client.hpp
+++ b/src/controller/cloud_client.hpp
@@ -15,7 +15,7 @@
     // `requests_per_s`: of which cloud_share is used.
     CloudClient(std::unique_ptr<net::Client> client, double requests_per_s);
     // Waits until the next request may be sent, and takes that turn.
-    net::awaitable<void> wait_for_turn();
+    net::awaitable<void> wait_for_rate_limit();
     // The answer, or nothing within cloud_timeout_s: then the request may have been executed.
     net::awaitable<std::optional<net::Reply>> request(std::string method, std::string target,
                                                       std::string body = {});
@@ -23,7 +23,7 @@
    private:
     std::unique_ptr<net::Client> client_;
     const double interval_s_;
-    double next_turn_ = 0;
+    double next_request_at_ = 0;
 };
 
 }  // namespace pineroad::controller
--- a/src/controller/commit_loop.cpp
+++ b/src/controller/commit_loop.cpp
@@ -21,9 +21,9 @@
 using store::steady_now_s;
 
 namespace {
-constexpr double wait_margin_s = 0.005;      // added to a wait, so that it need not be repeated
-constexpr double unproven_pause_s = 0.1;     // between looks whether the lease is provable again
-constexpr double longest_idle_wait_s = 0.5;  // for something to commit
+constexpr double wait_margin_s = 0.005;         // added to a wait, so that it need not be repeated
+constexpr double lease_unproven_retry_s = 0.1;  // between looks whether the lease is provable again
+constexpr double max_idle_wait_s = 0.5;         // for something to commit
 }  // namespace
 
 CommitLoop::CommitLoop(const config::Settings& settings, store::StoreClient& store,
@@ -34,14 +34,14 @@
     auto& term = *leader->term;
     auto& cluster_state = leader->cluster_state;
     leader->writes.start(settings_.store_writes_per_s, steady_now_s());
-    while (!term.over()) {
+    while (!term.ended()) {
         const double wait_s = leader->writes.delay_s(c::target_batch_changes, steady_now_s());
         if (wait_s > 0) {
             co_await sleep_for(wait_s + wait_margin_s);
             continue;
         }
-        if (!term.may_start()) {
-            co_await sleep_for(unproven_pause_s);
+        if (!term.may_start_tasks()) {
+            co_await sleep_for(lease_unproven_retry_s);
             continue;
         }
         // No more at once than the budget holds: a debt would make the next starts wait.
@@ -49,13 +49,13 @@
                                ? cluster_state.next_write_batch(leader->writes.available(steady_now_s()))
                                : std::nullopt;
         if (!batch) {
-            co_await term.commit_due.wait(longest_idle_wait_s);
+            co_await term.commit_due.wait(max_idle_wait_s);
             continue;
         }
         co_await commit(leader, *batch);
         for (const auto& machine : cluster_state.take_machines_with_durable_starts())
             term.held_responses.release(machine);
-        term.cloud_due.notify();
+        term.scaling_due.notify();
         co_await sleep_for(c::commit_gap_s);
     }
 }
@@ -66,54 +66,56 @@
                                         const cluster::WriteBatch& batch) {
     const auto body = wire::commit_request(batch.txn);
     bool uncertain = false;  // an earlier copy may have been applied
-    while (!leader->term->over()) {
+    while (!leader->term->ended()) {
         const auto result = co_await store_.commit(body, c::commit_timeout_s);
         leader->writes.record_writes(batch.txn.changes.size());
-        if (leader->term->over()) break;
+        if (leader->term->ended()) break;
         if (result.status == CommitStatus::unanswered) uncertain = true;
-        if (co_await settle(*leader, batch, result, uncertain) == Settlement::settled) break;
+        if (co_await handle_result(*leader, batch, result, uncertain) == RetryDecision::done) break;
         co_await sleep_for(c::store_retry_s);  // a refused connection answers at once
     }
 }
 
-net::awaitable<CommitLoop::Settlement> CommitLoop::settle(cluster::LeaderTerm& leader,
-                                                          const cluster::WriteBatch& batch,
-                                                          const store::CommitResult& result, bool uncertain) {
+net::awaitable<CommitLoop::RetryDecision> CommitLoop::handle_result(cluster::LeaderTerm& leader,
+                                                                    const cluster::WriteBatch& batch,
+                                                                    const store::CommitResult& result,
+                                                                    bool uncertain) {
     switch (result.status) {
         case CommitStatus::committed:
             apply(leader, batch, result.revision);
-            co_return Settlement::settled;
+            co_return RetryDecision::done;
         case CommitStatus::unreadable:
             leader.term->end(EndReason::commit_unreadable);
-            co_return Settlement::settled;
+            co_return RetryDecision::done;
         case CommitStatus::conflict:
-            co_return co_await settle_conflict(leader, batch, result.body, uncertain);
+            co_return co_await handle_conflict(leader, batch, result.body, uncertain);
         case CommitStatus::malformed:
             handle_malformed(leader, result.body, uncertain);
-            co_return Settlement::settled;
+            co_return RetryDecision::done;
         case CommitStatus::rate_limited:
             leader.writes.refused();
-            co_return Settlement::retry;
+            co_return RetryDecision::retry;
         case CommitStatus::unavailable:
         case CommitStatus::unanswered:  // the same again: at most one copy can be applied
             break;
     }
-    co_return Settlement::retry;
+    co_return RetryDecision::retry;
 }
 
-net::awaitable<CommitLoop::Settlement> CommitLoop::settle_conflict(cluster::LeaderTerm& leader,
-                                                                   const cluster::WriteBatch& batch,
-                                                                   const std::string& answer,
-                                                                   bool uncertain) {
-    const auto failed = wire::parse_failed_conditions(answer);
-    if (std::find(failed.begin(), failed.end(), records::leader_key) != failed.end()) {
+net::awaitable<CommitLoop::RetryDecision> CommitLoop::handle_conflict(cluster::LeaderTerm& leader,
+                                                                      const cluster::WriteBatch& batch,
+                                                                      const std::string& answer,
+                                                                      bool uncertain) {
+    const auto failed_conditions = wire::parse_failed_conditions(answer);
+    if (std::find(failed_conditions.begin(), failed_conditions.end(), records::leader_key) !=
+        failed_conditions.end()) {
         leader.term->end(EndReason::leader_key_removed);
-        co_return Settlement::settled;
+        co_return RetryDecision::done;
     }
     if (!uncertain) {
         // A user's cancellation came first; the watch tells which.
         co_await linearizable_read_.catch_up();
-        co_return Settlement::settled;
+        co_return RetryDecision::done;
     }
     const auto found = co_await read_back(batch);
     switch (found.state) {
@@ -125,25 +127,25 @@
                          leader.term->fencing_token());
             co_await linearizable_read_.catch_up();
             break;
-        case BatchState::undecidable:
-            co_return Settlement::retry;
+        case BatchState::undetermined:
+            co_return RetryDecision::retry;
     }
-    co_return Settlement::settled;
+    co_return RetryDecision::done;
 }
 
 // The batch was applied by an earlier copy, or lost against a cancellation. All or nothing was applied, so
 // one record tells: a written one holds our value; a removed one (only the leader removes these) is absent.
-net::awaitable<CommitLoop::ReadBack> CommitLoop::read_back(const cluster::WriteBatch& batch) {
+net::awaitable<CommitLoop::ReadBackResult> CommitLoop::read_back(const cluster::WriteBatch& batch) {
     const auto& changes = batch.txn.changes;
     const auto written = std::find_if(changes.begin(), changes.end(),
                                       [](const wire::Change& change) { return change.value.has_value(); });
     const auto& probe = written != changes.end() ? *written : changes.front();
     const auto read = co_await store_.read(probe.key);
-    if (read.status == store::ReadStatus::unavailable) co_return ReadBack{};
+    if (read.status == store::ReadStatus::unavailable) co_return ReadBackResult{};
     const bool applied =
         probe.value ? read.row && read.row->value == *probe.value : read.status == store::ReadStatus::absent;
-    if (!applied) co_return ReadBack{BatchState::not_applied};
-    co_return ReadBack{BatchState::applied, read.row ? read.row->mod_revision : 0};
+    if (!applied) co_return ReadBackResult{BatchState::not_applied};
+    co_return ReadBackResult{BatchState::applied, read.row ? read.row->mod_revision : 0};
 }
 
 // The same transaction is never sent again: an earlier copy may have been applied, or the limits are lower
--- a/src/controller/commit_loop.hpp
+++ b/src/controller/commit_loop.hpp
@@ -27,15 +27,15 @@
 
    private:
     // What an answer of the store means for the batch.
-    enum class Settlement {
-        settled,  // it was applied, or never will be; or the term is over
-        retry     // the same transaction is to be sent again
+    enum class RetryDecision {
+        done,  // it was applied, or never will be; or the term is over
+        retry  // the same transaction is to be sent again
     };
     // Whether a batch of which a copy may have been applied was applied.
-    enum class BatchState { applied, not_applied, undecidable };
+    enum class BatchState { applied, not_applied, undetermined };
     // What reading one of its records back told.
-    struct ReadBack {
-        BatchState state = BatchState::undecidable;
+    struct ReadBackResult {
+        BatchState state = BatchState::undetermined;
         std::uint64_t revision = 0;  // of the record, if applied; 0: it was removed
     };
 
@@ -43,13 +43,14 @@
     net::awaitable<void> commit(std::shared_ptr<cluster::LeaderTerm> leader,
                                 const cluster::WriteBatch& batch);
     // Acts on the answer to a batch. `uncertain`: an earlier copy may have been applied.
-    net::awaitable<Settlement> settle(cluster::LeaderTerm& leader, const cluster::WriteBatch& batch,
-                                      const store::CommitResult& result, bool uncertain);
+    net::awaitable<RetryDecision> handle_result(cluster::LeaderTerm& leader, const cluster::WriteBatch& batch,
+                                                const store::CommitResult& result, bool uncertain);
     // Acts on an answer by which a condition did not hold.
-    net::awaitable<Settlement> settle_conflict(cluster::LeaderTerm& leader, const cluster::WriteBatch& batch,
-                                               const std::string& answer, bool uncertain);
+    net::awaitable<RetryDecision> handle_conflict(cluster::LeaderTerm& leader,
+                                                  const cluster::WriteBatch& batch, const std::string& answer,
+                                                  bool uncertain);
     // Finds out whether a batch was applied.
-    net::awaitable<ReadBack> read_back(const cluster::WriteBatch& batch);
+    net::awaitable<ReadBackResult> read_back(const cluster::WriteBatch& batch);
     // Acts on an answer by which the batch is malformed.
     void handle_malformed(cluster::LeaderTerm& leader, const std::string& answer, bool uncertain);
     // The batch is durable.
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -10,7 +10,7 @@
 #include "api/event_loop_lag.hpp"
 #include "api/health_check.hpp"
 #include "api/job_lookup.hpp"
-#include "api/job_writes.hpp"
+#include "api/job_writer.hpp"
 #include "api/load_shedding.hpp"
 #include "api/router.hpp"
 #include "api/user_api.hpp"
@@ -53,10 +53,10 @@
     limits.prioritized_idle_s =
         c::heartbeat_periods_idle * settings.heartbeat_period_s + c::heartbeat_response_s;
     limits.prioritized = [](const std::string& target) {
-        const auto endpoint = api::find_route(target).endpoint;
+        const auto endpoint = api::parse_route(target).endpoint;
         return endpoint == api::Endpoint::heartbeat || endpoint == api::Endpoint::health;
     };
-    limits.full = [&load_shedding] { return load_shedding.no_connection(); };
+    limits.full = [&load_shedding] { return load_shedding.reject_no_connection(); };
     return limits;
 }
 
@@ -70,10 +70,10 @@
 }  // namespace
 
 // Each part is built from those before it.
-struct Controller::Parts {
-    Parts(net::asio::io_context& executor_context, const config::Settings& platform_settings,
-          const config::Tuning& operators_tuning, net::Connect connect_to, std::uint64_t seed,
-          std::uint64_t own_record_format);
+struct Controller::Components {
+    Components(net::asio::io_context& executor_context, const config::Settings& platform_settings,
+               const config::Tuning& operators_tuning, net::Connect connect_to, std::uint64_t seed,
+               std::uint64_t own_record_format);
 
     net::asio::io_context& io;
     const config::Settings settings;
@@ -102,7 +102,7 @@
 
     api::LoadShedding load_shedding;
     api::JobLookup job_lookup;
-    api::JobWrites job_writes;
+    api::JobWriter job_writer;
     api::Admission admission;
     api::UserApi user_api;
     api::WorkerApi worker_api;
@@ -112,9 +112,10 @@
     net::HttpServer public_server, peer_server;
 };
 
-Controller::Parts::Parts(net::asio::io_context& executor_context, const config::Settings& platform_settings,
-                         const config::Tuning& operators_tuning, net::Connect connect_to, std::uint64_t seed,
-                         std::uint64_t own_record_format)
+Controller::Components::Components(net::asio::io_context& executor_context,
+                                   const config::Settings& platform_settings,
+                                   const config::Tuning& operators_tuning, net::Connect connect_to,
+                                   std::uint64_t seed, std::uint64_t own_record_format)
     : io(executor_context),
       settings(platform_settings),
       tuning(operators_tuning),
@@ -137,9 +138,9 @@
                                leader_loops, random}),
       load_shedding(store, event_loop_lag, random),
       job_lookup(store, linearizable_read, watch_cache),
-      job_writes(settings, store, watch_cache),
+      job_writer(settings, store, watch_cache),
       admission({settings, store, watch_cache, job_lookup, record_format, load_shedding}),
-      user_api({watch_cache, job_lookup, job_writes, admission, load_shedding, peer_exchange}),
+      user_api({watch_cache, job_lookup, job_writer, admission, load_shedding, peer_exchange}),
       worker_api(settings.name, {io.get_executor(), watch_cache, leadership, leader_loops.active_term(),
                                  event_loop_lag, peer_exchange}),
       health_check(store, watch_cache, peer_directory),
@@ -153,42 +154,45 @@
 Controller::Controller(net::asio::io_context& io, const config::Settings& settings,
                        const config::Tuning& tuning, net::Connect connect, std::uint64_t seed,
                        std::uint64_t record_format)
-    : parts_(std::make_unique<Parts>(io, settings, tuning, std::move(connect), seed, record_format)) {}
+    : components_(
+          std::make_unique<Components>(io, settings, tuning, std::move(connect), seed, record_format)) {}
 
 Controller::~Controller() = default;
 
 void Controller::start() {
-    parts_->public_server.start();
-    parts_->peer_server.start();
-    const auto& settings = parts_->settings;
+    components_->public_server.start();
+    components_->peer_server.start();
+    const auto& settings = components_->settings;
     spdlog::info("{} serves users and workers on {}, controllers on {}", settings.name,
                  settings.public_endpoint.text(), settings.peer_endpoint.text());
     run_loops();
 }
 
 void Controller::run_loops() {
-    auto& io = parts_->io;
-    spawn(io, parts_->watch_loop.run());
-    spawn(io, parts_->election.run());
-    spawn(io, parts_->event_loop_lag.run());
-    spawn(io, parts_->job_lookup.resolve_dependencies());
-    for (std::size_t peer = 0; peer < parts_->peer_directory.size(); ++peer)
-        spawn(io, parts_->peer_exchange.run(peer));
+    auto& io = components_->io;
+    spawn(io, components_->watch_loop.run());
+    spawn(io, components_->election.run());
+    spawn(io, components_->event_loop_lag.run());
+    spawn(io, components_->job_lookup.resolve_dependencies());
+    for (std::size_t peer = 0; peer < components_->peer_directory.size(); ++peer)
+        spawn(io, components_->peer_exchange.run(peer));
 }
 
-net::awaitable<net::Reply> Controller::front(net::Request request) {
-    return parts_->router.handle(std::move(request));
+net::awaitable<net::Reply> Controller::handle_public_request(net::Request request) {
+    return components_->router.handle(std::move(request));
 }
 
-net::awaitable<net::Reply> Controller::mesh(net::Request request) {
-    return parts_->peer_exchange.handle(std::move(request));
+net::awaitable<net::Reply> Controller::handle_peer_request(net::Request request) {
+    return components_->peer_exchange.handle(std::move(request));
 }
 
 void run(const config::Settings& settings, const config::Tuning& tuning) {
     net::asio::io_context io(1);
-    const auto body_max = static_cast<std::size_t>(settings.memory_mb * 1024 * 1024 * c::answer_memory_share);
-    const auto connect = [&io, body_max](const config::Endpoint& to) -> std::unique_ptr<net::Client> {
-        return std::make_unique<net::HttpClient>(io.get_executor(), to, body_max);
+    const auto max_body_bytes =
+        static_cast<std::size_t>(settings.memory_mb * 1024 * 1024 * c::answer_memory_share);
+    const auto connect = [&io,
+                          max_body_bytes](const config::Endpoint& endpoint) -> std::unique_ptr<net::Client> {
+        return std::make_unique<net::HttpClient>(io.get_executor(), endpoint, max_body_bytes);
     };
     Controller controller(io, settings, tuning, connect, std::random_device{}());
     controller.start();
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -29,14 +29,14 @@
     // Starts the loops alone: requests come by front() and mesh().
     void run_loops();
     // Answers a request of a user or a worker.
-    net::awaitable<net::Reply> front(net::Request request);
+    net::awaitable<net::Reply> handle_public_request(net::Request request);
     // Answers a request of a peer.
-    net::awaitable<net::Reply> mesh(net::Request request);
+    net::awaitable<net::Reply> handle_peer_request(net::Request request);
 
    private:
     // All parts of a controller.
-    struct Parts;
-    std::unique_ptr<Parts> parts_;
+    struct Components;
+    std::unique_ptr<Components> components_;
 };
 
 // Runs a controller until the process is killed.
--- a/src/controller/direct_command_dispatcher.cpp
+++ b/src/controller/direct_command_dispatcher.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 // Whether the commands let a task save its state. Its gang waits for it for gang_failure_detection_s only.
-bool has_grace(const cluster::DirectCommands& commands) {
+bool has_grace_period(const cluster::DirectCommands& commands) {
     return std::any_of(commands.commands.begin(), commands.commands.end(),
                        [](const model::Command& command) { return command.grace_s > 0; });
 }
@@ -33,14 +33,14 @@
                                                  const Dependencies& dependencies)
     : term_(std::move(term)),
       dependencies_(dependencies),
-      longest_wait_s_(dependencies.settings.gang_failure_detection_s +
-                      dependencies.settings.heartbeat_period_s) {}
+      max_queue_time_s_(dependencies.settings.gang_failure_detection_s +
+                        dependencies.settings.heartbeat_period_s) {}
 
 void DirectCommandDispatcher::dispatch(std::vector<cluster::DirectCommands> commands) {
     for (auto& machine_commands : commands) {
-        const bool first = has_grace(machine_commands);
-        Queued queued{steady_now_s(), std::move(machine_commands)};
-        if (first)
+        const bool has_priority = has_grace_period(machine_commands);
+        QueuedCommands queued{steady_now_s(), std::move(machine_commands)};
+        if (has_priority)
             queue_.push_front(std::move(queued));
         else
             queue_.push_back(std::move(queued));
@@ -52,20 +52,20 @@
 // A stop needs no lease: it carries the fencing token and the agent epoch, and ends only what has to end.
 // Without the store these are the tasks of cancelled jobs.
 void DirectCommandDispatcher::send_queued() {
-    if (term_->over()) queue_.clear();
+    if (term_->ended()) queue_.clear();
     while (!queue_.empty() && in_flight_ < dependencies_.max_in_flight) {
         auto next = std::move(queue_.front());
         queue_.pop_front();
-        if (steady_now_s() - next.decided_at > longest_wait_s_) continue;
-        auto counted = std::make_unique<net::ScopedCount>(in_flight_);
+        if (steady_now_s() - next.queued_at > max_queue_time_s_) continue;
+        auto in_flight_count = std::make_unique<net::ScopedCount>(in_flight_);
         net::asio::co_spawn(dependencies_.io,
-                            send(shared_from_this(), std::move(counted), std::move(next.commands)),
+                            send(shared_from_this(), std::move(in_flight_count), std::move(next.commands)),
                             net::asio::detached);
     }
 }
 
 net::awaitable<void> DirectCommandDispatcher::send(std::shared_ptr<DirectCommandDispatcher> self,
-                                                   std::unique_ptr<net::ScopedCount> counted,
+                                                   std::unique_ptr<net::ScopedCount> in_flight_count,
                                                    cluster::DirectCommands commands) {
     try {
         co_await self->send_to_worker(commands);
@@ -73,7 +73,7 @@
         spdlog::warn("direct commands to {} ({}) failed: {}", commands.machine, commands.address,
                      error.what());
     }
-    counted.reset();
+    in_flight_count.reset();
     self->send_queued();
 }
 
--- a/src/controller/direct_command_dispatcher.hpp
+++ b/src/controller/direct_command_dispatcher.hpp
@@ -35,22 +35,23 @@
 
    private:
     // Commands to one machine, and when they were decided.
-    struct Queued {
-        double decided_at = 0;
+    struct QueuedCommands {
+        double queued_at = 0;
         cluster::DirectCommands commands;
     };
     // Sends what is queued while there is room; drops what has waited too long.
     void send_queued();
     // Sends to one worker, and then what waited for that. `self` keeps the dispatcher alive.
     net::awaitable<void> send(std::shared_ptr<DirectCommandDispatcher> self,
-                              std::unique_ptr<net::ScopedCount> counted, cluster::DirectCommands commands);
+                              std::unique_ptr<net::ScopedCount> in_flight_count,
+                              cluster::DirectCommands commands);
     // Throws if the worker's address can't be used.
     net::awaitable<void> send_to_worker(const cluster::DirectCommands& commands);
 
     const std::shared_ptr<leadership::Term> term_;
     const Dependencies dependencies_;
-    const double longest_wait_s_;
-    std::deque<Queued> queue_;
+    const double max_queue_time_s_;
+    std::deque<QueuedCommands> queue_;
     std::size_t in_flight_ = 0;
 };
 
--- a/src/controller/format_loop.cpp
+++ b/src/controller/format_loop.cpp
@@ -26,16 +26,16 @@
 net::awaitable<void> FormatLoop::run(std::shared_ptr<cluster::LeaderTerm> leader) {
     if (!record_format_.reads_present_format()) co_return;
     const auto& term = *leader->term;
-    while (!term.over() && !record_format_.agreed()) {
+    while (!term.ended() && !record_format_.agreed()) {
         auto readers = record_format_.readers();
-        if (term.may_start() && readers != watch_cache_.format.value)
-            co_await record(term, std::move(readers));
+        if (term.may_start_tasks() && readers != watch_cache_.format.value)
+            co_await record_readers(term, std::move(readers));
         co_await net::sleep_for(c::format_period_s);
     }
-    if (!term.over()) spdlog::info("every controller reads record format {}", records::format);
+    if (!term.ended()) spdlog::info("every controller reads record format {}", records::format);
 }
 
-net::awaitable<void> FormatLoop::record(const leadership::Term& term, std::set<std::string> readers) {
+net::awaitable<void> FormatLoop::record_readers(const leadership::Term& term, std::set<std::string> readers) {
     wire::Transaction transaction;
     transaction.conditions = {{std::string(records::leader_key), term.identity().mod_revision},
                               {std::string(records::format_key), watch_cache_.format.mod_revision}};
--- a/src/controller/format_loop.hpp
+++ b/src/controller/format_loop.hpp
@@ -25,7 +25,7 @@
 
    private:
     // Writes these readers, and brings the watch cache up to that.
-    net::awaitable<void> record(const leadership::Term& term, std::set<std::string> readers);
+    net::awaitable<void> record_readers(const leadership::Term& term, std::set<std::string> readers);
 
     store::StoreClient& store_;
     store::LinearizableRead& linearizable_read_;
--- a/src/controller/leader_loops.cpp
+++ b/src/controller/leader_loops.cpp
@@ -23,12 +23,12 @@
 
 bool LeaderLoops::prepare(const std::shared_ptr<leadership::Term>& term) {
     const auto& watch_cache = dependencies_.watch_cache;
-    const auto& recorded = watch_cache.leader;
-    if (!recorded || recorded->value.nonce != term->identity().nonce) return false;
-    term->set_mod_revision(recorded->mod_revision);
+    const auto& recorded_leader = watch_cache.leader;
+    if (!recorded_leader || recorded_leader->value.nonce != term->identity().nonce) return false;
+    term->set_mod_revision(recorded_leader->mod_revision);
     auto leader = std::make_shared<cluster::LeaderTerm>(term, dependencies_.settings, dependencies_.tuning);
-    if (!load(leader->cluster_state)) return false;
-    follow_watch_cache(*leader);
+    if (!load_cluster_state(leader->cluster_state)) return false;
+    subscribe_to_watch_cache(*leader);
     spdlog::info(
         "term {}: {} jobs, {} machines with tasks, {} provisioning requests open", term->fencing_token(),
         leader->cluster_state.jobs().size(), leader->cluster_state.machines().size(),
@@ -39,7 +39,7 @@
 
 // Cancellations that a peer named since the watch cache was last current count too: the lease guard's proof
 // rests on them. False: some of these may have been forgotten.
-bool LeaderLoops::load(cluster::ClusterState& cluster_state) {
+bool LeaderLoops::load_cluster_state(cluster::ClusterState& cluster_state) {
     const auto& watch_cache = dependencies_.watch_cache;
     cluster_state.load(watch_cache, steady_now_s(), net::Clock::wall_ms());
     const auto cancellations = watch_cache.cancellations().after(watch_cache.revision);
@@ -49,7 +49,7 @@
 }
 
 // The callbacks refer to the term; finish() removes them before it can go.
-void LeaderLoops::follow_watch_cache(cluster::LeaderTerm& leader) {
+void LeaderLoops::subscribe_to_watch_cache(cluster::LeaderTerm& leader) {
     auto& watch_cache = dependencies_.watch_cache;
     watch_cache.on_job = [&leader](const model::JobSpec& spec, std::uint64_t mod_revision) {
         leader.cluster_state.job_added(spec, mod_revision, steady_now_s());
@@ -78,8 +78,8 @@
                                                             dependencies_.max_direct_commands_in_flight});
     spawn(io, commit_loop_.run(leader));
     spawn(io, planning_loop_.run(leader, std::move(dispatcher)));
-    spawn(io, provisioning_loops_.follow_machine_list(leader));
-    spawn(io, provisioning_loops_.follow_machine_types(leader));
+    spawn(io, provisioning_loops_.poll_machine_list(leader));
+    spawn(io, provisioning_loops_.poll_machine_types(leader));
     spawn(io, provisioning_loops_.scale_out(leader));
     spawn(io, provisioning_loops_.scale_in(leader));
     spawn(io, format_loop_.run(leader));
@@ -89,7 +89,7 @@
     return active_term_->cluster_state.last_heartbeat();
 }
 
-void LeaderLoops::finish() {
+void LeaderLoops::end_term() {
     auto& watch_cache = dependencies_.watch_cache;
     watch_cache.on_job = nullptr;
     watch_cache.on_cancelled = nullptr;
--- a/src/controller/leader_loops.hpp
+++ b/src/controller/leader_loops.hpp
@@ -28,7 +28,7 @@
 namespace pineroad::controller {
 
 // Owns the loops of the leader and the term that they work for.
-class LeaderLoops final : public leadership::LeaderWork {
+class LeaderLoops final : public leadership::LeaderDelegate {
    public:
     // What the loops work with; all of it must outlive the object.
     struct Dependencies {
@@ -50,7 +50,7 @@
     // The term that is prepared or under way; null: none.
     [[nodiscard]] const std::shared_ptr<cluster::LeaderTerm>& active_term() const { return active_term_; }
 
-    // --- leadership::LeaderWork ---
+    // --- leadership::LeaderDelegate ---
     // Loads the cluster state; from then on it follows the watch cache.
     bool prepare(const std::shared_ptr<leadership::Term>& term) override;
     // Spawns the loops.
@@ -58,13 +58,13 @@
     // Seconds on the steady clock.
     [[nodiscard]] double last_heartbeat() const override;
     // Detaches the cluster state from the watch cache. The loops end by themselves.
-    void finish() override;
+    void end_term() override;
 
    private:
     // Loads the cluster state from the watch cache.
-    [[nodiscard]] bool load(cluster::ClusterState& cluster_state);
+    [[nodiscard]] bool load_cluster_state(cluster::ClusterState& cluster_state);
     // Passes changes of the watch cache on to the cluster state.
-    void follow_watch_cache(cluster::LeaderTerm& leader);
+    void subscribe_to_watch_cache(cluster::LeaderTerm& leader);
 
     const Dependencies dependencies_;
     CommitLoop commit_loop_;
--- a/src/controller/planning_loop.cpp
+++ b/src/controller/planning_loop.cpp
@@ -24,7 +24,7 @@
 net::awaitable<void> PlanningLoop::run(std::shared_ptr<cluster::LeaderTerm> leader,
                                        std::shared_ptr<DirectCommandDispatcher> dispatcher) {
     bool lease_was_provable = true;
-    while (!leader->term->over()) {
+    while (!leader->term->ended()) {
         plan(*leader, *dispatcher, lease_was_provable);
         co_await net::sleep_for(c::plan_gap_s + std::min(event_loop_lag_.lag_s(), c::plan_period_s));
         co_await leader->term->plan_due.wait(c::plan_period_s);
@@ -36,7 +36,7 @@
     auto& term = *leader.term;
     auto& cluster_state = leader.cluster_state;
     if (record_format_.agreed()) cluster_state.allow_sharding();
-    if (term.may_start()) {
+    if (term.may_start_tasks()) {
         // Without the lease this leader may have been cut off: that a machine was silent meanwhile says
         // nothing of the machine.
         if (!std::exchange(lease_was_provable, true)) cluster_state.restart_silence_timers(steady_now_s());
@@ -48,7 +48,7 @@
     }
     if (cluster_state.write_due()) term.commit_due.notify();
     dispatcher.dispatch(cluster_state.take_direct_commands());
-    if (!cluster_state.machines_to_release(steady_now_s()).empty()) term.cloud_due.notify();
+    if (!cluster_state.machines_to_release(steady_now_s()).empty()) term.scaling_due.notify();
 }
 
 }  // namespace pineroad::controller
--- a/src/controller/provisioning_loops.cpp
+++ b/src/controller/provisioning_loops.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-constexpr double retry_s = 1.0;              // after a request that failed
-constexpr double longest_idle_wait_s = 0.5;  // for something to request or to release
+constexpr double retry_delay_s = 1.0;    // after a request that failed
+constexpr double max_idle_wait_s = 0.5;  // for something to request or to release
 constexpr int machines_per_page = 500;
 
 // The cloud will not provide these machines: for want of capacity, or since the request is malformed.
@@ -29,27 +29,27 @@
 
 }  // namespace
 
-net::awaitable<void> ProvisioningLoops::follow_machine_types(std::shared_ptr<cluster::LeaderTerm> leader) {
+net::awaitable<void> ProvisioningLoops::poll_machine_types(std::shared_ptr<cluster::LeaderTerm> leader) {
     auto& term = *leader->term;
-    while (!term.over()) {
-        co_await cloud_.wait_for_turn();
+    while (!term.ended()) {
+        co_await cloud_.wait_for_rate_limit();
         const auto reply = co_await cloud_.request("GET", std::string(wire::machine_types_path));
-        if (term.over()) break;
+        if (term.ended()) break;
         const auto document = reply && reply->status == 200 ? wire::parse_json(reply->body) : std::nullopt;
         const auto types = document ? wire::parse_machine_types(*document) : std::nullopt;
         if (types && leader->cluster_state.set_machine_types(*types)) {
             spdlog::info("{} machine types known", types->size());
             term.commit_due.notify();
         }
-        co_await sleep_for(types ? c::machine_types_period_s : retry_s);
+        co_await sleep_for(types ? c::machine_types_period_s : retry_delay_s);
     }
 }
 
-net::awaitable<void> ProvisioningLoops::follow_machine_list(std::shared_ptr<cluster::LeaderTerm> leader) {
+net::awaitable<void> ProvisioningLoops::poll_machine_list(std::shared_ptr<cluster::LeaderTerm> leader) {
     auto& term = *leader->term;
-    while (!term.over()) {
+    while (!term.ended()) {
         const auto machines = co_await list_machines(term);
-        if (machines && !term.over()) leader->cluster_state.apply_machine_list(*machines, steady_now_s());
+        if (machines && !term.ended()) leader->cluster_state.apply_machine_list(*machines, steady_now_s());
         co_await sleep_for(c::list_period_s);
     }
 }
@@ -58,8 +58,8 @@
     const leadership::Term& term) {
     std::vector<model::ListedMachine> machines;
     std::string after;
-    for (bool more = true; more && !term.over();) {
-        co_await cloud_.wait_for_turn();
+    for (bool more = true; more && !term.ended();) {
+        co_await cloud_.wait_for_rate_limit();
         const auto reply =
             co_await cloud_.request("GET", wire::machine_list_target(after, machines_per_page));
         const auto page =
@@ -75,18 +75,19 @@
 net::awaitable<void> ProvisioningLoops::scale_out(std::shared_ptr<cluster::LeaderTerm> leader) {
     auto& term = *leader->term;
     auto& cluster_state = leader->cluster_state;
-    while (!term.over()) {
+    while (!term.ended()) {
         if (!cluster_state.has_provisioning_request()) {
-            co_await term.cloud_due.wait(longest_idle_wait_s);
+            co_await term.scaling_due.wait(max_idle_wait_s);
             continue;
         }
-        co_await cloud_.wait_for_turn();
+        co_await cloud_.wait_for_rate_limit();
         // Asked anew after every wait: a process that stood still meanwhile holds no term any more.
-        const auto request = term.may_start() ? cluster_state.next_provisioning_request() : std::nullopt;
+        const auto request =
+            term.may_start_tasks() ? cluster_state.next_provisioning_request() : std::nullopt;
         if (!request) continue;
         const auto reply = co_await cloud_.request("POST", std::string(wire::machines_path),
                                                    wire::provisioning_request(*request));
-        if (term.over()) break;
+        if (term.ended()) break;
         const auto machines =
             reply && reply->status == 200 ? wire::parse_provisioned_machines(reply->body) : std::nullopt;
         if (machines) {
@@ -96,7 +97,7 @@
         } else {
             // No answer, 429 or an outage: the same name again, under which machines are provided only once.
             cluster_state.provisioning_unanswered(request->name);
-            co_await sleep_for(retry_s);
+            co_await sleep_for(retry_delay_s);
         }
         term.plan_due.notify();
     }
@@ -105,24 +106,24 @@
 net::awaitable<void> ProvisioningLoops::scale_in(std::shared_ptr<cluster::LeaderTerm> leader) {
     auto& term = *leader->term;
     auto& cluster_state = leader->cluster_state;
-    while (!term.over()) {
+    while (!term.ended()) {
         if (cluster_state.machines_to_release(steady_now_s()).empty()) {
-            co_await term.cloud_due.wait(longest_idle_wait_s);
+            co_await term.scaling_due.wait(max_idle_wait_s);
             continue;
         }
-        co_await cloud_.wait_for_turn();
+        co_await cloud_.wait_for_rate_limit();
         // A leader that stood still while it waited would delete machines that the next one has found alive.
-        const auto machines =
-            term.may_start() ? cluster_state.machines_to_release(steady_now_s()) : std::vector<std::string>{};
+        const auto machines = term.may_start_tasks() ? cluster_state.machines_to_release(steady_now_s())
+                                                     : std::vector<std::string>{};
         if (machines.empty()) continue;
         const auto reply =
             co_await cloud_.request("POST", std::string(wire::release_path), wire::release_request(machines));
-        if (term.over()) break;
+        if (term.ended()) break;
         if (reply && reply->status == 200) {
             cluster_state.machines_released(machines, steady_now_s());
             term.plan_due.notify();
         } else {
-            co_await sleep_for(retry_s);
+            co_await sleep_for(retry_delay_s);
         }
     }
 }
--- a/src/controller/provisioning_loops.hpp
+++ b/src/controller/provisioning_loops.hpp
@@ -20,9 +20,9 @@
 
     // Each of these runs until the term is over.
     // Reads the machine types every machine_types_period_s.
-    net::awaitable<void> follow_machine_types(std::shared_ptr<cluster::LeaderTerm> leader);
+    net::awaitable<void> poll_machine_types(std::shared_ptr<cluster::LeaderTerm> leader);
     // Reads the list of machines every list_period_s.
-    net::awaitable<void> follow_machine_list(std::shared_ptr<cluster::LeaderTerm> leader);
+    net::awaitable<void> poll_machine_list(std::shared_ptr<cluster::LeaderTerm> leader);
     // Requests machines under names that are durable.
     net::awaitable<void> scale_out(std::shared_ptr<cluster::LeaderTerm> leader);
     // Releases machines that are not needed.
--- a/src/leadership/election.cpp
+++ b/src/leadership/election.cpp
@@ -24,7 +24,7 @@
       lease_guard_(dependencies.lease_guard),
       state_(dependencies.state),
       peers_(dependencies.peers),
-      work_(dependencies.work),
+      leader_delegate_(dependencies.leader_delegate),
       random_(dependencies.random) {}
 
 net::awaitable<void> Election::run() {
@@ -37,7 +37,7 @@
             co_await follow();
             continue;
         }
-        auto term = co_await run_for_leader();
+        auto term = co_await campaign();
         if (!term) {
             co_await sleep_for(c::election_retry_s *
                                std::uniform_real_distribution<double>(0.5, 1.5)(random_));
@@ -61,8 +61,8 @@
         co_await sleep_for(c::election_retry_s);
 }
 
-net::awaitable<std::shared_ptr<Term>> Election::run_for_leader() {
-    const double sent = steady_now_s();
+net::awaitable<std::shared_ptr<Term>> Election::campaign() {
+    const double sent_at = steady_now_s();
     const auto granted =
         co_await store_.request("POST", std::string(wire::leases_path), wire::lease_request(c::lease_ttl_ms));
     const auto lease = granted && granted->status == 200 ? wire::parse_lease(granted->body) : std::nullopt;
@@ -74,9 +74,9 @@
     identity.lease = *lease;
     identity.fencing_token = std::max(watch_cache_.term.value, state_.highest_token()) + 1;
     identity.nonce = random_();
-    lease_guard_.restart();
-    lease_guard_.renewed(sent);
-    const double started = steady_now_s();
+    lease_guard_.reset_lease();
+    lease_guard_.lease_renewed(sent_at);
+    const double started_at = steady_now_s();
     identity.mod_revision = co_await claim_leadership(identity);
     if (identity.mod_revision == 0) {
         // Without its lease a late copy of the transaction is refused.
@@ -85,7 +85,7 @@
         co_return nullptr;
     }
     spdlog::info("term {} won by {} (lease {})", identity.fencing_token, name_, identity.lease);
-    co_return std::make_shared<Term>(identity, started, lease_guard_, state_.changed());
+    co_return std::make_shared<Term>(identity, started_at, lease_guard_, state_.changed());
 }
 
 // The revision of the leader record, or 0 if another controller holds or may hold it.
@@ -112,15 +112,15 @@
     // virtual calls.
     const bool loaded = co_await load_state(term);
     if (loaded) {
-        state_.begin(term);
-        state_.observe(term->fencing_token(), name_);
-        work_.start_term();
+        state_.begin_term(term);
+        state_.observe_token(term->fencing_token(), name_);
+        leader_delegate_.start_term();
         co_await renew_lease(term);
     } else {
         term->end(EndReason::state_not_loaded);
     }
-    work_.finish();
-    state_.finish();
+    leader_delegate_.end_term();
+    state_.clear_term();
     if (term->identity().lease) co_await revoke_lease(term->identity().lease);
     co_await linearizable_read_.catch_up();
 }
@@ -129,24 +129,24 @@
 // gone.
 net::awaitable<bool> Election::load_state(std::shared_ptr<Term> term) {
     bool current = false;
-    while (term->may_start() && !(current = co_await linearizable_read_.catch_up()))
+    while (term->may_start_tasks() && !(current = co_await linearizable_read_.catch_up()))
         co_await sleep_for(c::store_retry_s);
-    co_return current&& work_.prepare(term);
+    co_return current&& leader_delegate_.prepare(term);
 }
 
 net::awaitable<void> Election::renew_lease(std::shared_ptr<Term> term) {
-    while (!term->over()) {
-        const double sent = steady_now_s();
+    while (!term->ended()) {
+        const double sent_at = steady_now_s();
         const auto reply = co_await store_.request("POST", wire::renew_lease_target(term->identity().lease));
-        if (term->over()) break;
+        if (term->ended()) break;
         const bool renewed = reply && reply->status == 200;
         if (renewed) {
-            lease_guard_.renewed(sent);
+            lease_guard_.lease_renewed(sent_at);
         } else if (reply && reply->status == 404) {
             term->end(EndReason::lease_expired);
             break;
         }
-        if (const auto reason = reason_to_step_down(*term)) {
+        if (const auto reason = step_down_reason(*term)) {
             if (*reason == EndReason::no_heartbeats) backoff_until_ = steady_now_s() + c::election_backoff_s;
             term->end(*reason);
             break;
@@ -155,13 +155,13 @@
     }
 }
 
-std::optional<EndReason> Election::reason_to_step_down(const Term& term) const {
+std::optional<EndReason> Election::step_down_reason(const Term& term) const {
     const double now = steady_now_s();
     if (lease_guard_.should_step_down(now, store_.refusal(), peers_.store_contacts()))
         return EndReason::isolated;
     // Workers reach a peer and not this controller: that peer should lead.
-    const bool without_heartbeats = now - term.started() > c::no_heartbeat_step_down_s &&
-                                    work_.last_heartbeat() < now - c::no_heartbeat_step_down_s;
+    const bool without_heartbeats = now - term.started_at() > c::no_heartbeat_step_down_s &&
+                                    leader_delegate_.last_heartbeat() < now - c::no_heartbeat_step_down_s;
     if (without_heartbeats && peers_.heartbeats_reach_peer()) return EndReason::no_heartbeats;
     return std::nullopt;
 }
--- a/src/leadership/election.hpp
+++ b/src/leadership/election.hpp
@@ -30,9 +30,9 @@
 };
 
 // The work of a leader; the election tells it when to begin and to end.
-class LeaderWork {
+class LeaderDelegate {
    public:
-    virtual ~LeaderWork() = default;
+    virtual ~LeaderDelegate() = default;
     // Builds the leader's state from the watch cache, which holds everything that earlier terms committed.
     // False: the cache does not hold all that the state needs.
     virtual bool prepare(const std::shared_ptr<Term>& term) = 0;
@@ -41,7 +41,7 @@
     // When the latest heartbeat was applied in the present term (seconds, steady clock).
     [[nodiscard]] virtual double last_heartbeat() const = 0;
     // The term is over, or its preparation failed.
-    virtual void finish() = 0;
+    virtual void end_term() = 0;
 };
 
 // Wins terms for this controller and keeps them.
@@ -55,7 +55,7 @@
         LeaseGuard& lease_guard;
         LeadershipState& state;
         const PeerView& peers;
-        LeaderWork& work;
+        LeaderDelegate& leader_delegate;
         std::mt19937_64& random;
     };
     // `name` is this controller's name in the settings.
@@ -67,7 +67,7 @@
     // Waits while there is a leader; ends the lease of an earlier process of this controller.
     net::awaitable<void> follow();
     // The term, or null if it was not won.
-    net::awaitable<std::shared_ptr<Term>> run_for_leader();
+    net::awaitable<std::shared_ptr<Term>> campaign();
     // Writes the leader record. Its revision, or 0 if it may be of another controller.
     net::awaitable<std::uint64_t> claim_leadership(const TermIdentity& identity);
     // From the won term to its end.
@@ -77,7 +77,7 @@
     // Renews the lease until the term is over.
     net::awaitable<void> renew_lease(std::shared_ptr<Term> term);
     // Nothing: the term goes on.
-    [[nodiscard]] std::optional<EndReason> reason_to_step_down(const Term& term) const;
+    [[nodiscard]] std::optional<EndReason> step_down_reason(const Term& term) const;
     // Ends a lease before it expires.
     net::awaitable<void> revoke_lease(std::uint64_t lease);
 
@@ -88,7 +88,7 @@
     LeaseGuard& lease_guard_;
     LeadershipState& state_;
     const PeerView& peers_;
-    LeaderWork& work_;
+    LeaderDelegate& leader_delegate_;
     std::mt19937_64& random_;
     double backoff_until_ = -1;
 };
--- a/src/leadership/leadership_state.cpp
+++ b/src/leadership/leadership_state.cpp
@@ -5,20 +5,20 @@
 
 namespace pineroad::leadership {
 
-void LeadershipState::observe(std::uint64_t fencing_token, const std::string& leader) {
+void LeadershipState::observe_token(std::uint64_t fencing_token, const std::string& leader) {
     if (fencing_token > highest_token_) {
         highest_token_ = fencing_token;
         known_leader_ = leader;
     }
-    if (term_ && !term_->over() && fencing_token > term_->fencing_token()) term_->end(EndReason::newer_term);
+    if (term_ && !term_->ended() && fencing_token > term_->fencing_token()) term_->end(EndReason::newer_term);
 }
 
-void LeadershipState::begin(std::shared_ptr<Term> term) {
+void LeadershipState::begin_term(std::shared_ptr<Term> term) {
     term_ = std::move(term);
 }
 
 std::uint64_t LeadershipState::advertised_token() const {
-    if (!term_ || term_->over()) return highest_token_;
+    if (!term_ || term_->ended()) return highest_token_;
     return std::max(term_->fencing_token(), highest_token_);
 }
 
@@ -27,7 +27,7 @@
 }
 
 void LeadershipState::leader_seen(const wire::records::Leader& leader) {
-    observe(leader.fencing_token, leader.node);
+    observe_token(leader.fencing_token, leader.node);
 }
 
 void LeadershipState::watch_applied(bool leader_removed) {
--- a/src/leadership/leadership_state.hpp
+++ b/src/leadership/leadership_state.hpp
@@ -21,11 +21,11 @@
 
     // A fencing token was seen, and the controller that holds its term (empty: unknown). A greater one ends
     // the own term.
-    void observe(std::uint64_t fencing_token, const std::string& leader);
+    void observe_token(std::uint64_t fencing_token, const std::string& leader);
     // The own term begins.
-    void begin(std::shared_ptr<Term> term);
+    void begin_term(std::shared_ptr<Term> term);
     // The own term is over and nothing refers to it as the present one any more.
-    void finish() { term_.reset(); }
+    void clear_term() { term_.reset(); }
 
     // The greatest fencing token that was seen.
     [[nodiscard]] std::uint64_t highest_token() const { return highest_token_; }
@@ -38,7 +38,7 @@
 
     // --- store::WatchCacheObserver ---
     // A proof for the lease guard.
-    void cache_current_at(double sent) override { lease_guard_.cancellations_known_until(sent); }
+    void cache_current_at(double sent_at) override { lease_guard_.confirm_cancellations_until(sent_at); }
     // An election may be held.
     void cache_loaded() override { changed_.notify(); }
     // Ends the own term: its state is built on the cache.
--- a/src/leadership/term.cpp
+++ b/src/leadership/term.cpp
@@ -30,50 +30,51 @@
     return "unknown";
 }
 
-HeldResponses::Hold::Hold(HeldResponses& held, const std::string& machine, net::Timer& timer)
-    : held_(held), machine_(machine), timer_(timer) {
-    auto& current = held_.timers_[machine_];
+HeldResponses::Hold::Hold(HeldResponses& responses, const std::string& machine, net::Timer& timer)
+    : responses_(responses), machine_(machine), timer_(timer) {
+    auto& current = responses_.timers_[machine_];
     if (current) current->cancel();
     current = &timer_;
 }
 
 HeldResponses::Hold::~Hold() {
-    const auto own = held_.timers_.find(machine_);
-    if (own != held_.timers_.end() && own->second == &timer_) held_.timers_.erase(own);
+    const auto registered = responses_.timers_.find(machine_);
+    if (registered != responses_.timers_.end() && registered->second == &timer_)
+        responses_.timers_.erase(registered);
 }
 
 void HeldResponses::release(const std::string& machine) {
-    if (const auto held = timers_.find(machine); held != timers_.end()) held->second->cancel();
+    if (const auto entry = timers_.find(machine); entry != timers_.end()) entry->second->cancel();
 }
 
 void HeldResponses::release_all() {
     for (auto& [machine, timer] : timers_) timer->cancel();
 }
 
-Term::Term(TermIdentity identity, double started, const LeaseGuard& lease_guard,
+Term::Term(TermIdentity identity, double started_at, const LeaseGuard& lease_guard,
            net::Notification& leadership_changed)
     : identity_(identity),
-      started_(started),
+      started_at_(started_at),
       lease_guard_(lease_guard),
       leadership_changed_(leadership_changed) {}
 
 void Term::end(EndReason reason) {
-    if (over_) return;
-    over_ = true;
+    if (ended_) return;
+    ended_ = true;
     spdlog::info("term {} ended: {}", identity_.fencing_token, to_string(reason));
     commit_due.notify();
     plan_due.notify();
-    cloud_due.notify();
+    scaling_due.notify();
     held_responses.release_all();
     leadership_changed_.notify();
 }
 
-bool Term::may_start() const {
-    return !over_ && lease_guard_.may_start(store::steady_now_s());
+bool Term::may_start_tasks() const {
+    return !ended_ && lease_guard_.may_start_tasks(store::steady_now_s());
 }
 
 bool Term::may_answer_heartbeats() const {
-    return !over_ && lease_guard_.may_answer_heartbeats(store::steady_now_s());
+    return !ended_ && lease_guard_.may_answer_heartbeats(store::steady_now_s());
 }
 
 }  // namespace pineroad::leadership
--- a/src/leadership/term.hpp
+++ b/src/leadership/term.hpp
@@ -43,13 +43,13 @@
     class Hold {
        public:
         // Wakes an older heartbeat of the machine: nobody waits for its response.
-        Hold(HeldResponses& held, const std::string& machine, net::Timer& timer);
+        Hold(HeldResponses& responses, const std::string& machine, net::Timer& timer);
         ~Hold();
         Hold(const Hold&) = delete;
         Hold& operator=(const Hold&) = delete;
 
        private:
-        HeldResponses& held_;
+        HeldResponses& responses_;
         const std::string& machine_;
         net::Timer& timer_;
     };
@@ -66,7 +66,7 @@
 class Term {
    public:
     // `leadership_changed` is notified when the term ends; it and the guard must outlive the term.
-    Term(TermIdentity identity, double started, const LeaseGuard& lease_guard,
+    Term(TermIdentity identity, double started_at, const LeaseGuard& lease_guard,
          net::Notification& leadership_changed);
 
     // The token that every command and record of this term carries.
@@ -76,28 +76,28 @@
     // The revision of the leader record as the watch cache holds it.
     void set_mod_revision(std::uint64_t revision) { identity_.mod_revision = revision; }
     // When the lease was granted (seconds, steady clock).
-    [[nodiscard]] double started() const { return started_; }
+    [[nodiscard]] double started_at() const { return started_at_; }
 
     // Whether the term has ended.
-    [[nodiscard]] bool over() const { return over_; }
+    [[nodiscard]] bool ended() const { return ended_; }
     // Ends the term and wakes everything that waits within it. Only the first call counts.
     void end(EndReason reason);
     // Whether tasks may be started, and whatever else needs the lease.
-    [[nodiscard]] bool may_start() const;
+    [[nodiscard]] bool may_start_tasks() const;
     // Whether heartbeats may be answered.
     [[nodiscard]] bool may_answer_heartbeats() const;
 
-    net::Notification commit_due;  // there may be something to commit
-    net::Notification plan_due;    // something happened that planning should take into account
-    net::Notification cloud_due;   // there may be something to ask of the cloud
+    net::Notification commit_due;   // there may be something to commit
+    net::Notification plan_due;     // something happened that planning should take into account
+    net::Notification scaling_due;  // there may be something to ask of the cloud
     HeldResponses held_responses;
 
    private:
     TermIdentity identity_;
-    const double started_;
+    const double started_at_;
     const LeaseGuard& lease_guard_;
     net::Notification& leadership_changed_;
-    bool over_ = false;
+    bool ended_ = false;
 };
 
 }  // namespace pineroad::leadership
--- a/src/peers/peer_exchange.cpp
+++ b/src/peers/peer_exchange.cpp
@@ -56,7 +56,7 @@
     const auto message = wire::parse_peer_message(request.body);
     if (!message) co_return Reply{400, {}};
     // It may have been delayed on the way: only what can't become untrue is taken from it.
-    leadership_.observe(message->fencing_token, message->leader);
+    leadership_.observe_token(message->fencing_token, message->leader);
     record_cancellations(*message);
     if (message->dependencies_requested) record_format_.request_dependencies();
     directory_.record_request(*message);
@@ -103,11 +103,11 @@
 // The cancellations that a peer names are recorded here, and so passed on, before its answer counts as a
 // proof.
 void PeerExchange::apply_response(std::size_t peer, double sent, wire::PeerMessage answer) {
-    leadership_.observe(answer.fencing_token, answer.leader);
+    leadership_.observe_token(answer.fencing_token, answer.leader);
     record_cancellations(answer);
     if (answer.dependencies_requested) record_format_.request_dependencies();
     directory_.record_response(peer, sent, std::move(answer));
-    lease_guard_.confirm_by_peers(directory_.confirmations());
+    lease_guard_.apply_peer_confirmations(directory_.confirmations());
 }
 
 }  // namespace pineroad::peers
--- a/tests/cluster_simulator.cpp
+++ b/tests/cluster_simulator.cpp
@@ -109,7 +109,7 @@
         co_await net::sleep_for(step_s);
     }
     net::Request request{std::move(method), std::move(target), std::move(body)};
-    co_return co_await peer.controller->mesh(std::move(request));
+    co_return co_await peer.controller->handle_peer_request(std::move(request));
 }
 
 // --- processes ---------------------------------------------------------------------------------------------
@@ -236,7 +236,7 @@
         *own.io,
         [](controller::Controller& receiver, net::Request r,
            std::shared_ptr<std::optional<Reply>> into) -> net::awaitable<void> {
-            *into = co_await receiver.front(std::move(r));
+            *into = co_await receiver.handle_public_request(std::move(r));
         }(*own.controller, std::move(request), out),
         net::asio::detached);
     return out;
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -913,7 +913,7 @@
                 io,
                 [](controller::Controller& to, net::Request r,
                    std::optional<net::Reply>& into) -> net::awaitable<void> {
-                    into = co_await to.mesh(std::move(r));
+                    into = co_await to.handle_peer_request(std::move(r));
                 }(node, std::move(request), reply),
                 net::asio::detached);
             io.restart();
--- a/tests/lease_guard_test.cpp
+++ b/tests/lease_guard_test.cpp
@@ -10,8 +10,8 @@
 // answers; not in an outage of all.
 TEST(LeaseGuard, LeaderPartitionedAloneStepsDown) {
     leadership::LeaseGuard p(66, 36);
-    p.cancellations_known_until(100);
-    p.renewed(100);  // good until 104.5
+    p.confirm_cancellations_until(100);
+    p.lease_renewed(100);  // good until 104.5
     const store::StoreRefusal refused{101, 106};
     EXPECT_FALSE(p.should_step_down(104, refused, {{103, 0.5}, {-1, 0}}));
     // Served after we were refused, but while our lease may still have lived: an outage of all may have begun
@@ -32,24 +32,24 @@
 // A lease counts from when its renewal was sent; without it nothing starts.
 TEST(LeaseGuard, LeaseCountsFromSending) {
     leadership::LeaseGuard p(66, 36);
-    p.cancellations_known_until(100);
-    EXPECT_FALSE(p.may_start(100));
-    p.renewed(100);
-    EXPECT_TRUE(p.may_start(104.4));
-    EXPECT_FALSE(p.may_start(104.5));
-    p.renewed(99);  // an answer that comes late proves nothing new
-    EXPECT_FALSE(p.may_start(104.5));
+    p.confirm_cancellations_until(100);
+    EXPECT_FALSE(p.may_start_tasks(100));
+    p.lease_renewed(100);
+    EXPECT_TRUE(p.may_start_tasks(104.4));
+    EXPECT_FALSE(p.may_start_tasks(104.5));
+    p.lease_renewed(99);  // an answer that comes late proves nothing new
+    EXPECT_FALSE(p.may_start_tasks(104.5));
 }
 
 // Renewals may go through while watches hang: such a leader learns of no cancellation and has to stop.
 TEST(LeaseGuard, LeaseWithoutWatchIsNotEnough) {
     leadership::LeaseGuard p(66, 36);
-    p.cancellations_known_until(100);
-    p.renewed(126);
-    EXPECT_FALSE(p.may_start(126));
+    p.confirm_cancellations_until(100);
+    p.lease_renewed(126);
+    EXPECT_FALSE(p.may_start_tasks(126));
     EXPECT_FALSE(p.may_answer_heartbeats(126));
-    p.cancellations_known_until(126);
-    EXPECT_TRUE(p.may_start(127));
+    p.confirm_cancellations_until(126);
+    EXPECT_TRUE(p.may_start_tasks(127));
 }
 
 // Heartbeats may be answered without the store only while a cancellation that another controller
@@ -57,12 +57,12 @@
 TEST(LeaseGuard, AnswersEndInTimeForACancellation) {
     leadership::LeaseGuard p(66, 36);
     EXPECT_FALSE(p.may_answer_heartbeats(0));
-    p.renewed(100);
-    p.cancellations_known_until(100);
+    p.lease_renewed(100);
+    p.confirm_cancellations_until(100);
     EXPECT_TRUE(p.may_answer_heartbeats(125.9));
     EXPECT_FALSE(p.may_answer_heartbeats(126));
     // Every peer names all it confirmed: as good as the store.
-    p.confirm_by_peers({{120, 120.1, 500, true}, {121, 121.1, 500, true}});
+    p.apply_peer_confirmations({{120, 120.1, 500, true}, {121, 121.1, 500, true}});
     EXPECT_TRUE(p.may_answer_heartbeats(145.9));
     EXPECT_FALSE(p.may_answer_heartbeats(146));
 }
@@ -71,20 +71,20 @@
 // answer may confirm anything.
 TEST(LeaseGuard, RestartedOrSilentPeerConfirmsNothing) {
     leadership::LeaseGuard p(66, 36);
-    p.cancellations_known_until(100);
-    p.confirm_by_peers({{120, 120.1, 500, true}, {121, 121.1, 5, true}});
+    p.confirm_cancellations_until(100);
+    p.apply_peer_confirmations({{120, 120.1, 500, true}, {121, 121.1, 5, true}});
     EXPECT_FALSE(p.may_answer_heartbeats(126));
-    p.confirm_by_peers({{120, 120.1, 500, true}, {-1, -1, 0, true}});
+    p.apply_peer_confirmations({{120, 120.1, 500, true}, {-1, -1, 0, true}});
     EXPECT_FALSE(p.may_answer_heartbeats(126));
-    p.confirm_by_peers({{120, 120.1, 500, true}, {121, 121.1, 500, false}});
+    p.apply_peer_confirmations({{120, 120.1, 500, true}, {121, 121.1, 500, false}});
     EXPECT_FALSE(p.may_answer_heartbeats(126));
     // Back within a second: the question left before the new process began, the answer came after. What the
     // earlier process confirmed in between is known to nobody.
-    p.confirm_by_peers({{120, 120.1, 500, true}, {99.5, 100.4, 0.2, true}});
+    p.apply_peer_confirmations({{120, 120.1, 500, true}, {99.5, 100.4, 0.2, true}});
     EXPECT_FALSE(p.may_answer_heartbeats(126));
     // Its clock may run fast: an uptime of 500 s by it may have begun half a second later than it says.
-    p.cancellations_known_until(120);
-    p.confirm_by_peers({{620, 620.1, 900, true}, {619.8, 619.9, 500, true}});
+    p.confirm_cancellations_until(120);
+    p.apply_peer_confirmations({{620, 620.1, 900, true}, {619.8, 619.9, 500, true}});
     EXPECT_FALSE(p.may_answer_heartbeats(146));
 }
 
