--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -29,9 +29,9 @@
     });
 }
 
-// Whether what has to run at once exceeds the team's limit.
+// Returns whether the tasks that must run at the same time exceed the team's limit.
 bool exceeds_team_limit(const model::JobSpec& spec, const config::Team& team) {
-    constexpr double slack = 1e-6;  // sums of decimal amounts are not exact
+    constexpr double slack = 1e-6;  // for rounding errors in sums of decimal amounts
     const double tasks = spec.shape == model::Shape::gang ? spec.task_count : 1;
     return (team.cpus_max > 0 && tasks * spec.task_resources.cpus > team.cpus_max + slack) ||
            (team.gpus_max > 0 && tasks * spec.task_resources.gpus > team.gpus_max + slack);
@@ -78,7 +78,7 @@
     if (std::find(spec.dependencies.begin(), spec.dependencies.end(), spec.id) != spec.dependencies.end())
         return AdmissionError{AdmissionErrorKind::invalid_dependency, 422,
                               fmt::format("{} names itself in {}", spec.id, wire::dependencies_field)};
-    // An earlier version would start the job at once.
+    // A controller of an earlier version would ignore the dependencies and start the job immediately.
     if (!dependencies_.record_format.agreed()) {
         dependencies_.record_format.request_dependencies();
         return retry_later_error("a controller of an earlier version still serves");
@@ -91,7 +91,7 @@
     for (const auto& id : spec.dependencies) {
         auto state = cached_dependency_state(id);
         if (!state) {
-            // What was found is remembered: the user's next try comes further.
+            // The outcomes found so far are cached, so the user's next attempt gets further.
             if (++lookups > c::max_dependency_lookups)
                 co_return retry_later_error("too many look-ups at once");
             state = co_await look_up_dependency(id);
@@ -119,7 +119,7 @@
     return store_unavailable();
 }
 
-// A positive answer may come from the watch cache, since what was accepted stays accepted.
+// The watch cache may confirm that a job was accepted, because an accepted job stays accepted.
 std::optional<Admission::DependencyState> Admission::cached_dependency_state(const std::string& id) {
     auto& watch_cache = dependencies_.watch_cache;
     if (const auto job = watch_cache.jobs.find(id); job != watch_cache.jobs.end())
@@ -128,8 +128,8 @@
     return std::nullopt;
 }
 
-// "Never accepted" takes reads sent after the question: first of the live record and then of the final one,
-// which replaces it.
+// A job was never accepted only if reads sent after the request find neither its live record nor, in this
+// order, the final record that replaces it.
 net::awaitable<Admission::DependencyState> Admission::look_up_dependency(std::string id) {
     const auto read = co_await dependencies_.store.read(records::job_key(id));
     if (read.status == store::ReadStatus::unavailable) co_return DependencyState::undetermined;
--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -1,4 +1,4 @@
-// Admission control: whether a submitted job can be accepted.
+// Admission control: decides whether a submitted job can be accepted.
 #pragma once
 
 #include <boost/system/result.hpp>
@@ -19,31 +19,31 @@
 
 // Why a job is not accepted.
 enum class AdmissionErrorKind {
-    malformed,            // its request can't be carried out as written
-    infeasible,           // no machine type or the team's limit does not allow it
+    malformed,            // the request can't be carried out as written
+    infeasible,           // no machine type fits, or it exceeds the team's limit
     invalid_dependency,   // it names a job that it can't depend on
     retry_later,          // the same request may be accepted later
-    acceptance_uncertain  // it may have been accepted; the user's next try finds out
+    acceptance_uncertain  // it may have been accepted; a retry will tell
 };
 
-// Why a job is not accepted, and the HTTP answer that says so.
+// Why a job is not accepted, and the HTTP response that reports it.
 struct AdmissionError {
     AdmissionErrorKind kind = AdmissionErrorKind::malformed;
     int status = 400;
     std::string text;
     int retry_after_s = 0;          // 0: no header
-    bool close_connection = false;  // after the answer
+    bool close_connection = false;  // after the response
 };
 
-// The answer to the user.
+// Returns the HTTP response that reports the error.
 net::Reply to_reply(const AdmissionError& error);
 
 using AdmissionResult = boost::system::result<void, AdmissionError>;
 
-// Decides on submitted jobs.
+// Decides whether submitted jobs are accepted.
 class Admission {
    public:
-    // What admission works with; all of it must outlive the object.
+    // References that admission uses. All of them must outlive the object.
     struct Dependencies {
         const config::Settings& settings;
         store::StoreClient& store;
@@ -58,26 +58,26 @@
     // Checks the job against the settings, the machine types and the jobs that it depends on. The watch cache
     // must hold the machine types.
     net::awaitable<AdmissionResult> check(const model::JobSpec& spec);
-    // The user is to try again.
+    // Returns an error that asks the user to retry later.
     [[nodiscard]] AdmissionError retry_later_error(std::string_view reason);
-    // ... since the store can't tell.
+    // Returns the same error with the reason that the store does not answer.
     [[nodiscard]] AdmissionError store_unavailable() {
         return retry_later_error("state service unavailable");
     }
 
    private:
-    // A job that another one depends on.
+    // State of a job that another job depends on.
     enum class DependencyState { accepted, service, unknown, undetermined };
 
-    // The checks that need no look-up.
+    // Runs the checks that require no look-up.
     [[nodiscard]] AdmissionResult check_dependency_list(const model::JobSpec& spec);
-    // The checks of each dependency, which may need look-ups in the store.
+    // Checks each dependency, which may require look-ups in the store.
     net::awaitable<AdmissionResult> check_dependencies(const model::JobSpec& spec);
-    // Whether a job may depend on one of this state.
+    // Returns an error if a job may not depend on the job `id`, which has this state.
     [[nodiscard]] AdmissionResult check_dependency(const std::string& id, DependencyState state);
-    // From the watch cache; nothing if it does not tell.
+    // Returns the state of the job from the watch cache, or nothing if the cache does not tell.
     [[nodiscard]] std::optional<DependencyState> cached_dependency_state(const std::string& id);
-    // From the store.
+    // Looks up the state of the job in the store.
     net::awaitable<DependencyState> look_up_dependency(std::string id);
 
     Dependencies dependencies_;
--- a/src/api/event_loop_lag.hpp
+++ b/src/api/event_loop_lag.hpp
@@ -1,16 +1,16 @@
-// Measures how late the event loop runs: the sign that the process has too little processor time.
+// Measures the lag of the event loop, which indicates that the process has too little processor time.
 #pragma once
 
 #include "net/http.hpp"
 
 namespace pineroad::api {
 
-// Measures by a timer how late it fires.
+// Measures how late a periodic timer fires.
 class EventLoopLagMonitor {
    public:
     // Measures every lag_period_s. Never returns.
     net::awaitable<void> run();
-    // Seconds by which timers lately fired late: rises at once, and falls as a moving average.
+    // Returns the recent lag of the timer in seconds. It rises immediately and falls as a moving average.
     [[nodiscard]] double lag_s() const { return lag_s_; }
 
    private:
--- a/src/api/health_check.cpp
+++ b/src/api/health_check.cpp
@@ -10,7 +10,7 @@
 
 net::Reply HealthCheck::check() const {
     const bool ready = watch_cache_.ready && watch_cache_.machine_types;
-    // In an outage of the store for all controllers there is no better one to go to.
+    // During an outage of the store for all controllers, no other controller could serve users better.
     if (ready && (store_.recently_served() || directory_.store_down_for_all(store_.refusal())))
         return {200, "{}"};
     return {503, wire::error_response("not ready"), 1};
--- a/src/api/health_check.hpp
+++ b/src/api/health_check.hpp
@@ -1,4 +1,4 @@
-// The answer to the balancer's health check.
+// The health check of the load balancer.
 #pragma once
 
 #include "net/http.hpp"
@@ -8,13 +8,14 @@
 
 namespace pineroad::api {
 
-// Whether the balancer should send users to this controller.
+// Tells the balancer whether to send users to this controller.
 class HealthCheck {
    public:
     // All of these must outlive the object.
     HealthCheck(const store::StoreClient& store, const store::WatchCache& watch_cache,
                 const peers::PeerDirectory& directory);
-    // 200 while this controller can serve users, or no other can serve them better; 503 otherwise.
+    // Returns 200 if this controller can serve users or no other controller could serve them better, 503
+    // otherwise.
     [[nodiscard]] net::Reply check() const;
 
    private:
--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -1,4 +1,5 @@
-// What a job is to its users. Any controller can tell, from the watch cache and the store.
+// Looks up the state of a job as its users see it. Any controller can do so, from the watch cache and the
+// store.
 #pragma once
 
 #include <optional>
@@ -13,16 +14,16 @@
 
 namespace pineroad::api {
 
-// What is known of a job.
+// State of a job as its users see it.
 enum class JobState {
-    live,         // accepted, and not over
-    done,         // over
-    cancelled,    // over
+    live,         // accepted and not ended
+    done,         // ended
+    cancelled,    // ended
     unknown,      // never accepted
-    undetermined  // can't be told now: the store does not answer
+    undetermined  // can't be determined now: the store does not answer
 };
 
-// The state of a job that ended so.
+// Returns the state of a job that ended with this outcome.
 JobState job_state_of(model::FinalStatus outcome);
 
 // Looks up jobs for users and for admission.
@@ -32,19 +33,19 @@
     JobLookup(store::StoreClient& store, store::LinearizableRead& linearizable_read,
               store::WatchCache& watch_cache);
 
-    // How the job ended, as far as the watch cache tells; nothing if it doesn't.
+    // Returns how the job ended, or nothing if the watch cache does not tell.
     [[nodiscard]] std::optional<JobState> cached_outcome(const std::string& id);
-    // The job's state, by a read that was sent after the call.
+    // Returns the job's state, based on a read that was sent after the call.
     net::awaitable<JobState> look_up(std::string id);
-    // How the job ended, from the watch cache or the store: done, cancelled, undecidable, or unknown when
-    // there is no record of its end.
+    // Returns how the job ended, from the watch cache or the store: done, cancelled, undetermined, or unknown
+    // if there is no record of its end.
     net::awaitable<JobState> look_up_outcome(std::string id);
-    // Looks up how the dependencies of live jobs ended where the watch cache does not tell, every
+    // Looks up the outcomes of live jobs' dependencies that the watch cache does not hold, every
     // dependency_period_s. Never returns.
     net::awaitable<void> resolve_dependencies();
 
    private:
-    // Looks up the outcomes of jobs that are not live. False: not all could be told.
+    // Looks up the outcomes of jobs that are not live. Returns false if an outcome could not be determined.
     net::awaitable<bool> resolve_outcomes(std::vector<std::string> ids);
 
     store::StoreClient& store_;
--- a/src/api/job_writer.cpp
+++ b/src/api/job_writer.cpp
@@ -18,14 +18,14 @@
 
 namespace {
 
-// The conditions under which a job is accepted: nobody has accepted it yet.
+// Returns a transaction without changes that fails if the job was already accepted.
 wire::Transaction transaction_for_new_job(const std::string& id) {
     wire::Transaction transaction;
     transaction.conditions = {{records::job_key(id), 0}, {records::outcome_key(id), 0}};
     return transaction;
 }
 
-// The transaction that accepts the job; nothing if it does not fit the store.
+// Returns the transaction that accepts the job, or nothing if the job exceeds the store's limits.
 std::optional<wire::Transaction> acceptance_transaction(const model::JobSpec& spec,
                                                         const config::Settings& settings) {
     const auto value_bytes = static_cast<std::size_t>(settings.value_kb * 1024 * c::value_fill_ratio);
@@ -40,7 +40,7 @@
     return transaction;
 }
 
-// The transaction that accepts the job as one that is cancelled.
+// Returns the transaction that accepts the job and records it as cancelled.
 wire::Transaction cancelled_acceptance_transaction(const model::JobSpec& spec) {
     const model::JobOutcome outcome{model::FinalStatus::cancelled, spec.accepted_ms};
     auto transaction = transaction_for_new_job(spec.id);
@@ -68,7 +68,7 @@
 
 net::awaitable<AcceptanceStatus> JobWriter::accept(model::JobSpec spec) {
     spec.accepted_ms = net::Clock::wall_ms();
-    // What depends on a cancelled job is over as soon as it is accepted.
+    // A job that depends on a cancelled job is cancelled as soon as it is accepted.
     const bool cancelled =
         std::any_of(spec.dependencies.begin(), spec.dependencies.end(), [&](const std::string& dependency) {
             return watch_cache_.outcome_of(dependency) == model::FinalStatus::cancelled;
@@ -97,7 +97,8 @@
 }
 
 net::awaitable<CancellationResult> JobWriter::cancel(const store::Versioned<model::JobSpec>& job) {
-    // The job may leave the watch cache, and so the reference become invalid, while the store is asked.
+    // Copied, because the job may leave the watch cache during the commit, which would invalidate the
+    // reference.
     const std::string id = job.value.id;
     const model::JobOutcome outcome{model::FinalStatus::cancelled, net::Clock::wall_ms()};
     const auto transaction = cancellation_transaction(job, outcome);
--- a/src/api/job_writer.hpp
+++ b/src/api/job_writer.hpp
@@ -1,4 +1,4 @@
-// The transactions by which users' jobs are accepted and cancelled.
+// Accepts and cancels users' jobs by transactions on the store.
 #pragma once
 
 #include <cstdint>
@@ -12,36 +12,37 @@
 
 namespace pineroad::api {
 
-// What became of an attempt to accept a job.
+// Result of an attempt to accept a job.
 enum class AcceptanceStatus {
     accepted,
-    conflict,   // a job of that name is known to the store
-    too_large,  // it does not fit the store's limits
-    uncertain   // it may have been accepted
+    conflict,   // the store already has a job of that name
+    too_large,  // the job exceeds the store's limits
+    uncertain   // the job may have been accepted
 };
 
-// What became of an attempt to cancel a job.
+// Status of an attempt to cancel a job.
 enum class CancellationStatus {
     cancelled,
-    conflict,  // the job changed meanwhile
-    uncertain  // it may have been cancelled
+    conflict,  // the job was changed concurrently
+    uncertain  // the job may have been cancelled
 };
 
-// The outcome of a cancellation.
+// Result of an attempt to cancel a job.
 struct CancellationResult {
     CancellationStatus status = CancellationStatus::uncertain;
-    std::uint64_t revision = 0;  // that holds it, when cancelled
+    std::uint64_t revision = 0;  // of the cancellation, if it succeeded
 };
 
-// Writes what users decide on their jobs.
+// Writes the submissions and cancellations of jobs to the store.
 class JobWriter {
    public:
     // All of these must outlive the object.
     JobWriter(const config::Settings& settings, store::StoreClient& store, store::WatchCache& watch_cache);
 
-    // Accepts the job as of now. One that depends on a cancelled job is recorded as cancelled at once.
+    // Accepts the job with the current time as its acceptance time. A job that depends on a cancelled job is
+    // recorded as cancelled immediately.
     net::awaitable<AcceptanceStatus> accept(model::JobSpec spec);
-    // Cancels a live job. A success is recorded in the watch cache before the call returns.
+    // Cancels a live job. On success the outcome is recorded in the watch cache before the call returns.
     net::awaitable<CancellationResult> cancel(const store::Versioned<model::JobSpec>& job);
 
    private:
--- a/src/api/load_shedding.cpp
+++ b/src/api/load_shedding.cpp
@@ -24,10 +24,9 @@
     return event_loop_lag_.lag_s() > c::lag_rejects_polls_s || polls_ >= c::max_poll_inflight;
 }
 
-// A controller that the store does not serve, or that has too much to do, closes the connection as well, so
-// that the user's next try may reach another controller: an open connection stays with its controller for as
-// long as it lasts, and all that its user asks would be refused for as long as this controller's trouble
-// does.
+// A controller that the store does not serve, or that is overloaded, also closes the connection, so that the
+// user's next attempt may reach another controller. An open connection stays with this controller, which
+// would reject all of the user's requests until it has recovered.
 Reply LoadShedding::reject(std::string_view reason) {
     return {503, wire::error_response(reason), retry_after_s(), closes_connection()};
 }
--- a/src/api/load_shedding.hpp
+++ b/src/api/load_shedding.hpp
@@ -1,5 +1,5 @@
-// Turns users away, for a while, when this controller has too much to do or can't reach the store. Heartbeats
-// are never turned away.
+// Rejects users' requests temporarily when this controller is overloaded or can't reach the store. Heartbeats
+// are never rejected.
 #pragma once
 
 #include <cstddef>
@@ -13,36 +13,37 @@
 
 namespace pineroad::api {
 
-// Counts users' requests under way and makes the answers that reject more.
+// Counts users' requests in flight and makes the responses that reject further ones.
 class LoadShedding {
    public:
     // All of these must outlive the object.
     LoadShedding(const store::StoreClient& store, const EventLoopLagMonitor& event_loop_lag,
                  std::mt19937_64& random);
 
-    // Whether another submission or cancellation is too much.
+    // Returns whether another submission must be rejected.
     [[nodiscard]] bool submissions_overloaded() const;
-    // Whether another cancellation is too much: it is refused later than a submission.
+    // Returns whether another cancellation must be rejected. Cancellations are accepted at a higher
+    // event-loop lag than submissions.
     [[nodiscard]] bool cancellations_overloaded() const;
-    // Whether another poll is too much.
+    // Returns whether another poll must be rejected.
     [[nodiscard]] bool polls_overloaded() const;
-    // Counts a submission or a cancellation while the result lives.
+    // Counts a submission or a cancellation as in flight for the lifetime of the result.
     [[nodiscard]] net::ScopedCount count_submission() { return net::ScopedCount(submissions_); }
-    // Counts a poll while the result lives.
+    // Counts a poll as in flight for the lifetime of the result.
     [[nodiscard]] net::ScopedCount count_poll() { return net::ScopedCount(polls_); }
 
-    // 503 with Retry-After and the reason.
+    // Returns a 503 response with Retry-After and the reason.
     net::Reply reject(std::string_view reason);
-    // ... because the store can't tell the answer.
+    // Returns the rejection used when the store does not answer.
     net::Reply reject_unavailable() { return reject("state service unavailable"); }
-    // ... because there is too much to do.
+    // Returns the rejection used when this controller is overloaded.
     net::Reply reject_overloaded();
-    // ... because no connection is free.
+    // Returns the rejection used when the connection limit is reached.
     net::Reply reject_no_connection();
 
-    // A random number of seconds for Retry-After.
+    // Returns a random number of seconds for Retry-After.
     int retry_after_s();
-    // Whether a rejected user's connection is to be closed.
+    // Returns whether to close the connection of a rejected user.
     [[nodiscard]] bool closes_connection() const { return !store_.recently_served(); }
 
    private:
--- a/src/api/router.hpp
+++ b/src/api/router.hpp
@@ -1,4 +1,4 @@
-// The paths of the users' and the workers' API.
+// Routes of the user API and the worker API.
 #pragma once
 
 #include <string>
@@ -11,27 +11,28 @@
 
 namespace pineroad::api {
 
-// What a path leads to.
+// The endpoint that a path refers to.
 enum class Endpoint { heartbeat, health, submit, poll, cancel, none };
 
-// A path, taken apart.
+// A parsed path.
 struct Route {
     Endpoint endpoint = Endpoint::none;
-    std::string job;  // that the path names, if any
+    std::string job;  // id of the job in the path, if any
 };
 
-// The route of a request's target; a query is ignored.
+// Returns the route of a request target. The query is ignored.
 Route parse_route(std::string_view target);
 
-// The method that an endpoint answers to.
+// Returns the HTTP method that an endpoint accepts.
 std::string_view allowed_method(Endpoint endpoint);
 
-// Passes requests on to the part of the API that answers them.
+// Passes requests to the API that handles them.
 class Router {
    public:
     // All of these must outlive the router.
     Router(UserApi& users, WorkerApi& workers, const HealthCheck& health);
-    // Answers a request of a user, a worker or the balancer: 404 for an unknown path, 405 for a wrong method.
+    // Handles a request from a user, a worker or the balancer. Returns 404 for an unknown path and 405 for a
+    // wrong method.
     net::awaitable<net::Reply> handle(net::Request request);
 
    private:
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -10,7 +10,7 @@
 using net::Reply;
 
 namespace {
-// How often a cancellation is tried again after the job changed meanwhile.
+// Attempts to cancel a job that is changed concurrently.
 constexpr int max_cancellation_tries = 3;
 }  // namespace
 
@@ -29,8 +29,9 @@
     if (watch_cache.jobs.contains(id)) co_return job_status_reply(id, co_await job_lookup.look_up(id));
     const auto admitted = co_await admit(std::move(spec));
     if (admitted) co_return Reply{201, wire::job_status_response(id, wire::JobStatus::queued)};
-    // A job accepted under other settings, or when its dependencies were not known here, stays accepted: only
-    // one that no controller knows can be turned away for good.
+    // The job may have been accepted earlier, under other settings or by a controller that knew its
+    // dependencies, and such a job stays accepted. The error is therefore returned only if no controller
+    // knows the job.
     if (admitted.error().kind == AdmissionErrorKind::acceptance_uncertain)
         co_return to_reply(admitted.error());
     const auto state = co_await job_lookup.look_up(id);
@@ -80,7 +81,7 @@
         if (state != JobState::live) co_return job_status_reply(id, state);
         const auto& jobs = dependencies_.watch_cache.jobs;
         const auto job = jobs.find(id);
-        if (job == jobs.end()) continue;  // it ended meanwhile
+        if (job == jobs.end()) continue;  // it has ended during the look-up
         const auto result = co_await dependencies_.job_writer.cancel(job->second);
         if (result.status == CancellationStatus::cancelled) {
             co_await dependencies_.peers.forward_cancellation(result.revision, id);
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -1,5 +1,5 @@
-// The users' API: submit, poll and cancel a job. Any controller answers, from the watch cache and the store
-// alone.
+// The user API: submits, polls and cancels jobs. Any controller can serve it, from the watch cache and the
+// store.
 #pragma once
 
 #include <string>
@@ -14,10 +14,10 @@
 
 namespace pineroad::api {
 
-// Answers users' requests.
+// Handles users' requests.
 class UserApi {
    public:
-    // What the API works with; all of it must outlive the object.
+    // References that the API uses. All of them must outlive the object.
     struct Dependencies {
         store::WatchCache& watch_cache;
         JobLookup& job_lookup;
@@ -29,17 +29,17 @@
     // Keeps the references.
     explicit UserApi(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
-    // Accepts the job in the body of the request. Idempotent: a repeated submission gets the job's state.
+    // Accepts the job in the request body. Idempotent: a repeated submission returns the job's state.
     net::awaitable<net::Reply> submit(std::string body);
-    // The job's state.
+    // Returns the job's state.
     net::awaitable<net::Reply> poll(std::string id);
-    // Cancels the job if it is live, and answers with its state.
+    // Cancels the job if it is live, and returns its state.
     net::awaitable<net::Reply> cancel(std::string id);
 
    private:
     // Checks the job and accepts it.
     net::awaitable<AdmissionResult> admit(model::JobSpec spec);
-    // The answer that tells a job's state.
+    // Returns the response that reports a job's state.
     [[nodiscard]] net::Reply job_status_reply(const std::string& id, JobState state);
 
     Dependencies dependencies_;
--- a/src/api/worker_api.cpp
+++ b/src/api/worker_api.cpp
@@ -18,9 +18,9 @@
 
 namespace {
 
-// Until when the response may be held back. A start may be commanded only once its placement is durable, and
-// only in the response to a heartbeat: a moment's wait saves a whole heartbeat period. A machine without work
-// can wait longer than one whose tasks' ends are news; no response may reach the worker after 4 s.
+// Returns until when the response may be held. A start may be sent only once its placement is durable and
+// only in a heartbeat response, so a short wait can save a whole heartbeat period. A machine with room for
+// more tasks can wait longer than one that reports exited tasks. No response may reach the worker after 4 s.
 double response_deadline(const cluster::ClusterState& cluster_state, const model::Heartbeat& heartbeat,
                          double now) {
     if (cluster_state.has_room(heartbeat.machine, now)) return now + c::heartbeat_hold_idle_s;
@@ -32,7 +32,7 @@
     return now;
 }
 
-// Whether no later heartbeat of the machine was applied.
+// Returns whether no later heartbeat of the machine was applied.
 bool is_latest(const cluster::ClusterState& cluster_state, const model::Heartbeat& heartbeat) {
     const auto machine = cluster_state.machines().find(heartbeat.machine);
     return machine != cluster_state.machines().end() &&
@@ -57,8 +57,8 @@
     }
     auto& term = *leader->term;
     auto& cluster_state = leader->cluster_state;
-    // A copy of an earlier heartbeat tells nothing: not even that a worker is there. No worker waits for this
-    // response, and it carries no commands: it must not renew a lease.
+    // A duplicate of an earlier heartbeat carries no information, not even that the worker is alive. No
+    // worker waits for this response, and it carries no commands, so it must not renew a lease.
     if (!cluster_state.apply_heartbeat(heartbeat, steady_now_s()))
         co_return Reply{503, wire::error_response("an older report")};
     dependencies_.peers.record_heartbeat();
@@ -73,8 +73,8 @@
         co_await timer.async_wait(net::asio::as_tuple(net::asio::use_awaitable));
     }
     if (!term.may_answer_heartbeats()) co_return redirect();
-    // If the worker has given this heartbeat up and sent another, it does not wait for this response: what it
-    // carries must not count as sent, and without its commands it must not renew a lease.
+    // If the worker has abandoned this heartbeat and sent another, it does not wait for this response:
+    // commands in the response must not count as sent, and a response without them must not renew a lease.
     if (!is_latest(cluster_state, heartbeat))
         co_return Reply{503, wire::error_response("a newer report came meanwhile")};
     const auto commands =
@@ -82,8 +82,8 @@
     co_return Reply{200, wire::heartbeat_response(term.fencing_token(), commands)};
 }
 
-// A controller cut off from the store still has an old leader in its watch cache; a peer may have named a
-// newer one.
+// The watch cache of a controller that is cut off from the store may hold an old leader, while a peer may
+// have reported a newer one.
 Reply WorkerApi::redirect() const {
     const auto& recorded_leader = dependencies_.watch_cache.leader;
     const auto& leadership = dependencies_.leadership;
--- a/src/api/worker_api.hpp
+++ b/src/api/worker_api.hpp
@@ -1,5 +1,5 @@
-// The workers' API: heartbeats, which only the leader answers. A response may be held back for a moment until
-// there is work for the machine.
+// The worker API: heartbeats, which only the leader answers. A response may be held briefly until there is
+// work for the machine.
 #pragma once
 
 #include <memory>
@@ -15,26 +15,27 @@
 
 namespace pineroad::api {
 
-// Answers heartbeats.
+// Handles heartbeats.
 class WorkerApi {
    public:
-    // What the API works with; all of it must outlive the object.
+    // References that the API uses. All of them must outlive the object.
     struct Dependencies {
         net::asio::any_io_executor executor;
         const store::WatchCache& watch_cache;
         leadership::LeadershipState& leadership;
-        const std::shared_ptr<cluster::LeaderTerm>& active_term;  // null: this controller does not lead
+        const std::shared_ptr<cluster::LeaderTerm>& active_term;  // null if this controller does not lead
         const EventLoopLagMonitor& event_loop_lag;
         peers::PeerExchange& peers;
     };
     // `name` is this controller's name in the settings.
     WorkerApi(std::string name, const Dependencies& dependencies);
 
-    // Applies the heartbeat in the body of the request and answers with commands; 421 names the leader.
+    // Applies the heartbeat in the request body and returns commands. A controller that does not lead returns
+    // 421 with the leader's name.
     net::awaitable<net::Reply> heartbeat(std::string body);
 
    private:
-    // 421 with the leader's name, if it is known.
+    // Returns 421 with the leader's name, if it is known.
     [[nodiscard]] net::Reply redirect() const;
 
     const std::string name_;
--- a/src/controller/cloud_client.hpp
+++ b/src/controller/cloud_client.hpp
@@ -1,4 +1,4 @@
-// Client of the cloud's API. Only the leader calls it; its loops share one rate.
+// Client of the cloud's API. Only the leader uses it; its loops share one rate limit.
 #pragma once
 
 #include <memory>
@@ -9,14 +9,15 @@
 
 namespace pineroad::controller {
 
-// Sends requests to the cloud and keeps to their rate.
+// Sends requests to the cloud within its rate limit.
 class CloudClient {
    public:
-    // `requests_per_s`: of which cloud_share is used.
+    // `requests_per_s` is the cloud's rate limit, of which cloud_share is used.
     CloudClient(std::unique_ptr<net::Client> client, double requests_per_s);
-    // Waits until the next request may be sent, and takes that turn.
+    // Waits until the next request may be sent, and reserves that slot.
     net::awaitable<void> wait_for_rate_limit();
-    // The answer, or nothing within cloud_timeout_s: then the request may have been executed.
+    // Returns the answer, or nothing if none arrived within cloud_timeout_s. In that case the request may
+    // have been executed.
     net::awaitable<std::optional<net::Reply>> request(std::string method, std::string target,
                                                       std::string body = {});
 
--- a/src/controller/commit_loop.cpp
+++ b/src/controller/commit_loop.cpp
@@ -21,9 +21,9 @@
 using store::steady_now_s;
 
 namespace {
-constexpr double wait_margin_s = 0.005;         // added to a wait, so that it need not be repeated
-constexpr double lease_unproven_retry_s = 0.1;  // between looks whether the lease is provable again
-constexpr double max_idle_wait_s = 0.5;         // for something to commit
+constexpr double wait_margin_s = 0.005;         // added to each wait, so that it need not be repeated
+constexpr double lease_unproven_retry_s = 0.1;  // between checks whether the lease is valid again
+constexpr double max_idle_wait_s = 0.5;         // longest wait for changes to commit
 }  // namespace
 
 CommitLoop::CommitLoop(const config::Settings& settings, store::StoreClient& store,
@@ -44,7 +44,7 @@
             co_await sleep_for(lease_unproven_retry_s);
             continue;
         }
-        // No more at once than the budget holds: a debt would make the next starts wait.
+        // A batch never exceeds the available write budget: a deficit would delay the next task starts.
         const auto batch = cluster_state.write_due()
                                ? cluster_state.next_write_batch(leader->writes.available(steady_now_s()))
                                : std::nullopt;
@@ -60,8 +60,7 @@
     }
 }
 
-// Sends one batch until its outcome is known: a transaction that got no answer is settled before anything
-// else is committed.
+// The outcome of a transaction that got no answer is determined before anything else is committed.
 net::awaitable<void> CommitLoop::commit(std::shared_ptr<cluster::LeaderTerm> leader,
                                         const cluster::WriteBatch& batch) {
     const auto body = wire::commit_request(batch.txn);
@@ -72,7 +71,7 @@
         if (leader->term->ended()) break;
         if (result.status == CommitStatus::unanswered) uncertain = true;
         if (co_await handle_result(*leader, batch, result, uncertain) == RetryDecision::done) break;
-        co_await sleep_for(c::store_retry_s);  // a refused connection answers at once
+        co_await sleep_for(c::store_retry_s);  // a refused connection fails immediately
     }
 }
 
@@ -96,7 +95,7 @@
             leader.writes.refused();
             co_return RetryDecision::retry;
         case CommitStatus::unavailable:
-        case CommitStatus::unanswered:  // the same again: at most one copy can be applied
+        case CommitStatus::unanswered:  // send it again: at most one copy can be applied
             break;
     }
     co_return RetryDecision::retry;
@@ -113,7 +112,7 @@
         co_return RetryDecision::done;
     }
     if (!uncertain) {
-        // A user's cancellation came first; the watch tells which.
+        // A user's cancellation was committed first; the watch reports which one.
         co_await linearizable_read_.catch_up();
         co_return RetryDecision::done;
     }
@@ -133,8 +132,9 @@
     co_return RetryDecision::done;
 }
 
-// The batch was applied by an earlier copy, or lost against a cancellation. All or nothing was applied, so
-// one record tells: a written one holds our value; a removed one (only the leader removes these) is absent.
+// Either an earlier copy of the batch was applied, or a cancellation was committed first. Transactions are
+// atomic, so one record is sufficient: if the batch was applied, a record that it wrote holds its value, and
+// a record that it removed (only the leader removes these) is absent.
 net::awaitable<CommitLoop::ReadBackResult> CommitLoop::read_back(const cluster::WriteBatch& batch) {
     const auto& changes = batch.txn.changes;
     const auto written = std::find_if(changes.begin(), changes.end(),
@@ -148,14 +148,15 @@
     co_return ReadBackResult{BatchState::applied, read.row ? read.row->mod_revision : 0};
 }
 
-// The same transaction is never sent again: an earlier copy may have been applied, or the limits are lower
-// than was announced.
+// The transaction is never sent again: either an earlier copy of it may have been applied, or the limits of
+// the store are lower than announced.
 void CommitLoop::handle_malformed(cluster::LeaderTerm& leader, const std::string& answer, bool uncertain) {
-    spdlog::error("a commit was refused as malformed: {}", answer);
+    spdlog::error("the store rejected a commit as malformed: {}", answer);
     if (uncertain || !leader.cluster_state.reject_write_batch()) leader.term->end(EndReason::commit_refused);
 }
 
-// Jobs that ended are known here at once, not only by the watch: others may wait for them.
+// Records the outcomes of ended jobs immediately instead of waiting for the watch, because other jobs may
+// wait for them.
 void CommitLoop::apply(cluster::LeaderTerm& leader, const cluster::WriteBatch& batch,
                        std::uint64_t revision) {
     leader.cluster_state.apply_commit(batch, revision, steady_now_s(), net::Clock::wall_ms());
--- a/src/controller/commit_loop.hpp
+++ b/src/controller/commit_loop.hpp
@@ -1,5 +1,6 @@
-// Commits the leader's state to the store: one compare-and-swap transaction at a time, each conditional on
-// the leader record and on every record's own revision, so that a copy applied late finds them changed.
+// Commits the leader's state to the store, one compare-and-swap transaction at a time. Each is conditional on
+// the leader record and on the revision of every record that it changes, so that the store rejects a late
+// copy.
 #pragma once
 
 #include <cstdint>
@@ -16,44 +17,45 @@
 
 namespace pineroad::controller {
 
-// Commits write batches, one after the other.
+// Commits write batches, one at a time.
 class CommitLoop {
    public:
     // All of these must outlive the object.
     CommitLoop(const config::Settings& settings, store::StoreClient& store,
                store::LinearizableRead& linearizable_read, store::WatchCache& watch_cache);
-    // Commits what is due until the term is over.
+    // Commits pending changes until the term has ended.
     net::awaitable<void> run(std::shared_ptr<cluster::LeaderTerm> leader);
 
    private:
-    // What an answer of the store means for the batch.
+    // How to continue after an answer of the store to a batch.
     enum class RetryDecision {
-        done,  // it was applied, or never will be; or the term is over
-        retry  // the same transaction is to be sent again
+        done,  // the batch was applied or never will be, or the term has ended
+        retry  // the same transaction must be sent again
     };
-    // Whether a batch of which a copy may have been applied was applied.
+    // Whether a batch of uncertain outcome was applied.
     enum class BatchState { applied, not_applied, undetermined };
-    // What reading one of its records back told.
+    // Result of reading back one record of a batch.
     struct ReadBackResult {
         BatchState state = BatchState::undetermined;
-        std::uint64_t revision = 0;  // of the record, if applied; 0: it was removed
+        std::uint64_t revision = 0;  // of the record if the batch was applied; 0 if the batch removed it
     };
 
-    // Sends a batch until it is settled.
+    // Sends a batch until its outcome is known.
     net::awaitable<void> commit(std::shared_ptr<cluster::LeaderTerm> leader,
                                 const cluster::WriteBatch& batch);
-    // Acts on the answer to a batch. `uncertain`: an earlier copy may have been applied.
+    // Handles the answer to a batch. `uncertain` means that an earlier copy of the batch may have been
+    // applied.
     net::awaitable<RetryDecision> handle_result(cluster::LeaderTerm& leader, const cluster::WriteBatch& batch,
                                                 const store::CommitResult& result, bool uncertain);
-    // Acts on an answer by which a condition did not hold.
+    // Handles an answer that reports failed conditions.
     net::awaitable<RetryDecision> handle_conflict(cluster::LeaderTerm& leader,
                                                   const cluster::WriteBatch& batch, const std::string& answer,
                                                   bool uncertain);
-    // Finds out whether a batch was applied.
+    // Determines whether a batch was applied, by reading one of its records.
     net::awaitable<ReadBackResult> read_back(const cluster::WriteBatch& batch);
-    // Acts on an answer by which the batch is malformed.
+    // Handles an answer that rejects the batch as malformed.
     void handle_malformed(cluster::LeaderTerm& leader, const std::string& answer, bool uncertain);
-    // The batch is durable.
+    // Applies a committed batch to the cluster state and records the outcomes of jobs in the watch cache.
     void apply(cluster::LeaderTerm& leader, const cluster::WriteBatch& batch, std::uint64_t revision);
 
     const config::Settings& settings_;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -40,8 +40,8 @@
 
 namespace {
 
-// Heartbeats and health checks have priority: at the limit users are told to come back, and the connection
-// that they are told on ends, so that the balancer can take them to another controller.
+// Heartbeats and health checks have priority. At the connection limit users are asked to retry later and
+// their connection is closed, so that the balancer can route them to another controller.
 net::HttpServer::Limits public_server_limits(const config::Settings& settings,
                                              const net::SocketBudget& sockets,
                                              api::LoadShedding& load_shedding) {
@@ -69,7 +69,7 @@
 
 }  // namespace
 
-// Each part is built from those before it.
+// Each component depends only on those declared before it.
 struct Controller::Components {
     Components(net::asio::io_context& executor_context, const config::Settings& platform_settings,
                const config::Tuning& operators_tuning, net::Connect connect_to, std::uint64_t seed,
@@ -163,7 +163,7 @@
     components_->public_server.start();
     components_->peer_server.start();
     const auto& settings = components_->settings;
-    spdlog::info("{} serves users and workers on {}, controllers on {}", settings.name,
+    spdlog::info("{} listens on {} for users and workers, on {} for peers", settings.name,
                  settings.public_endpoint.text(), settings.peer_endpoint.text());
     run_loops();
 }
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -1,5 +1,5 @@
-// One controller: wires its parts together, serves users, workers and peers, and owns the lifetime of the
-// loops that bring what is into line with what is wanted.
+// One controller: connects its components, serves users, workers and peers, and owns the control loops that
+// reconcile the actual state of the cluster with the desired state.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,28 +13,28 @@
 
 namespace pineroad::controller {
 
-// A controller of the platform.
+// A controller of the cluster.
 class Controller {
    public:
-    // `connect` makes the clients of all others, `seed` determines every random choice, and `record_format`
-    // is the latest that this process is to read.
+    // `connect` creates the HTTP clients, `seed` determines every random choice, and `record_format` is the
+    // latest format of stored records that this process reads.
     Controller(net::asio::io_context& io, const config::Settings& settings, const config::Tuning& tuning,
                net::Connect connect, std::uint64_t seed, std::uint64_t record_format = wire::records::format);
     ~Controller();
     Controller(const Controller&) = delete;
     Controller& operator=(const Controller&) = delete;
 
-    // Starts the servers and the loops. Throws when an address can't be bound.
+    // Starts the servers and the loops. Throws if an address can't be bound.
     void start();
-    // Starts the loops alone: requests come by front() and mesh().
+    // Starts only the loops; requests are passed to handle_public_request() and handle_peer_request().
     void run_loops();
-    // Answers a request of a user or a worker.
+    // Handles a request from a user or a worker.
     net::awaitable<net::Reply> handle_public_request(net::Request request);
-    // Answers a request of a peer.
+    // Handles a request from a peer.
     net::awaitable<net::Reply> handle_peer_request(net::Request request);
 
    private:
-    // All parts of a controller.
+    // All components of a controller.
     struct Components;
     std::unique_ptr<Components> components_;
 };
--- a/src/controller/direct_command_dispatcher.cpp
+++ b/src/controller/direct_command_dispatcher.cpp
@@ -20,7 +20,8 @@
 
 namespace {
 
-// Whether the commands let a task save its state. Its gang waits for it for gang_failure_detection_s only.
+// Returns whether the commands give a task time to save its state. Such commands are urgent: the task's gang
+// waits for it for gang_failure_detection_s only.
 bool has_grace_period(const cluster::DirectCommands& commands) {
     return std::any_of(commands.commands.begin(), commands.commands.end(),
                        [](const model::Command& command) { return command.grace_s > 0; });
@@ -28,7 +29,8 @@
 
 }  // namespace
 
-// Commands that have waited longer than a gang does and a heartbeat takes are left to the responses.
+// Commands that were queued for longer than a gang waits plus a heartbeat period are dropped: the heartbeat
+// responses carry them.
 DirectCommandDispatcher::DirectCommandDispatcher(std::shared_ptr<leadership::Term> term,
                                                  const Dependencies& dependencies)
     : term_(std::move(term)),
@@ -49,8 +51,8 @@
     send_queued();
 }
 
-// A stop needs no lease: it carries the fencing token and the agent epoch, and ends only what has to end.
-// Without the store these are the tasks of cancelled jobs.
+// A stop requires no valid lease: it carries the fencing token and the agent epoch, and stops only tasks that
+// must stop in any case. While the store is unreachable these are the tasks of cancelled jobs.
 void DirectCommandDispatcher::send_queued() {
     if (term_->ended()) queue_.clear();
     while (!queue_.empty() && in_flight_ < dependencies_.max_in_flight) {
--- a/src/controller/direct_command_dispatcher.hpp
+++ b/src/controller/direct_command_dispatcher.hpp
@@ -1,5 +1,5 @@
-// Sends stops straight to workers; the same stop follows in the next responses until a heartbeat shows it
-// done.
+// Sends stop commands directly to workers. The same stop is repeated in the following heartbeat responses
+// until a heartbeat confirms it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,36 +16,37 @@
 
 namespace pineroad::controller {
 
-// Only so many commands at once are on their way: a planning round that stops hundreds of tasks, or hundreds
-// of machines that hang, must not take the sockets that workers send heartbeats over.
+// Sends direct commands, with a limit on concurrent requests: a planning round that stops hundreds of tasks,
+// or hundreds of machines that do not answer, must not use up the sockets that workers need for heartbeats.
 class DirectCommandDispatcher : public std::enable_shared_from_this<DirectCommandDispatcher> {
    public:
-    // What the dispatcher works with; all of it must outlive the dispatcher.
+    // References and limits that the dispatcher uses. All references must outlive it.
     struct Dependencies {
         net::asio::io_context& io;
         const net::Connect& connect;
         const config::Settings& settings;
-        std::size_t max_in_flight;  // machines
+        std::size_t max_in_flight;  // concurrent requests, one per machine
     };
-    // Of one term. The object must be owned by a shared_ptr: what is on its way keeps it alive.
+    // Dispatches the commands of one term. The object must be owned by a shared_ptr: requests in flight keep
+    // it alive.
     DirectCommandDispatcher(std::shared_ptr<leadership::Term> term, const Dependencies& dependencies);
 
-    // Queues the commands and sends as many as possible. Those with a grace period go first.
+    // Queues the commands and sends as many as the limit allows. Commands with a grace period go first.
     void dispatch(std::vector<cluster::DirectCommands> commands);
 
    private:
-    // Commands to one machine, and when they were decided.
+    // Commands to one machine, and when they were queued.
     struct QueuedCommands {
         double queued_at = 0;
         cluster::DirectCommands commands;
     };
-    // Sends what is queued while there is room; drops what has waited too long.
+    // Sends queued commands up to the concurrency limit; drops those that have waited too long.
     void send_queued();
-    // Sends to one worker, and then what waited for that. `self` keeps the dispatcher alive.
+    // Sends commands to one worker, then continues with the queue. `self` keeps the dispatcher alive.
     net::awaitable<void> send(std::shared_ptr<DirectCommandDispatcher> self,
                               std::unique_ptr<net::ScopedCount> in_flight_count,
                               cluster::DirectCommands commands);
-    // Throws if the worker's address can't be used.
+    // Sends commands to one worker. Throws if the worker's address is invalid.
     net::awaitable<void> send_to_worker(const cluster::DirectCommands& commands);
 
     const std::shared_ptr<leadership::Term> term_;
--- a/src/controller/format_loop.cpp
+++ b/src/controller/format_loop.cpp
@@ -22,7 +22,7 @@
       watch_cache_(watch_cache),
       record_format_(record_format) {}
 
-// A process that was replaced never comes back as the earlier version, so the list only grows.
+// A controller that was upgraded never returns to an earlier version, so the list only grows.
 net::awaitable<void> FormatLoop::run(std::shared_ptr<cluster::LeaderTerm> leader) {
     if (!record_format_.reads_present_format()) co_return;
     const auto& term = *leader->term;
--- a/src/controller/format_loop.hpp
+++ b/src/controller/format_loop.hpp
@@ -1,4 +1,4 @@
-// Records in the store which controllers read the present record format, until all of them do.
+// Records in the store which controllers read the current record format, until all of them do.
 #pragma once
 
 #include <memory>
@@ -14,17 +14,18 @@
 
 namespace pineroad::controller {
 
-// Writes the record of format readers.
+// Maintains the record of the controllers that read the current format.
 class FormatLoop {
    public:
     // All of these must outlive the object.
     FormatLoop(store::StoreClient& store, store::LinearizableRead& linearizable_read,
                const store::WatchCache& watch_cache, const peers::RecordFormat& record_format);
-    // Runs until all read it or the term is over; at once if this process itself does not read it.
+    // Runs until all controllers read the format or the term has ended. Returns immediately if this process
+    // itself does not read it.
     net::awaitable<void> run(std::shared_ptr<cluster::LeaderTerm> leader);
 
    private:
-    // Writes these readers, and brings the watch cache up to that.
+    // Writes the given readers to the store, then brings the watch cache up to date.
     net::awaitable<void> record_readers(const leadership::Term& term, std::set<std::string> readers);
 
     store::StoreClient& store_;
--- a/src/controller/leader_loops.cpp
+++ b/src/controller/leader_loops.cpp
@@ -37,8 +37,8 @@
     return true;
 }
 
-// Cancellations that a peer named since the watch cache was last current count too: the lease guard's proof
-// rests on them. False: some of these may have been forgotten.
+// Also applies the cancellations that peers reported after the revision of the watch cache, because the lease
+// guard counts them as known. Returns false if the log may already have dropped some of them.
 bool LeaderLoops::load_cluster_state(cluster::ClusterState& cluster_state) {
     const auto& watch_cache = dependencies_.watch_cache;
     cluster_state.load(watch_cache, steady_now_s(), net::Clock::wall_ms());
@@ -48,7 +48,7 @@
     return true;
 }
 
-// The callbacks refer to the term; finish() removes them before it can go.
+// The callbacks capture the term by reference; end_term() removes them before the term can be destroyed.
 void LeaderLoops::subscribe_to_watch_cache(cluster::LeaderTerm& leader) {
     auto& watch_cache = dependencies_.watch_cache;
     watch_cache.on_job = [&leader](const model::JobSpec& spec, std::uint64_t mod_revision) {
@@ -57,7 +57,7 @@
         leader.term->plan_due.notify();
     };
     watch_cache.on_cancelled = [&leader](const std::string& id, bool fresh) {
-        // A job that this term itself ended has left the cluster state.
+        // A job that this term ended itself is no longer in the cluster state.
         const bool by_user = leader.cluster_state.jobs().contains(id);
         leader.cluster_state.job_cancelled(id, steady_now_s());
         if (fresh && by_user) leader.writes.record_writes_of_others(2);
--- a/src/controller/leader_loops.hpp
+++ b/src/controller/leader_loops.hpp
@@ -1,4 +1,4 @@
-// The work of the leader: builds the state of a term and runs its loops.
+// Builds the leader's state for a term and runs the leader's loops.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -27,10 +27,10 @@
 
 namespace pineroad::controller {
 
-// Owns the loops of the leader and the term that they work for.
+// Owns the leader's loops and the term that they run for.
 class LeaderLoops final : public leadership::LeaderDelegate {
    public:
-    // What the loops work with; all of it must outlive the object.
+    // References and limits that the loops use. All references must outlive the object.
     struct Dependencies {
         net::asio::io_context& io;
         const config::Settings& settings;
@@ -44,26 +44,27 @@
         const peers::RecordFormat& record_format;
         const api::EventLoopLagMonitor& event_loop_lag;
     };
-    // Starts nothing.
+    // Constructs the loops without starting them.
     explicit LeaderLoops(const Dependencies& dependencies);
 
-    // The term that is prepared or under way; null: none.
+    // Returns the term that is prepared or running; null if there is none.
     [[nodiscard]] const std::shared_ptr<cluster::LeaderTerm>& active_term() const { return active_term_; }
 
     // --- leadership::LeaderDelegate ---
-    // Loads the cluster state; from then on it follows the watch cache.
+    // Loads the cluster state, which follows the watch cache from then on.
     bool prepare(const std::shared_ptr<leadership::Term>& term) override;
     // Spawns the loops.
     void start_term() override;
-    // Seconds on the steady clock.
+    // Returns when the latest heartbeat was applied (seconds, steady clock).
     [[nodiscard]] double last_heartbeat() const override;
-    // Detaches the cluster state from the watch cache. The loops end by themselves.
+    // Detaches the cluster state from the watch cache. The loops return by themselves once the term has
+    // ended.
     void end_term() override;
 
    private:
-    // Loads the cluster state from the watch cache.
+    // Loads the cluster state from the watch cache. Returns false if cancellations may be missing.
     [[nodiscard]] bool load_cluster_state(cluster::ClusterState& cluster_state);
-    // Passes changes of the watch cache on to the cluster state.
+    // Forwards changes of the watch cache to the cluster state.
     void subscribe_to_watch_cache(cluster::LeaderTerm& leader);
 
     const Dependencies dependencies_;
--- a/src/controller/planning_loop.cpp
+++ b/src/controller/planning_loop.cpp
@@ -19,8 +19,8 @@
       record_format_(record_format),
       event_loop_lag_(event_loop_lag) {}
 
-// One plan for all heartbeats since the last: a plan for each would cost more than the share of a processor
-// holds once hundreds of machines send one every second.
+// One round covers all heartbeats since the previous round: with one round per heartbeat, hundreds of
+// machines that each send a heartbeat every second would exceed the controller's share of a processor.
 net::awaitable<void> PlanningLoop::run(std::shared_ptr<cluster::LeaderTerm> leader,
                                        std::shared_ptr<DirectCommandDispatcher> dispatcher) {
     bool lease_was_provable = true;
@@ -37,8 +37,8 @@
     auto& cluster_state = leader.cluster_state;
     if (record_format_.agreed()) cluster_state.allow_sharding();
     if (term.may_start_tasks()) {
-        // Without the lease this leader may have been cut off: that a machine was silent meanwhile says
-        // nothing of the machine.
+        // Without a valid lease this leader may have been partitioned: the silence of a machine during that
+        // time does not indicate that the machine has failed.
         if (!std::exchange(lease_was_provable, true)) cluster_state.restart_silence_timers(steady_now_s());
         cluster_state.detect_failures(steady_now_s());
         cluster_state.plan(steady_now_s(), net::Clock::wall_ms(),
--- a/src/controller/planning_loop.hpp
+++ b/src/controller/planning_loop.hpp
@@ -1,4 +1,4 @@
-// Plans placements, preemption and scaling from time to time, and detects failures.
+// Periodically plans placements, preemption and scaling, and detects failures.
 #pragma once
 
 #include <memory>
@@ -19,12 +19,13 @@
     // All of these must outlive the object.
     PlanningLoop(const config::Settings& settings, const store::WatchCache& watch_cache,
                  const peers::RecordFormat& record_format, const api::EventLoopLagMonitor& event_loop_lag);
-    // Plans until the term is over.
+    // Runs planning rounds until the term has ended.
     net::awaitable<void> run(std::shared_ptr<cluster::LeaderTerm> leader,
                              std::shared_ptr<DirectCommandDispatcher> dispatcher);
 
    private:
-    // `lease_was_provable`: at the last call; updated.
+    // Runs one planning round. `lease_was_provable` tells whether the lease was provably valid at the
+    // previous call, and is updated.
     void plan(cluster::LeaderTerm& leader, DirectCommandDispatcher& dispatcher, bool& lease_was_provable);
 
     const config::Settings& settings_;
--- a/src/controller/provisioning_loops.cpp
+++ b/src/controller/provisioning_loops.cpp
@@ -17,11 +17,12 @@
 
 namespace {
 
-constexpr double retry_delay_s = 1.0;    // after a request that failed
-constexpr double max_idle_wait_s = 0.5;  // for something to request or to release
+constexpr double retry_delay_s = 1.0;    // after a failed request
+constexpr double max_idle_wait_s = 0.5;  // longest wait for machines to request or to release
 constexpr int machines_per_page = 500;
 
-// The cloud will not provide these machines: for want of capacity, or since the request is malformed.
+// Returns whether the cloud will not provide these machines, because it has no capacity or the request is
+// malformed.
 bool is_refusal(const net::Reply& reply) {
     const bool no_capacity = reply.status == 503 && reply.body.find("no capacity") != std::string::npos;
     return no_capacity || reply.status == 400;
@@ -38,7 +39,7 @@
         const auto document = reply && reply->status == 200 ? wire::parse_json(reply->body) : std::nullopt;
         const auto types = document ? wire::parse_machine_types(*document) : std::nullopt;
         if (types && leader->cluster_state.set_machine_types(*types)) {
-            spdlog::info("{} machine types known", types->size());
+            spdlog::info("loaded {} machine types", types->size());
             term.commit_due.notify();
         }
         co_await sleep_for(types ? c::machine_types_period_s : retry_delay_s);
@@ -81,7 +82,8 @@
             continue;
         }
         co_await cloud_.wait_for_rate_limit();
-        // Asked anew after every wait: a process that stood still meanwhile holds no term any more.
+        // Checked after every wait: if the process was suspended during the wait, it may no longer hold the
+        // term.
         const auto request =
             term.may_start_tasks() ? cluster_state.next_provisioning_request() : std::nullopt;
         if (!request) continue;
@@ -95,7 +97,8 @@
         } else if (reply && is_refusal(*reply)) {
             cluster_state.provisioning_refused(request->name, steady_now_s());
         } else {
-            // No answer, 429 or an outage: the same name again, under which machines are provided only once.
+            // No answer, 429 or an outage: retry under the same name, for which the cloud provides machines
+            // only once.
             cluster_state.provisioning_unanswered(request->name);
             co_await sleep_for(retry_delay_s);
         }
@@ -112,7 +115,8 @@
             continue;
         }
         co_await cloud_.wait_for_rate_limit();
-        // A leader that stood still while it waited would delete machines that the next one has found alive.
+        // Checked after every wait: a leader that was suspended would release machines that the next leader
+        // has found alive.
         const auto machines = term.may_start_tasks() ? cluster_state.machines_to_release(steady_now_s())
                                                      : std::vector<std::string>{};
         if (machines.empty()) continue;
--- a/src/controller/provisioning_loops.hpp
+++ b/src/controller/provisioning_loops.hpp
@@ -1,4 +1,5 @@
-// The leader's loops that face the cloud: which machine types and machines there are, scaling out and in.
+// Loops of the leader that call the cloud: they read the machine types and the list of machines, scale out
+// and scale in.
 #pragma once
 
 #include <memory>
@@ -12,24 +13,24 @@
 
 namespace pineroad::controller {
 
-// One function for each loop.
+// Provisions and releases machines; each public function is one loop.
 class ProvisioningLoops {
    public:
     // The client must outlive the object.
     explicit ProvisioningLoops(CloudClient& cloud) : cloud_(cloud) {}
 
-    // Each of these runs until the term is over.
+    // Each loop runs until the term has ended.
     // Reads the machine types every machine_types_period_s.
     net::awaitable<void> poll_machine_types(std::shared_ptr<cluster::LeaderTerm> leader);
     // Reads the list of machines every list_period_s.
     net::awaitable<void> poll_machine_list(std::shared_ptr<cluster::LeaderTerm> leader);
-    // Requests machines under names that are durable.
+    // Sends provisioning requests whose names are already durable.
     net::awaitable<void> scale_out(std::shared_ptr<cluster::LeaderTerm> leader);
-    // Releases machines that are not needed.
+    // Releases machines that are no longer needed.
     net::awaitable<void> scale_in(std::shared_ptr<cluster::LeaderTerm> leader);
 
    private:
-    // All pages of the list; nothing if one could not be read.
+    // Returns the machines on all pages of the list, or nothing if a page could not be read.
     net::awaitable<std::optional<std::vector<model::ListedMachine>>> list_machines(
         const leadership::Term& term);
 
--- a/src/controller/spawn.hpp
+++ b/src/controller/spawn.hpp
@@ -10,8 +10,8 @@
 
 namespace pineroad::controller {
 
-// Starts a loop that must not fail. One that throws is a defect: better a restart than a controller of which
-// a part stands still, so the exception ends the process.
+// Starts a loop that must not fail. An exception that leaves the loop is a bug and ends the process: a
+// restart is better than a controller that keeps running without one of its loops.
 inline void spawn(net::asio::io_context& io, net::awaitable<void> loop) {
     net::asio::co_spawn(io, std::move(loop), [](const std::exception_ptr& error) {
         if (error) std::rethrow_exception(error);
--- a/src/leadership/election.cpp
+++ b/src/leadership/election.cpp
@@ -53,7 +53,8 @@
         co_await state_.changed().wait(1.0);
         co_return;
     }
-    // This controller's own earlier process: it has ended, so its lease may end too.
+    // An earlier process of this controller wrote the leader record. That process has exited, so its lease
+    // can be revoked.
     spdlog::info("ending the lease of this controller's earlier term {}", leader.fencing_token);
     co_await revoke_lease(leader.lease);
     co_await linearizable_read_.catch_up();
@@ -79,7 +80,7 @@
     const double started_at = steady_now_s();
     identity.mod_revision = co_await claim_leadership(identity);
     if (identity.mod_revision == 0) {
-        // Without its lease a late copy of the transaction is refused.
+        // Once the lease is revoked, the store rejects a late copy of the transaction.
         co_await revoke_lease(*lease);
         co_await linearizable_read_.catch_up();
         co_return nullptr;
@@ -88,7 +89,6 @@
     co_return std::make_shared<Term>(identity, started_at, lease_guard_, state_.changed());
 }
 
-// The revision of the leader record, or 0 if another controller holds or may hold it.
 net::awaitable<std::uint64_t> Election::claim_leadership(const TermIdentity& identity) {
     wire::Transaction transaction;
     transaction.conditions = {{std::string(records::leader_key), 0},
@@ -100,7 +100,8 @@
         {std::string(records::term_key), records::term_json(identity.fencing_token), std::nullopt}};
     const auto result = co_await store_.commit(wire::commit_request(transaction), c::commit_timeout_s);
     if (result.status != store::CommitStatus::unanswered) co_return result.revision;
-    // It may have been applied, or may yet be: the key tells, by a nonce that nobody else uses.
+    // The transaction may have been applied, or may still be applied later. The leader record tells, because
+    // the nonce is unique to this term.
     const auto read = co_await store_.read(std::string(records::leader_key));
     const auto leader = read.row ? records::parse_leader(read.row->value) : std::nullopt;
     if (!leader || leader->nonce != identity.nonce) co_return 0;
@@ -108,8 +109,8 @@
 }
 
 net::awaitable<void> Election::lead(std::shared_ptr<Term> term) {
-    // Not awaited in the condition: GCC 12 would lay out the coroutine's frame wrongly, since it guards
-    // virtual calls.
+    // Awaited outside the if condition: GCC 12 lays out the coroutine frame incorrectly when a co_await in a
+    // condition guards virtual calls.
     const bool loaded = co_await load_state(term);
     if (loaded) {
         state_.begin_term(term);
@@ -125,8 +126,8 @@
     co_await linearizable_read_.catch_up();
 }
 
-// The records of earlier terms are final now: their transactions are conditional on a leader record that is
-// gone.
+// The records of earlier terms can no longer change: their transactions are conditional on a leader record
+// that no longer exists.
 net::awaitable<bool> Election::load_state(std::shared_ptr<Term> term) {
     bool current = false;
     while (term->may_start_tasks() && !(current = co_await linearizable_read_.catch_up()))
@@ -159,7 +160,7 @@
     const double now = steady_now_s();
     if (lease_guard_.should_step_down(now, store_.refusal(), peers_.store_contacts()))
         return EndReason::isolated;
-    // Workers reach a peer and not this controller: that peer should lead.
+    // If workers reach a peer but not this controller, that peer should lead.
     const bool without_heartbeats = now - term.started_at() > c::no_heartbeat_step_down_s &&
                                     leader_delegate_.last_heartbeat() < now - c::no_heartbeat_step_down_s;
     if (without_heartbeats && peers_.heartbeats_reach_peer()) return EndReason::no_heartbeats;
--- a/src/leadership/election.hpp
+++ b/src/leadership/election.hpp
@@ -1,5 +1,5 @@
-// Elections: a term is a fencing token that only ever grows, won by a compare-and-swap on the leader record
-// and held by a lease of the store.
+// Leader election. Each term has a fencing token, which increases monotonically. A controller wins a term by
+// a compare-and-swap on the leader record and holds it with a lease in the store.
 #pragma once
 
 #include <cstdint>
@@ -19,35 +19,35 @@
 
 namespace pineroad::leadership {
 
-// What the peers last said of themselves.
+// What this controller's peers last reported.
 class PeerView {
    public:
     virtual ~PeerView() = default;
-    // Their contact with the store, one entry for each peer.
+    // Returns each peer's contact with the store, one entry per peer.
     [[nodiscard]] virtual std::vector<PeerStoreContact> store_contacts() const = 0;
-    // Whether workers' heartbeats lately reached some peer.
+    // Returns whether any peer has recently received heartbeats from workers.
     [[nodiscard]] virtual bool heartbeats_reach_peer() const = 0;
 };
 
-// The work of a leader; the election tells it when to begin and to end.
+// Work that a controller does while it leads. The election calls this interface when a term begins and ends.
 class LeaderDelegate {
    public:
     virtual ~LeaderDelegate() = default;
     // Builds the leader's state from the watch cache, which holds everything that earlier terms committed.
-    // False: the cache does not hold all that the state needs.
+    // Returns false if the cache does not hold all the data that the state needs.
     virtual bool prepare(const std::shared_ptr<Term>& term) = 0;
-    // Starts the loops of the term that was prepared.
+    // Starts the loops of the prepared term.
     virtual void start_term() = 0;
-    // When the latest heartbeat was applied in the present term (seconds, steady clock).
+    // Returns when the latest heartbeat of the current term was applied (seconds, steady clock).
     [[nodiscard]] virtual double last_heartbeat() const = 0;
-    // The term is over, or its preparation failed.
+    // Called when the term has ended or its preparation has failed.
     virtual void end_term() = 0;
 };
 
-// Wins terms for this controller and keeps them.
+// Wins terms for this controller and renews the lease of the current one.
 class Election {
    public:
-    // What an election works with; all of it must outlive the election.
+    // References that the election uses. All of them must outlive it.
     struct Dependencies {
         store::StoreClient& store;
         store::WatchCache& watch_cache;
@@ -60,25 +60,27 @@
     };
     // `name` is this controller's name in the settings.
     Election(std::string name, const Dependencies& dependencies);
-    // Stands for election whenever there is no leader, and leads when elected. Never returns.
+    // Campaigns whenever there is no leader, and leads when elected. Never returns.
     net::awaitable<void> run();
 
    private:
-    // Waits while there is a leader; ends the lease of an earlier process of this controller.
+    // Waits while there is a leader. If the leader record was written by an earlier process of this
+    // controller, revokes the lease of that process.
     net::awaitable<void> follow();
-    // The term, or null if it was not won.
+    // Tries to win a new term. Returns null if the term was not won.
     net::awaitable<std::shared_ptr<Term>> campaign();
-    // Writes the leader record. Its revision, or 0 if it may be of another controller.
+    // Writes the leader record. Returns its revision, or 0 if another controller holds, or may hold, the
+    // leadership.
     net::awaitable<std::uint64_t> claim_leadership(const TermIdentity& identity);
-    // From the won term to its end.
+    // Runs a won term until it ends.
     net::awaitable<void> lead(std::shared_ptr<Term> term);
-    // False: the term ended before, or the state could not be built.
+    // Loads the leader's state. Returns false if the term ended first or the state could not be built.
     net::awaitable<bool> load_state(std::shared_ptr<Term> term);
-    // Renews the lease until the term is over.
+    // Renews the lease until the term has ended, and ends the term when this controller has to step down.
     net::awaitable<void> renew_lease(std::shared_ptr<Term> term);
-    // Nothing: the term goes on.
+    // Returns why the term must end, or nothing if it may continue.
     [[nodiscard]] std::optional<EndReason> step_down_reason(const Term& term) const;
-    // Ends a lease before it expires.
+    // Revokes a lease before it expires.
     net::awaitable<void> revoke_lease(std::uint64_t lease);
 
     const std::string name_;
--- a/src/leadership/leadership_state.hpp
+++ b/src/leadership/leadership_state.hpp
@@ -1,5 +1,5 @@
-// What this controller knows of leadership: its own term, if it holds one, and the latest term of any
-// controller that it has seen.
+// What this controller knows about leadership: its own term, if it holds one, and the latest term of any
+// controller that it has observed.
 #pragma once
 
 #include <cstdint>
@@ -13,41 +13,42 @@
 
 namespace pineroad::leadership {
 
-// The present knowledge of who leads.
+// Tracks the current leader.
 class LeadershipState final : public store::WatchCacheObserver {
    public:
-    // The guard must outlive the object.
+    // `lease_guard` must outlive the object.
     explicit LeadershipState(LeaseGuard& lease_guard) : lease_guard_(lease_guard) {}
 
-    // A fencing token was seen, and the controller that holds its term (empty: unknown). A greater one ends
-    // the own term.
+    // Records an observed fencing token and the controller that holds its term (empty: unknown). A token
+    // greater than that of this controller's own term ends that term.
     void observe_token(std::uint64_t fencing_token, const std::string& leader);
-    // The own term begins.
+    // Sets this controller's own term.
     void begin_term(std::shared_ptr<Term> term);
-    // The own term is over and nothing refers to it as the present one any more.
+    // Clears this controller's own term after it has ended.
     void clear_term() { term_.reset(); }
 
-    // The greatest fencing token that was seen.
+    // Returns the greatest fencing token that was observed.
     [[nodiscard]] std::uint64_t highest_token() const { return highest_token_; }
-    // ... or that of the own term, if it is greater.
+    // Returns the greatest fencing token that was observed, or the token of this controller's own active term
+    // if that is greater.
     [[nodiscard]] std::uint64_t advertised_token() const;
-    // Who holds the term of the greatest token; empty: unknown.
+    // Returns the controller that holds the term of the greatest token; empty if it is unknown.
     [[nodiscard]] const std::string& known_leader() const { return known_leader_; }
-    // Notified when the leader's record goes, when a term ends, and when the watch cache was loaded.
+    // Notified when the leader record is removed, when a term ends, and when the watch cache has been loaded.
     net::Notification& changed() { return changed_; }
 
     // --- store::WatchCacheObserver ---
-    // A proof for the lease guard.
+    // Tells the lease guard that all cancellations confirmed before `sent_at` are known.
     void cache_current_at(double sent_at) override { lease_guard_.confirm_cancellations_until(sent_at); }
-    // An election may be held.
+    // Wakes the election.
     void cache_loaded() override { changed_.notify(); }
-    // Ends the own term: its state is built on the cache.
+    // Ends this controller's own term, because its state is built on the cache.
     void cache_lost() override;
-    // Observes its token.
+    // Records the fencing token of the leader record.
     void leader_seen(const wire::records::Leader& leader) override;
-    // Wakes the election or the own term's commits.
+    // Wakes the election if the leader record was removed, and the commit loop of this controller's own term.
     void watch_applied(bool leader_removed) override;
-    // Whether there is an own term.
+    // Returns whether this controller holds a term.
     [[nodiscard]] bool leads() const override { return term_ != nullptr; }
 
    private:
--- a/src/leadership/lease_guard.cpp
+++ b/src/leadership/lease_guard.cpp
@@ -21,10 +21,10 @@
     cancellations_known_until_ = std::max(cancellations_known_until_, sent_at);
 }
 
-// A peer confirms all cancellations that its present process confirmed to users. Those processes began before
-// this controller's last proof, so nothing confirmed since by an earlier process is missing: as good as a
-// proof of the moment the oldest of these messages was sent. A process began, at the latest, when its answer
-// arrived less its uptime, which is by its own clock.
+// Each peer reports all cancellations that its current process confirmed to users. If all these processes
+// started before `cancellations_known_until_`, no earlier process can have confirmed a cancellation since
+// then, and all cancellations are known up to the time when the oldest of these messages was sent. A process
+// started no later than its answer arrived minus its uptime, which the peer measured with its own clock.
 void LeaseGuard::apply_peer_confirmations(const std::vector<PeerConfirmation>& peers) {
     if (peers.empty() || cancellations_known_until_ < 0) return;
     double oldest_request = peers.front().requested_at;
@@ -37,9 +37,10 @@
     confirm_cancellations_until(oldest_request);
 }
 
-// Contact that is only recent proves nothing: in the first seconds of an outage of the whole store, every
-// controller's is (found in a day-long load test: a leader ended its term 4 s into an outage, nobody else
-// could lead, and 3,800 tasks were stopped by the expiry of their workers' leases).
+// A peer's contact with the store proves nothing just because it is recent: in the first seconds of a store
+// outage that is true of every controller. In a day-long load test a leader ended its term 4 s into an outage
+// for this reason; no other controller could lead, and 3,800 tasks were stopped when their workers' leases
+// expired.
 bool LeaseGuard::store_serves_peer(double now, const store::StoreRefusal& own_outage,
                                    const PeerStoreContact& peer) {
     return own_outage.since >= 0 && peer.contacted_at >= now - c::peer_contact_fresh_s &&
@@ -47,12 +48,13 @@
            own_outage.last_sent > peer.contacted_at + c::peer_message_timeout_s;
 }
 
-// Without its lease a leader may answer heartbeats for a while, because in an outage of the store nobody else
-// can lead. Cut off alone, it would keep its workers from the leader that the others elect: it ends its term
-// once a peer was served after this lease must have expired, and soon when no peer answers. A peer served
-// before that proves nothing: where the store refuses the leader alone and then everybody, its lease still
-// lives there and nobody else can lead (found in the operators' day-long test: thousands of tasks were
-// stopped by the expiry of worker leases, since the leader ended its term 3 s into the outage).
+// A leader whose lease may have expired keeps answering heartbeats for a while, because nobody else can lead
+// during a store outage. If it alone is cut off from the store, this would keep its workers from finding the
+// leader that the others elect. It therefore ends its term once the store has served a peer after this lease
+// must have expired, or after isolated_leader_grace_s if no peer answers. A peer that was served before the
+// expiry proves nothing: if the store refuses first the leader and then everybody, the lease is still valid
+// in the store and nobody else can lead. In the operators' day-long test a leader ended its term 3 s into
+// such an outage, and thousands of tasks were stopped when their workers' leases expired.
 bool LeaseGuard::should_step_down(double now, const store::StoreRefusal& own_outage,
                                   const std::vector<PeerStoreContact>& peers) const {
     if (peers.empty() || now < lease_valid_until_) return false;
@@ -67,15 +69,15 @@
     return !any_peer_answers && now > lease_valid_until_ + c::isolated_leader_grace_s;
 }
 
-// A lease alone is not enough: a leader whose watches hang while its renewals are answered would never learn
-// of a cancellation.
+// A valid lease is not sufficient: a leader whose watches hang while its lease renewals succeed would never
+// learn of a cancellation.
 bool LeaseGuard::may_start_tasks(double now) const {
     return now < lease_valid_until_ && may_answer_heartbeats(now);
 }
 
-// Without the lease heartbeats may be answered, so that workers keep their tasks through an outage of the
-// store; but only while a worker whose last answer came now would still stop its tasks in time for a
-// cancellation that is not known here.
+// Heartbeats may be answered without the lease, so that workers keep their tasks through a store outage. This
+// is limited to the time during which a worker that receives its last answer now would still stop its tasks
+// before the timeout of a cancellation that is not known here.
 bool LeaseGuard::may_answer_heartbeats(double now) const {
     return cancellations_known_until_ >= 0 && now < cancellations_known_until_ + disconnected_grace_s_;
 }
--- a/src/leadership/lease_guard.hpp
+++ b/src/leadership/lease_guard.hpp
@@ -1,5 +1,5 @@
-// What this controller can prove about its right to act, from the times its own requests were sent. Pure
-// arithmetic on the steady clock (all times in seconds): docs/safety.md argues from it.
+// Determines what this controller may safely do, from the send times of its own requests. Pure arithmetic on
+// the steady clock (all times in seconds); the argument in docs/safety.md depends on it.
 #pragma once
 
 #include <vector>
@@ -11,41 +11,45 @@
 // A peer's answer to a message that was sent at `requested_at`.
 struct PeerConfirmation {
     double requested_at = -1, answered_at = -1;
-    double uptime_s = 0;  // how long it had been running when it answered
-    // It named every cancellation known to it that this controller's watch cache did not hold.
+    double uptime_s = 0;  // of the peer's process when it answered
+    // Whether the peer reported every cancellation that it knows and this controller's watch cache lacked.
     bool confirms_cancellations = false;
 };
 
-// What a peer last said of its own contact with the store, in answer to a message sent at `contacted_at`.
+// What a peer last reported about its contact with the store, in answer to a message sent at `contacted_at`.
 struct PeerStoreContact {
     double contacted_at = -1, store_contact_age_s = 0;
 };
 
-// Keeps the proofs and decides what they allow.
+// Tracks until when the lease and the knowledge of cancellations are proven valid, and decides what the
+// controller may do.
 class LeaseGuard {
    public:
-    // The settings' time-out of a cancellation and the length of a worker's lease.
+    // Takes the cancellation timeout of the settings and the length of a worker's lease.
     LeaseGuard(double cancellation_timeout_s, double worker_lease_s);
 
-    // The store confirmed the lease in answer to a request sent at `sent_at`: the lease can't expire before
-    // that plus its length.
+    // Records that the store confirmed the lease in answer to a request sent at `sent_at`. The lease can't
+    // expire before that time plus its length.
     void lease_renewed(double sent_at);
-    // A new lease is asked for: nothing is proven for it yet.
+    // Clears the validity of the previous lease when a new one was granted: nothing is proven about the
+    // new lease yet.
     void reset_lease() { lease_valid_until_ = 0; }
-    // Every cancellation confirmed to a user before `sent_at` is known here.
+    // Records that this controller knows every cancellation confirmed to a user before `sent_at`.
     void confirm_cancellations_until(double sent_at);
-    // Counts the latest answers of all peers as such a proof, if they amount to one.
+    // Does the same on the evidence of the latest answers of all peers, if together they are sufficient.
     void apply_peer_confirmations(const std::vector<PeerConfirmation>& peers);
 
-    // The peer was served by the store after this controller was refused, and this one is refused still.
+    // Returns whether the store served the peer after it had begun to refuse this controller, and still
+    // refuses this controller.
     [[nodiscard]] static bool store_serves_peer(double now, const store::StoreRefusal& own_outage,
                                                 const PeerStoreContact& peer);
-    // Whether a leader without a provable lease should end its term, so that its workers find the next one.
+    // Returns whether a leader whose lease may have expired should end its term, so that its workers find the
+    // next leader.
     [[nodiscard]] bool should_step_down(double now, const store::StoreRefusal& own_outage,
                                         const std::vector<PeerStoreContact>& peers) const;
-    // Whether tasks may be started, and whatever else needs the lease.
+    // Returns whether the leader may start tasks and do everything else that requires the lease.
     [[nodiscard]] bool may_start_tasks(double now) const;
-    // Whether heartbeats may be answered, which extends the workers' leases.
+    // Returns whether heartbeats may be answered; each answer extends the lease of a worker.
     [[nodiscard]] bool may_answer_heartbeats(double now) const;
 
    private:
--- a/src/leadership/term.cpp
+++ b/src/leadership/term.cpp
@@ -21,11 +21,11 @@
         case EndReason::no_heartbeats:
             return "workers reach a peer but not this controller";
         case EndReason::commit_unreadable:
-            return "a commit's answer cannot be read";
+            return "the answer to a commit could not be parsed";
         case EndReason::leader_key_removed:
-            return "its leadership key is gone";
+            return "its leader record is gone";
         case EndReason::commit_refused:
-            return "a commit was refused";
+            return "the store rejected a commit as malformed";
     }
     return "unknown";
 }
--- a/src/leadership/term.hpp
+++ b/src/leadership/term.hpp
@@ -1,4 +1,4 @@
-// A term of leadership: who holds it, whether it is over, and the signals that its loops wait for.
+// A leadership term: its identity, whether it has ended, and the notifications that its loops wait for.
 #pragma once
 
 #include <cstdint>
@@ -13,36 +13,37 @@
 
 // Why a term ended.
 enum class EndReason {
-    newer_term,          // a greater fencing token was seen
-    watch_cache_lost,    // the watch cache has to be loaded anew
+    newer_term,          // a greater fencing token was observed
+    watch_cache_lost,    // the watch cache must be reloaded
     state_not_loaded,    // the cluster state could not be read
-    lease_expired,       // the store does not know the lease any more
-    isolated,            // the store refuses this controller alone
+    lease_expired,       // the store no longer knows the lease
+    isolated,            // the store refuses only this controller
     no_heartbeats,       // workers reach a peer but not this controller
-    commit_unreadable,   // a transaction was committed, but at which revision is not known
-    leader_key_removed,  // the leader's record is gone, or is another's
-    commit_refused       // a transaction is refused as malformed, whatever its size
+    commit_unreadable,   // a transaction was committed at an unknown revision
+    leader_key_removed,  // the leader record is gone or belongs to another term
+    commit_refused       // a transaction was rejected as malformed, whatever its size
 };
 
-// The reason in words, for the log.
+// Returns the text of a reason for the log.
 std::string_view to_string(EndReason reason);
 
-// What identifies a term in the store.
+// Identifies a term in the store.
 struct TermIdentity {
     std::uint64_t fencing_token = 0;
     std::uint64_t lease = 0;
-    std::uint64_t nonce = 0;         // random: tells this term's leader record from any other
+    std::uint64_t nonce = 0;         // random; distinguishes this term's leader record from all others
     std::uint64_t mod_revision = 0;  // of the leader record
 };
 
-// Heartbeats whose responses are held back until there is work, by machine: at most one each.
+// Heartbeat responses that are held until there is work for the machine; at most one per machine.
 class HeldResponses {
    public:
-    // Holds the response of a machine's heartbeat; dropped when the object ends. The timer is cancelled when
+    // Registers the held response of one machine for the lifetime of the object. The timer is cancelled when
     // the response should be sent.
     class Hold {
        public:
-        // Wakes an older heartbeat of the machine: nobody waits for its response.
+        // Cancels the timer of an older heartbeat of the machine: the worker no longer waits for its
+        // response.
         Hold(HeldResponses& responses, const std::string& machine, net::Timer& timer);
         ~Hold();
         Hold(const Hold&) = delete;
@@ -53,43 +54,43 @@
         const std::string& machine_;
         net::Timer& timer_;
     };
-    // Wakes the heartbeat of one machine, if it is held.
+    // Releases the held response of one machine, if there is one.
     void release(const std::string& machine);
-    // Wakes all of them.
+    // Releases all held responses.
     void release_all();
 
    private:
     std::map<std::string, net::Timer*> timers_;
 };
 
-// A term that this controller won. Whatever works for it ends once it is over.
+// A term that this controller won. All work for the term stops once it has ended.
 class Term {
    public:
-    // `leadership_changed` is notified when the term ends; it and the guard must outlive the term.
+    // `leadership_changed` is notified when the term ends; it and `lease_guard` must outlive the term.
     Term(TermIdentity identity, double started_at, const LeaseGuard& lease_guard,
          net::Notification& leadership_changed);
 
-    // The token that every command and record of this term carries.
+    // Returns the token that every command and record of this term carries.
     [[nodiscard]] std::uint64_t fencing_token() const { return identity_.fencing_token; }
-    // Its identity in the store.
+    // Returns the identity of the term in the store.
     [[nodiscard]] const TermIdentity& identity() const { return identity_; }
-    // The revision of the leader record as the watch cache holds it.
+    // Sets the revision of the leader record to the one in the watch cache.
     void set_mod_revision(std::uint64_t revision) { identity_.mod_revision = revision; }
-    // When the lease was granted (seconds, steady clock).
+    // Returns when the lease was granted (seconds, steady clock).
     [[nodiscard]] double started_at() const { return started_at_; }
 
-    // Whether the term has ended.
+    // Returns whether the term has ended.
     [[nodiscard]] bool ended() const { return ended_; }
-    // Ends the term and wakes everything that waits within it. Only the first call counts.
+    // Ends the term and wakes everything that waits for its notifications. Only the first call has an effect.
     void end(EndReason reason);
-    // Whether tasks may be started, and whatever else needs the lease.
+    // Returns whether the leader may start tasks and do everything else that requires the lease.
     [[nodiscard]] bool may_start_tasks() const;
-    // Whether heartbeats may be answered.
+    // Returns whether heartbeats may be answered.
     [[nodiscard]] bool may_answer_heartbeats() const;
 
     net::Notification commit_due;   // there may be something to commit
-    net::Notification plan_due;     // something happened that planning should take into account
-    net::Notification scaling_due;  // there may be something to ask of the cloud
+    net::Notification plan_due;     // there is a change that planning should consider
+    net::Notification scaling_due;  // there may be machines to request or to release
     HeldResponses held_responses;
 
    private:
