--- a/src/controller/commit_loop.cpp
+++ b/src/controller/commit_loop.cpp
@@ -103,9 +103,9 @@
 
 net::awaitable<CommitLoop::RetryDecision> CommitLoop::handle_conflict(cluster::LeaderTerm& leader,
                                                                       const cluster::WriteBatch& batch,
-                                                                      const std::string& answer,
+                                                                      const std::string& response_body,
                                                                       bool uncertain) {
-    const auto failed_conditions = wire::parse_failed_conditions(answer);
+    const auto failed_conditions = wire::parse_failed_conditions(response_body);
     if (std::find(failed_conditions.begin(), failed_conditions.end(), records::leader_key) !=
         failed_conditions.end()) {
         leader.term->end(EndReason::leader_key_removed);
@@ -150,8 +150,9 @@
 
 // The transaction is never sent again: either an earlier copy of it may have been applied, or the limits of
 // the store are lower than announced.
-void CommitLoop::handle_malformed(cluster::LeaderTerm& leader, const std::string& answer, bool uncertain) {
-    spdlog::error("the store rejected a commit as malformed: {}", answer);
+void CommitLoop::handle_malformed(cluster::LeaderTerm& leader, const std::string& response_body,
+                                  bool uncertain) {
+    spdlog::error("the store rejected a commit as malformed: {}", response_body);
     if (uncertain || !leader.cluster_state.reject_write_batch()) leader.term->end(EndReason::commit_refused);
 }
 
--- a/src/controller/commit_loop.hpp
+++ b/src/controller/commit_loop.hpp
@@ -49,12 +49,12 @@
                                                 const store::CommitResult& result, bool uncertain);
     // Handles an answer that reports failed conditions.
     net::awaitable<RetryDecision> handle_conflict(cluster::LeaderTerm& leader,
-                                                  const cluster::WriteBatch& batch, const std::string& answer,
-                                                  bool uncertain);
+                                                  const cluster::WriteBatch& batch,
+                                                  const std::string& response_body, bool uncertain);
     // Determines whether a batch was applied, by reading one of its records.
     net::awaitable<ReadBackResult> read_back(const cluster::WriteBatch& batch);
     // Handles an answer that rejects the batch as malformed.
-    void handle_malformed(cluster::LeaderTerm& leader, const std::string& answer, bool uncertain);
+    void handle_malformed(cluster::LeaderTerm& leader, const std::string& response_body, bool uncertain);
     // Applies a committed batch to the cluster state and records the outcomes of jobs in the watch cache.
     void apply(cluster::LeaderTerm& leader, const cluster::WriteBatch& batch, std::uint64_t revision);
 
