--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -60,7 +60,7 @@
     net::awaitable<AdmissionResult> check(const model::JobSpec& spec);
     // Returns an error that asks the user to retry later.
     [[nodiscard]] AdmissionError retry_later_error(std::string_view reason);
-    // Returns the same error with the reason that the store does not answer.
+    // Returns the same error with the reason that the store does not respond.
     [[nodiscard]] AdmissionError store_unavailable() {
         return retry_later_error("state service unavailable");
     }
--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -20,7 +20,7 @@
     done,         // ended
     cancelled,    // ended
     unknown,      // never accepted
-    undetermined  // can't be determined now: the store does not answer
+    undetermined  // can't be determined now: the store does not respond
 };
 
 // Returns the state of a job that ended with this outcome.
--- a/src/api/load_shedding.hpp
+++ b/src/api/load_shedding.hpp
@@ -34,7 +34,7 @@
 
     // Returns a 503 response with Retry-After and the reason.
     net::Reply reject(std::string_view reason);
-    // Returns the rejection used when the store does not answer.
+    // Returns the rejection used when the store does not respond.
     net::Reply reject_unavailable() { return reject("state service unavailable"); }
     // Returns the rejection used when this controller is overloaded.
     net::Reply reject_overloaded();
--- a/src/api/worker_api.hpp
+++ b/src/api/worker_api.hpp
@@ -1,4 +1,4 @@
-// The worker API: heartbeats, which only the leader answers. A response may be held briefly until there is
+// The worker API: heartbeats, which only the leader handles. A response may be held briefly until there is
 // work for the machine.
 #pragma once
 
--- a/src/controller/cloud_client.hpp
+++ b/src/controller/cloud_client.hpp
@@ -16,7 +16,7 @@
     CloudClient(std::unique_ptr<net::Client> client, double requests_per_s);
     // Waits until the next request may be sent, and reserves that slot.
     net::awaitable<void> wait_for_rate_limit();
-    // Returns the answer, or nothing if none arrived within cloud_timeout_s. In that case the request may
+    // Returns the response, or nothing if none arrived within cloud_timeout_s. In that case the request may
     // have been executed.
     net::awaitable<std::optional<net::Reply>> request(std::string method, std::string target,
                                                       std::string body = {});
--- a/src/controller/commit_loop.cpp
+++ b/src/controller/commit_loop.cpp
@@ -60,7 +60,7 @@
     }
 }
 
-// The outcome of a transaction that got no answer is determined before anything else is committed.
+// The outcome of a transaction that got no response is determined before anything else is committed.
 net::awaitable<void> CommitLoop::commit(std::shared_ptr<cluster::LeaderTerm> leader,
                                         const cluster::WriteBatch& batch) {
     const auto body = wire::commit_request(batch.txn);
--- a/src/controller/commit_loop.hpp
+++ b/src/controller/commit_loop.hpp
@@ -27,7 +27,7 @@
     net::awaitable<void> run(std::shared_ptr<cluster::LeaderTerm> leader);
 
    private:
-    // How to continue after an answer of the store to a batch.
+    // How to continue after a response of the store to a batch.
     enum class RetryDecision {
         done,  // the batch was applied or never will be, or the term has ended
         retry  // the same transaction must be sent again
@@ -43,17 +43,17 @@
     // Sends a batch until its outcome is known.
     net::awaitable<void> commit(std::shared_ptr<cluster::LeaderTerm> leader,
                                 const cluster::WriteBatch& batch);
-    // Handles the answer to a batch. `uncertain` means that an earlier copy of the batch may have been
+    // Handles the response to a batch. `uncertain` means that an earlier copy of the batch may have been
     // applied.
     net::awaitable<RetryDecision> handle_result(cluster::LeaderTerm& leader, const cluster::WriteBatch& batch,
                                                 const store::CommitResult& result, bool uncertain);
-    // Handles an answer that reports failed conditions.
+    // Handles a response that reports failed conditions.
     net::awaitable<RetryDecision> handle_conflict(cluster::LeaderTerm& leader,
                                                   const cluster::WriteBatch& batch,
                                                   const std::string& response_body, bool uncertain);
     // Determines whether a batch was applied, by reading one of its records.
     net::awaitable<ReadBackResult> read_back(const cluster::WriteBatch& batch);
-    // Handles an answer that rejects the batch as malformed.
+    // Handles a response that rejects the batch as malformed.
     void handle_malformed(cluster::LeaderTerm& leader, const std::string& response_body, bool uncertain);
     // Applies a committed batch to the cluster state and records the outcomes of jobs in the watch cache.
     void apply(cluster::LeaderTerm& leader, const cluster::WriteBatch& batch, std::uint64_t revision);
--- a/src/controller/direct_command_dispatcher.hpp
+++ b/src/controller/direct_command_dispatcher.hpp
@@ -17,7 +17,7 @@
 namespace pineroad::controller {
 
 // Sends direct commands, with a limit on concurrent requests: a planning round that stops hundreds of tasks,
-// or hundreds of machines that do not answer, must not use up the sockets that workers need for heartbeats.
+// or hundreds of machines that do not respond, must not use up the sockets that workers need for heartbeats.
 class DirectCommandDispatcher : public std::enable_shared_from_this<DirectCommandDispatcher> {
    public:
     // References and limits that the dispatcher uses. All references must outlive it.
--- a/src/controller/provisioning_loops.cpp
+++ b/src/controller/provisioning_loops.cpp
@@ -97,7 +97,7 @@
         } else if (reply && is_refusal(*reply)) {
             cluster_state.provisioning_refused(request->name, steady_now_s());
         } else {
-            // No answer, 429 or an outage: retry under the same name, for which the cloud provides machines
+            // No response, 429 or an outage: retry under the same name, for which the cloud provides machines
             // only once.
             cluster_state.provisioning_unanswered(request->name);
             co_await sleep_for(retry_delay_s);
--- a/src/leadership/lease_guard.cpp
+++ b/src/leadership/lease_guard.cpp
@@ -24,7 +24,7 @@
 // Each peer reports all cancellations that its current process confirmed to users. If all these processes
 // started before `cancellations_known_until_`, no earlier process can have confirmed a cancellation since
 // then, and all cancellations are known up to the time when the oldest of these messages was sent. A process
-// started no later than its answer arrived minus its uptime, which the peer measured with its own clock.
+// started no later than its response arrived minus its uptime, which the peer measured with its own clock.
 void LeaseGuard::apply_peer_confirmations(const std::vector<PeerConfirmation>& peers) {
     if (peers.empty() || cancellations_known_until_ < 0) return;
     double oldest_request = peers.front().requested_at;
@@ -76,7 +76,7 @@
 }
 
 // Heartbeats may be answered without the lease, so that workers keep their tasks through a store outage. This
-// is limited to the time during which a worker that receives its last answer now would still stop its tasks
+// is limited to the time during which a worker that receives its last response now would still stop its tasks
 // before the timeout of a cancellation that is not known here.
 bool LeaseGuard::may_answer_heartbeats(double now) const {
     return cancellations_known_until_ >= 0 && now < cancellations_known_until_ + disconnected_grace_s_;
--- a/src/leadership/lease_guard.hpp
+++ b/src/leadership/lease_guard.hpp
@@ -8,7 +8,7 @@
 
 namespace pineroad::leadership {
 
-// A peer's answer to a message that was sent at `requested_at`.
+// A peer's response to a message that was sent at `requested_at`.
 struct PeerConfirmation {
     double requested_at = -1, answered_at = -1;
     double uptime_s = 0;  // of the peer's process when it answered
@@ -16,7 +16,8 @@
     bool confirms_cancellations = false;
 };
 
-// What a peer last reported about its contact with the store, in answer to a message sent at `contacted_at`.
+// What a peer last reported about its contact with the store, in response to a message sent at
+// `contacted_at`.
 struct PeerStoreContact {
     double contacted_at = -1, store_contact_age_s = 0;
 };
@@ -28,7 +29,7 @@
     // Takes the cancellation timeout of the settings and the length of a worker's lease.
     LeaseGuard(double cancellation_timeout_s, double worker_lease_s);
 
-    // Records that the store confirmed the lease in answer to a request sent at `sent_at`. The lease can't
+    // Records that the store confirmed the lease in response to a request sent at `sent_at`. The lease can't
     // expire before that time plus its length.
     void lease_renewed(double sent_at);
     // Clears the validity of the previous lease when a new one was granted: nothing is proven about the
@@ -36,7 +37,7 @@
     void reset_lease() { lease_valid_until_ = 0; }
     // Records that this controller knows every cancellation confirmed to a user before `sent_at`.
     void confirm_cancellations_until(double sent_at);
-    // Does the same on the evidence of the latest answers of all peers, if together they are sufficient.
+    // Records the same if the latest responses of all peers together prove it.
     void apply_peer_confirmations(const std::vector<PeerConfirmation>& peers);
 
     // Returns whether the store served the peer after it had begun to refuse this controller, and still
@@ -49,7 +50,7 @@
                                         const std::vector<PeerStoreContact>& peers) const;
     // Returns whether the leader may start tasks and do everything else that requires the lease.
     [[nodiscard]] bool may_start_tasks(double now) const;
-    // Returns whether heartbeats may be answered; each answer extends the lease of a worker.
+    // Returns whether heartbeats may be answered; each response extends the lease of a worker.
     [[nodiscard]] bool may_answer_heartbeats(double now) const;
 
    private:
--- a/src/leadership/term.cpp
+++ b/src/leadership/term.cpp
@@ -21,7 +21,7 @@
         case EndReason::no_heartbeats:
             return "workers reach a peer but not this controller";
         case EndReason::commit_unreadable:
-            return "the answer to a commit could not be parsed";
+            return "the response to a commit could not be parsed";
         case EndReason::leader_key_removed:
             return "its leader record is gone";
         case EndReason::commit_refused:
