--- a/src/controller/format_loop.cpp
+++ b/src/controller/format_loop.cpp
@@ -22,20 +22,20 @@
       watch_cache_(watch_cache),
       record_format_(record_format) {}
 
-// A process that was replaced never comes back as the earlier version, so the list only grows.
+// A controller that was upgraded never returns to an earlier version, so the list only grows.
 net::awaitable<void> FormatLoop::run(std::shared_ptr<cluster::LeaderTerm> leader) {
     if (!record_format_.reads_current_format()) co_return;
     const auto& term = *leader->term;
-    while (!term.over() && !record_format_.all_controllers_read_format()) {
+    while (!term.ended() && !record_format_.all_controllers_read_format()) {
         auto readers = record_format_.readers();
-        if (term.may_start() && readers != watch_cache_.record_format_readers.value)
-            co_await record(term, std::move(readers));
+        if (term.may_start_tasks() && readers != watch_cache_.record_format_readers.value)
+            co_await record_readers(term, std::move(readers));
         co_await net::sleep_for(c::format_check_period_s);
     }
-    if (!term.over()) spdlog::info("every controller reads record format {}", records::format);
+    if (!term.ended()) spdlog::info("every controller reads record format {}", records::format);
 }
 
-net::awaitable<void> FormatLoop::record(const leadership::Term& term, std::set<std::string> readers) {
+net::awaitable<void> FormatLoop::record_readers(const leadership::Term& term, std::set<std::string> readers) {
     wire::Transaction transaction;
     transaction.conditions = {
         {std::string(records::leader_key), term.identity().mod_revision},
--- a/src/peers/peer_exchange.cpp
+++ b/src/peers/peer_exchange.cpp
@@ -56,7 +56,7 @@
     const auto message = wire::parse_peer_message(request.body);
     if (!message) co_return Reply{400, {}};
     // The request may have been delayed in transit: use only information that cannot become outdated.
-    leadership_.observe(message->fencing_token, message->leader);
+    leadership_.observe_token(message->fencing_token, message->leader);
     record_cancellations(*message);
     if (message->dependencies_requested) record_format_.record_dependency_request();
     directory_.record_request(*message);
@@ -104,11 +104,11 @@
 // Records the cancellations in the response, which also forwards them, before the response counts as a
 // confirmation.
 void PeerExchange::apply_response(std::size_t peer, double sent_at, wire::PeerMessage response) {
-    leadership_.observe(response.fencing_token, response.leader);
+    leadership_.observe_token(response.fencing_token, response.leader);
     record_cancellations(response);
     if (response.dependencies_requested) record_format_.record_dependency_request();
     directory_.record_response(peer, sent_at, std::move(response));
-    lease_guard_.confirm_by_peers(directory_.confirmations());
+    lease_guard_.apply_peer_confirmations(directory_.confirmations());
 }
 
 }  // namespace pineroad::peers
