--- a/src/cluster/durable_writes.cpp
+++ b/src/cluster/durable_writes.cpp
@@ -55,7 +55,7 @@
 
 void DurableWrites::apply_progress_removals(const WriteBatch& batch) {
     for (const auto& change : batch.txn.changes) {
-        const auto id = records::under(change.key, records::progress_prefix);
+        const auto id = records::strip_prefix(change.key, records::progress_prefix);
         if (!id) continue;
         if (Job* job = state_.jobs.find(*id)) job->progress_revision = 0;
     }
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -47,16 +47,16 @@
                                              api::LoadShedding& load_shedding) {
     net::HttpServer::Limits limits;
     limits.connections = sockets.public_api;
-    limits.ordinary = sockets.users;
+    limits.max_ordinary_connections = sockets.users;
     limits.first_request_s = c::first_request_s;
     limits.ordinary_idle_s = c::user_idle_s;
     limits.prioritized_idle_s =
         c::heartbeat_periods_idle * settings.heartbeat_period_s + c::heartbeat_response_s;
-    limits.prioritized = [](const std::string& target) {
+    limits.is_prioritized = [](const std::string& target) {
         const auto endpoint = api::find_route(target).endpoint;
         return endpoint == api::Endpoint::heartbeat || endpoint == api::Endpoint::health;
     };
-    limits.full = [&load_shedding] { return load_shedding.no_connection(); };
+    limits.make_rejection = [&load_shedding] { return load_shedding.no_connection(); };
     return limits;
 }
 
@@ -72,14 +72,14 @@
 // Each part is built from those before it.
 struct Controller::Parts {
     Parts(net::asio::io_context& executor_context, const config::Settings& platform_settings,
-          const config::Tuning& operators_tuning, net::Connect connect_to, std::uint64_t seed,
+          const config::Tuning& operators_tuning, net::ClientFactory connect_to, std::uint64_t seed,
           std::uint64_t own_record_format);
 
     net::asio::io_context& io;
     const config::Settings settings;
     const config::Tuning tuning;
     const net::SocketBudget sockets;
-    const net::Connect connect;
+    const net::ClientFactory connect;
     const double started_at = store::steady_now_s();
     std::mt19937_64 random;
 
@@ -113,8 +113,8 @@
 };
 
 Controller::Parts::Parts(net::asio::io_context& executor_context, const config::Settings& platform_settings,
-                         const config::Tuning& operators_tuning, net::Connect connect_to, std::uint64_t seed,
-                         std::uint64_t own_record_format)
+                         const config::Tuning& operators_tuning, net::ClientFactory connect_to,
+                         std::uint64_t seed, std::uint64_t own_record_format)
     : io(executor_context),
       settings(platform_settings),
       tuning(operators_tuning),
@@ -151,7 +151,7 @@
                   [this](net::Request request) { return peer_exchange.handle(std::move(request)); }) {}
 
 Controller::Controller(net::asio::io_context& io, const config::Settings& settings,
-                       const config::Tuning& tuning, net::Connect connect, std::uint64_t seed,
+                       const config::Tuning& tuning, net::ClientFactory connect, std::uint64_t seed,
                        std::uint64_t record_format)
     : parts_(std::make_unique<Parts>(io, settings, tuning, std::move(connect), seed, record_format)) {}
 
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -19,7 +19,8 @@
     // `connect` makes the clients of all others, `seed` determines every random choice, and `record_format`
     // is the latest that this process is to read.
     Controller(net::asio::io_context& io, const config::Settings& settings, const config::Tuning& tuning,
-               net::Connect connect, std::uint64_t seed, std::uint64_t record_format = wire::records::format);
+               net::ClientFactory connect, std::uint64_t seed,
+               std::uint64_t record_format = wire::records::format);
     ~Controller();
     Controller(const Controller&) = delete;
     Controller& operator=(const Controller&) = delete;
--- a/src/controller/direct_command_dispatcher.hpp
+++ b/src/controller/direct_command_dispatcher.hpp
@@ -23,7 +23,7 @@
     // What the dispatcher works with; all of it must outlive the dispatcher.
     struct Dependencies {
         net::asio::io_context& io;
-        const net::Connect& connect;
+        const net::ClientFactory& connect;
         const config::Settings& settings;
         std::size_t max_in_flight;  // machines
     };
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -20,7 +20,7 @@
 // Exit status of the process. A wrong command line ends it with a status of the command line parser.
 enum ExitStatus : int { exit_success = 0, exit_failure = 1, exit_invalid_settings = 2 };
 
-struct Files {
+struct ConfigFiles {
     std::string settings;
     std::string tuning;  // empty: the defaults
 };
@@ -41,26 +41,26 @@
     spdlog::set_level(log_level());
 }
 
-config::Tuning load_tuning(const Files& files) {
+config::Tuning load_tuning(const ConfigFiles& files) {
     return files.tuning.empty() ? config::Tuning{} : config::load_tuning(files.tuning);
 }
 
 // Reads the files and says that they are valid.
-void check(const Files& files) {
+void check(const ConfigFiles& files) {
     config::load_settings(files.settings);
     load_tuning(files);
     std::cout << "settings are valid\n";
 }
 
 // Runs a controller until the process is killed.
-void serve(const Files& files) {
+void serve(const ConfigFiles& files) {
     const auto settings = config::load_settings(files.settings);
     const auto tuning = load_tuning(files);
     pineroad::controller::run(settings, tuning);
 }
 
 // Runs a command and turns its errors into an exit status.
-ExitStatus run_command(void (*command)(const Files&), const Files& files) {
+ExitStatus run_command(void (*command)(const ConfigFiles&), const ConfigFiles& files) {
     try {
         command(files);
         return exit_success;
@@ -79,7 +79,7 @@
     CLI::App app{"pineroad, a cluster scheduler"};
     app.set_version_flag("--version", "pineroad " PINEROAD_VERSION);
     app.require_subcommand(1);
-    Files files;
+    ConfigFiles files;
     auto* serve_command = app.add_subcommand("serve", "run a controller until it is killed");
     auto* check_command = app.add_subcommand("check", "check the settings and exit");
     for (auto* command : {serve_command, check_command}) {
--- a/src/net/awaitable.hpp
+++ b/src/net/awaitable.hpp
@@ -11,6 +11,6 @@
 using asio::awaitable;
 
 // Awaits an operation that gives its error beside its results and doesn't throw it.
-inline constexpr auto tuple_awaitable = asio::as_tuple(asio::use_awaitable);
+inline constexpr auto use_nothrow_awaitable = asio::as_tuple(asio::use_awaitable);
 
 }  // namespace pineroad::net
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -25,11 +25,11 @@
     }
     // The time of day in milliseconds since 1970.
     static std::int64_t wall_ms() {
-        const auto since =
+        const auto since_epoch =
             simulated
                 ? simulated->time_since_epoch()
                 : std::chrono::duration_cast<duration>(std::chrono::system_clock::now().time_since_epoch());
-        return std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
+        return std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch).count();
     }
 };
 
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -38,6 +38,6 @@
 };
 
 // Makes a client of an endpoint; tests put clients of simulated endpoints in their place.
-using Connect = std::function<std::unique_ptr<Client>(const config::Endpoint&)>;
+using ClientFactory = std::function<std::unique_ptr<Client>(const config::Endpoint&)>;
 
 }  // namespace pineroad::net
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -31,10 +31,10 @@
 
 namespace {
 
-using Response = http::response<http::string_body>;
+using HttpResponse = http::response<http::string_body>;
 
-Response to_response(Reply reply, bool keep_alive) {
-    Response response{static_cast<http::status>(reply.status), 11};
+HttpResponse to_http_response(Reply reply, bool keep_alive) {
+    HttpResponse response{static_cast<http::status>(reply.status), 11};
     response.set(http::field::content_type, "application/json");
     if (reply.retry_after_s > 0) response.set(http::field::retry_after, std::to_string(reply.retry_after_s));
     response.body() = std::move(reply.body);
@@ -51,11 +51,12 @@
 
 // Answers what can't be read as a request, under the timeout that is set. The connection ends with it.
 awaitable<void> reject(beast::tcp_stream& stream, const boost::system::error_code& error) {
-    const bool large = error == http::error::body_limit;
-    const char* const body = large ? R"({"error":"body too large"})" : R"({"error":"malformed request"})";
+    const bool body_too_large = error == http::error::body_limit;
+    const char* const body =
+        body_too_large ? R"({"error":"body too large"})" : R"({"error":"malformed request"})";
     Reply reply{400, body, 0, true};
-    const auto response = to_response(std::move(reply), false);
-    co_await http::async_write(stream, response, tuple_awaitable);
+    const auto response = to_http_response(std::move(reply), false);
+    co_await http::async_write(stream, response, use_nothrow_awaitable);
 }
 
 // The class of one connection.
@@ -67,13 +68,13 @@
     // Takes on the class of the connection's latest request. False: that class has no room.
     bool admit(const std::string& target) {
         bool admitted = true;
-        if (limits_.prioritized(target)) {
-            counted_.reset();
-        } else if (!counted_) {
-            admitted = ordinary_connections_ < limits_.ordinary;
-            if (admitted) counted_.emplace(ordinary_connections_);
+        if (limits_.is_prioritized(target)) {
+            ordinary_slot_.reset();
+        } else if (!ordinary_slot_) {
+            admitted = ordinary_connections_ < limits_.max_ordinary_connections;
+            if (admitted) ordinary_slot_.emplace(ordinary_connections_);
         }
-        idle_s_ = counted_ ? limits_.ordinary_idle_s : limits_.prioritized_idle_s;
+        idle_s_ = ordinary_slot_ ? limits_.ordinary_idle_s : limits_.prioritized_idle_s;
         return admitted;
     }
     // How long the connection may wait for its next request.
@@ -82,7 +83,7 @@
    private:
     const HttpServer::Limits& limits_;
     std::size_t& ordinary_connections_;
-    std::optional<ScopedCount> counted_;  // among the ordinary connections
+    std::optional<ScopedCount> ordinary_slot_;  // among the ordinary connections
     double idle_s_;
 };
 
@@ -99,7 +100,7 @@
         parser.body_limit(constants::max_body);
         stream.expires_after(seconds(connection_class.idle_s()));
         auto [head_error, head_size] =
-            co_await http::async_read_header(stream, buffer, parser, tuple_awaitable);
+            co_await http::async_read_header(stream, buffer, parser, use_nothrow_awaitable);
         if (head_error) {
             if (!is_malformed(head_error)) break;
             stream.expires_after(seconds(constants::write_timeout_s));
@@ -108,27 +109,28 @@
         }
         stream.expires_after(seconds(constants::body_timeout_s));
         if (!parser.is_done()) {
-            auto [body_error, body_size] = co_await http::async_read(stream, buffer, parser, tuple_awaitable);
+            auto [body_error, body_size] =
+                co_await http::async_read(stream, buffer, parser, use_nothrow_awaitable);
             if (body_error == http::error::body_limit) co_await reject(stream, body_error);
             if (body_error) break;
         }
-        auto message = parser.release();
-        const bool keep_alive = message.keep_alive();
+        auto http_request = parser.release();
+        const bool keep_alive = http_request.keep_alive();
         stream.expires_never();
         // A named object: GCC 12 destroys a braced temporary twice inside a co_await expression.
-        Request request{std::string(message.method_string()), std::string(message.target()),
-                        std::move(message.body())};
+        Request request{std::string(http_request.method_string()), std::string(http_request.target()),
+                        std::move(http_request.body())};
         Reply reply;
         if (connection_class.admit(request.target)) {
             reply = co_await handler(std::move(request));
         } else {
-            reply = limits.full();
+            reply = limits.make_rejection();
         }
-        auto response = to_response(std::move(reply), keep_alive);
-        const bool stay = response.keep_alive();
+        auto response = to_http_response(std::move(reply), keep_alive);
+        const bool keep_open = response.keep_alive();
         stream.expires_after(seconds(constants::write_timeout_s));
-        auto [write_error, written] = co_await http::async_write(stream, response, tuple_awaitable);
-        if (write_error || !stay) break;
+        auto [write_error, written] = co_await http::async_write(stream, response, use_nothrow_awaitable);
+        if (write_error || !keep_open) break;
     }
     stream.socket().shutdown(tcp::socket::shutdown_both, ignored);
 }
@@ -155,7 +157,7 @@
 
 awaitable<void> HttpServer::accept(std::shared_ptr<State> state) {
     for (;;) {
-        auto [error, socket] = co_await state->acceptor.async_accept(tuple_awaitable);
+        auto [error, socket] = co_await state->acceptor.async_accept(use_nothrow_awaitable);
         if (error) {
             spdlog::warn("accept on {} failed: {}", state->endpoint.text(), error.message());
             co_await sleep_for(constants::accept_pause_s);
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -21,14 +21,17 @@
     // Two classes share the connections, prioritized and ordinary ones, so that many of one leave room for
     // the other. A connection is of the class of its latest request.
     struct Limits {
-        std::size_t connections = 0;      // of both classes and of those that have not asked yet
-        std::size_t ordinary = SIZE_MAX;  // of these: beyond, a request gets `full` and the connection ends
+        std::size_t connections = 0;  // of both classes and of those that have not asked yet
+        std::size_t max_ordinary_connections =
+            SIZE_MAX;  // of these: beyond, a request gets `make_rejection` and the connection ends
         // A connection without a request for so long is closed: before its first one, and then by its class.
         double first_request_s = 0, prioritized_idle_s = 0, ordinary_idle_s = 0;
         // Whether a request with that target is prioritized.
-        std::function<bool(const std::string& target)> prioritized = [](const std::string&) { return true; };
+        std::function<bool(const std::string& target)> is_prioritized = [](const std::string&) {
+            return true;
+        };
         // The answer to a request beyond the ordinary ones.
-        std::function<Reply()> full = [] { return Reply{503, {}, 1, true}; };
+        std::function<Reply()> make_rejection = [] { return Reply{503, {}, 1, true}; };
     };
 
     // Binds to nothing yet. Port 0 takes any that is free.
--- a/src/net/notification.hpp
+++ b/src/net/notification.hpp
@@ -12,10 +12,10 @@
 class Notification {
    public:
     // Suspends the coroutine until the next notify(), or for at most so many seconds.
-    awaitable<void> wait(double at_most_s) {
-        Timer timer(co_await asio::this_coro::executor, seconds(at_most_s));
+    awaitable<void> wait(double timeout_s) {
+        Timer timer(co_await asio::this_coro::executor, seconds(timeout_s));
         const auto position = waiting_.insert(waiting_.end(), &timer);
-        co_await timer.async_wait(tuple_awaitable);
+        co_await timer.async_wait(use_nothrow_awaitable);
         waiting_.erase(position);
     }
     // Wakes all that wait now; whoever waits later is not woken.
--- a/src/peers/peer_exchange.cpp
+++ b/src/peers/peer_exchange.cpp
@@ -13,7 +13,7 @@
 using store::steady_now_s;
 
 PeerExchange::PeerExchange(std::string name, double started_at, const Dependencies& dependencies,
-                           const net::Connect& connect)
+                           const net::ClientFactory& connect)
     : name_(std::move(name)),
       started_at_(started_at),
       store_(dependencies.store),
--- a/src/peers/peer_exchange.hpp
+++ b/src/peers/peer_exchange.hpp
@@ -34,7 +34,7 @@
     // `name` is this controller's name in the settings, `started_at` when the process started (seconds,
     // steady clock).
     PeerExchange(std::string name, double started_at, const Dependencies& dependencies,
-                 const net::Connect& connect);
+                 const net::ClientFactory& connect);
 
     // Answers a message of a peer.
     net::awaitable<net::Reply> handle(net::Request request);
--- a/src/store/watch_cache_records.cpp
+++ b/src/store/watch_cache_records.cpp
@@ -41,7 +41,7 @@
 
         // The record's name, or nothing if it is of another kind.
         [[nodiscard]] std::optional<std::string> name_in(const std::string& record_key) const {
-            if (match == Match::prefix) return records::under(record_key, key);
+            if (match == Match::prefix) return records::strip_prefix(record_key, key);
             if (record_key == key) return "";
             return std::nullopt;
         }
--- a/src/wire/cloud_protocol.cpp
+++ b/src/wire/cloud_protocol.cpp
@@ -124,9 +124,9 @@
     return json::serialize(json::object{{field_name::machines, std::move(list)}});
 }
 
-std::string machine_list_target(std::string_view after, int page) {
+std::string machine_list_target(std::string_view after, int page_size) {
     std::string target(machines_path);
-    add_query_parameter(target, query_name::page_size, std::to_string(page));
+    add_query_parameter(target, query_name::page_size, std::to_string(page_size));
     if (!after.empty()) add_query_parameter(target, query_name::after, after);
     return target;
 }
--- a/src/wire/cloud_protocol.hpp
+++ b/src/wire/cloud_protocol.hpp
@@ -48,9 +48,9 @@
 // Body of a request to release these machines.
 std::string release_request(const std::vector<std::string>& machines);
 
-// Target of a request for at most `page` machines after the named one, or, if the name is empty, from the
-// first on.
-std::string machine_list_target(std::string_view after, int page);
+// Target of a request for at most `page_size` machines after the named one, or, if the name is empty, from
+// the first on.
+std::string machine_list_target(std::string_view after, int page_size);
 
 // One page of the machines, in the order of their names.
 struct MachineList {
--- a/src/wire/invalid_request.cpp
+++ b/src/wire/invalid_request.cpp
@@ -5,7 +5,7 @@
 namespace pineroad::wire {
 namespace {
 
-std::string_view problem(InvalidRequest::Kind kind) {
+std::string_view description(InvalidRequest::Kind kind) {
     switch (kind) {
         case InvalidRequest::Kind::not_json:
             return "not JSON";
@@ -28,9 +28,9 @@
 std::string InvalidRequest::text() const {
     const bool whole_body =
         kind == Kind::not_json || kind == Kind::not_an_object || kind == Kind::not_a_json_object;
-    if (whole_body) return std::string(problem(kind));
+    if (whole_body) return std::string(description(kind));
     std::string out(field.empty() ? "a field" : field);
-    return out.append(" ").append(problem(kind));
+    return out.append(" ").append(description(kind));
 }
 
 void throw_exception_from_error(const InvalidRequest& error, const boost::source_location& location) {
--- a/src/wire/job_record.cpp
+++ b/src/wire/job_record.cpp
@@ -13,7 +13,7 @@
 
 namespace json = boost::json;
 
-constexpr std::string_view id_prefix = "j-";  // that all ids share, and records leave out
+constexpr std::string_view job_id_prefix = "j-";  // that all ids share, and records leave out
 
 constexpr auto last_shape = static_cast<std::uint64_t>(model::Shape::service);
 constexpr auto last_priority = static_cast<std::uint64_t>(model::Priority::low);
@@ -22,7 +22,7 @@
     std::string out;
     for (std::size_t i = first; i < last; ++i) {
         if (!out.empty()) out += ' ';
-        out += ids[i].substr(id_prefix.size());
+        out += ids[i].substr(job_id_prefix.size());
     }
     return out;
 }
@@ -31,18 +31,19 @@
     std::vector<std::string> out;
     while (!text.empty()) {
         const auto end = std::min(text.find(' '), text.size());
-        if (end > 0) out.push_back(std::string(id_prefix).append(text.substr(0, end)));
+        if (end > 0) out.push_back(std::string(job_id_prefix).append(text.substr(0, end)));
         text.remove_prefix(std::min(end + 1, text.size()));
     }
     return out;
 }
 
 // The end of the longest run of ids from `first` on whose text fits into so many bytes.
-std::size_t end_of_fitting_ids(const std::vector<std::string>& ids, std::size_t first, std::size_t bytes) {
+std::size_t end_of_fitting_ids(const std::vector<std::string>& ids, std::size_t first,
+                               std::size_t max_bytes) {
     std::size_t last = first;
-    std::size_t used = 0;
-    while (last < ids.size() && used + ids[last].size() - id_prefix.size() + 1 <= bytes)
-        used += ids[last++].size() - id_prefix.size() + 1;
+    std::size_t used_bytes = 0;
+    while (last < ids.size() && used_bytes + ids[last].size() - job_id_prefix.size() + 1 <= max_bytes)
+        used_bytes += ids[last++].size() - job_id_prefix.size() + 1;
     return last;
 }
 
@@ -93,26 +94,26 @@
     return out;
 }
 
-std::optional<JobRecords> job_records(const model::JobSpec& spec, std::size_t value_bytes,
+std::optional<JobRecords> job_records(const model::JobSpec& spec, std::size_t max_value_bytes,
                                       std::size_t max_dependency_records) {
-    constexpr std::size_t frame = 16;  // of a list: its key, quotes and separators
+    constexpr std::size_t list_frame_bytes = 16;  // of a list: its key, quotes and separators
     const auto& ids = spec.dependencies;
-    model::JobSpec first = spec;
-    first.dependencies.clear();
-    first.dependency_records = static_cast<std::uint32_t>(max_dependency_records);
-    const auto own_bytes = json::serialize(job_json(first)).size() + frame;
-    if (own_bytes > value_bytes) return std::nullopt;
-    const auto in_job = end_of_fitting_ids(ids, 0, value_bytes - own_bytes);
+    model::JobSpec own_spec = spec;
+    own_spec.dependencies.clear();
+    own_spec.dependency_records = static_cast<std::uint32_t>(max_dependency_records);
+    const auto own_bytes = json::serialize(job_json(own_spec)).size() + list_frame_bytes;
+    if (own_bytes > max_value_bytes) return std::nullopt;
+    const auto inline_count = end_of_fitting_ids(ids, 0, max_value_bytes - own_bytes);
     JobRecords out;
-    for (auto next = in_job; next < ids.size();) {
-        const auto end = end_of_fitting_ids(ids, next, value_bytes - frame);
+    for (auto next = inline_count; next < ids.size();) {
+        const auto end = end_of_fitting_ids(ids, next, max_value_bytes - list_frame_bytes);
         if (end == next || out.dependencies.size() == max_dependency_records) return std::nullopt;
         out.dependencies.push_back(json::object{{"after", join_ids(ids, next, end)}});
         next = end;
     }
-    first.dependencies.assign(ids.begin(), ids.begin() + static_cast<std::ptrdiff_t>(in_job));
-    first.dependency_records = static_cast<std::uint32_t>(out.dependencies.size());
-    out.job = job_json(first);
+    own_spec.dependencies.assign(ids.begin(), ids.begin() + static_cast<std::ptrdiff_t>(inline_count));
+    own_spec.dependency_records = static_cast<std::uint32_t>(out.dependencies.size());
+    out.job = job_json(own_spec);
     return out;
 }
 
--- a/src/wire/job_record.hpp
+++ b/src/wire/job_record.hpp
@@ -40,7 +40,7 @@
 };
 
 // The job in values of at most so many bytes each; nothing if it takes more than so many dependency records.
-std::optional<JobRecords> job_records(const model::JobSpec& spec, std::size_t value_bytes,
+std::optional<JobRecords> job_records(const model::JobSpec& spec, std::size_t max_value_bytes,
                                       std::size_t max_dependency_records);
 
 // The job of its own record; nothing if malformed. The end of a long list of dependencies is missing still:
--- a/src/wire/peer_protocol.cpp
+++ b/src/wire/peer_protocol.cpp
@@ -45,21 +45,21 @@
 constexpr int required_fields = 9;
 constexpr int optional_fields = 2;
 
-struct Release {
+struct CborDeleter {
     void operator()(cbor_item_t* item) const { cbor_decref(&item); }
 };
-using Item = std::unique_ptr<cbor_item_t, Release>;
+using CborItem = std::unique_ptr<cbor_item_t, CborDeleter>;
 
-Item text_item(std::string_view text) {
-    return Item(cbor_build_stringn(text.data(), text.size()));
+CborItem text_item(std::string_view text) {
+    return CborItem(cbor_build_stringn(text.data(), text.size()));
 }
 
-Item number_item(std::uint64_t number) {
-    return Item(cbor_build_uint64(number));
+CborItem number_item(std::uint64_t number) {
+    return CborItem(cbor_build_uint64(number));
 }
 
-void add(cbor_item_t* map, std::string_view name, const Item& value) {
-    const Item key = text_item(name);
+void add(cbor_item_t* map, std::string_view name, const CborItem& value) {
+    const CborItem key = text_item(name);
     (void)!cbor_map_add(map, {key.get(), value.get()});  // the map takes its own references
 }
 
@@ -72,14 +72,14 @@
 }
 
 void add(cbor_item_t* map, const FlagField& field, const PeerMessage& message) {
-    add(map, field.name, Item(cbor_build_bool(message.*field.member)));
+    add(map, field.name, CborItem(cbor_build_bool(message.*field.member)));
 }
 
 void add_cancelled(cbor_item_t* map, const PeerMessage& message) {
-    const Item list(cbor_new_definite_array(2 * message.cancelled.size()));
+    const CborItem list(cbor_new_definite_array(2 * message.cancelled.size()));
     for (const auto& [revision, job] : message.cancelled) {
-        const Item revision_item = number_item(revision);
-        const Item job_item = text_item(job);
+        const CborItem revision_item = number_item(revision);
+        const CborItem job_item = text_item(job);
         (void)!cbor_array_push(list.get(), revision_item.get());
         (void)!cbor_array_push(list.get(), job_item.get());
     }
@@ -132,33 +132,33 @@
 }
 
 // What one field of a message turned out to be.
-enum class FieldRead { malformed, required, optional, unknown };
+enum class FieldStatus { malformed, required, optional, unknown };
 
-FieldRead field_read(bool well_formed, bool required) {
-    if (!well_formed) return FieldRead::malformed;
-    return required ? FieldRead::required : FieldRead::optional;
+FieldStatus field_status(bool well_formed, bool required) {
+    if (!well_formed) return FieldStatus::malformed;
+    return required ? FieldStatus::required : FieldStatus::optional;
 }
 
-FieldRead read_field(std::string_view name, const cbor_item_t* item, PeerMessage& message) {
+FieldStatus read_field(std::string_view name, const cbor_item_t* item, PeerMessage& message) {
     for (const auto* field : number_fields) {
         if (field->name == name)
-            return field_read(read_number(item, message.*(field->member)), field->required);
+            return field_status(read_number(item, message.*(field->member)), field->required);
     }
     for (const auto* field : text_fields) {
-        if (field->name == name) return field_read(read_text(item, message.*(field->member)), true);
+        if (field->name == name) return field_status(read_text(item, message.*(field->member)), true);
     }
     for (const auto* field : flag_fields) {
         if (field->name == name)
-            return field_read(read_flag(item, message.*(field->member)), field->required);
+            return field_status(read_flag(item, message.*(field->member)), field->required);
     }
-    if (name == cancelled_name) return field_read(read_cancelled(item, message), true);
-    return FieldRead::unknown;
+    if (name == cancelled_name) return field_status(read_cancelled(item, message), true);
+    return FieldStatus::unknown;
 }
 
 }  // namespace
 
 std::string encode_peer_message(const PeerMessage& message) {
-    const Item map(cbor_new_definite_map(required_fields + optional_fields));
+    const CborItem map(cbor_new_definite_map(required_fields + optional_fields));
     add(map.get(), node_field, message);
     add(map.get(), token_field, message);
     add(map.get(), leader_field, message);
@@ -175,19 +175,20 @@
 
 std::optional<PeerMessage> parse_peer_message(std::string_view bytes) {
     cbor_load_result result{};
-    const Item map(cbor_load(reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size(), &result));
+    const CborItem map(
+        cbor_load(reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size(), &result));
     if (!map || result.error.code != CBOR_ERR_NONE || !cbor_isa_map(map.get())) return std::nullopt;
     PeerMessage message;
-    int found = 0;
+    int required_found = 0;
     const auto* pairs = cbor_map_handle(map.get());
     for (std::size_t i = 0; i < cbor_map_size(map.get()); ++i) {
         const auto name = text_of(pairs[i].key);
         if (!name) return std::nullopt;
-        const auto read = read_field(*name, pairs[i].value, message);
-        if (read == FieldRead::malformed) return std::nullopt;
-        if (read == FieldRead::required) ++found;
+        const auto status = read_field(*name, pairs[i].value, message);
+        if (status == FieldStatus::malformed) return std::nullopt;
+        if (status == FieldStatus::required) ++required_found;
     }
-    if (found != required_fields) return std::nullopt;
+    if (required_found != required_fields) return std::nullopt;
     return message;
 }
 
--- a/src/wire/progress_record.cpp
+++ b/src/wire/progress_record.cpp
@@ -12,7 +12,7 @@
 
 namespace json = boost::json;
 
-constexpr char shard_mark = '#';
+constexpr char shard_separator = '#';
 
 bool read_done_tasks(const json::array& ranges, model::TaskSet& done) {
     for (const auto& item : ranges) {
@@ -43,18 +43,18 @@
 }  // namespace
 
 std::string entry_name(const EntryName& entry) {
-    return entry.shard == 0 ? entry.job : entry.job + shard_mark + std::to_string(entry.shard);
+    return entry.shard == 0 ? entry.job : entry.job + shard_separator + std::to_string(entry.shard);
 }
 
 std::optional<EntryName> parse_entry_name(std::string_view name) {
-    const auto mark = name.find(shard_mark);
-    if (mark == std::string_view::npos) return EntryName{std::string(name), 0};
+    const auto separator = name.find(shard_separator);
+    if (separator == std::string_view::npos) return EntryName{std::string(name), 0};
     std::uint32_t shard = 0;
-    const auto digits = name.substr(mark + 1);
+    const auto digits = name.substr(separator + 1);
     const auto* const digits_end = digits.data() + digits.size();
     const auto [end, error] = std::from_chars(digits.data(), digits_end, shard);
     if (error != std::errc() || end != digits_end || shard == 0) return std::nullopt;
-    return EntryName{std::string(name.substr(0, mark)), shard};
+    return EntryName{std::string(name.substr(0, separator)), shard};
 }
 
 Json progress_json(const model::Progress& progress, std::uint32_t shard) {
--- a/src/wire/record_keys.cpp
+++ b/src/wire/record_keys.cpp
@@ -26,7 +26,7 @@
     return std::string(dependencies_prefix).append(id) + "/" + std::to_string(number);
 }
 
-std::optional<std::string> under(std::string_view key, std::string_view prefix) {
+std::optional<std::string> strip_prefix(std::string_view key, std::string_view prefix) {
     if (!key.starts_with(prefix)) return std::nullopt;
     return std::string(key.substr(prefix.size()));
 }
--- a/src/wire/record_keys.hpp
+++ b/src/wire/record_keys.hpp
@@ -37,6 +37,6 @@
 std::string dependencies_key(std::string_view id, std::uint32_t number);
 
 // The rest of the key after the prefix; nothing if it has another one.
-std::optional<std::string> under(std::string_view key, std::string_view prefix);
+std::optional<std::string> strip_prefix(std::string_view key, std::string_view prefix);
 
 }  // namespace pineroad::wire::records
--- a/src/wire/store_protocol.cpp
+++ b/src/wire/store_protocol.cpp
@@ -51,18 +51,18 @@
     return std::string(store_path) + "/" + std::string(key);
 }
 
-std::string list_store_target(std::string_view prefix, std::string_view after, int page) {
+std::string list_store_target(std::string_view prefix, std::string_view after, int page_size) {
     std::string target(store_path);
     add_query_parameter(target, query_name::prefix, prefix);
-    add_query_parameter(target, query_name::page_size, std::to_string(page));
+    add_query_parameter(target, query_name::page_size, std::to_string(page_size));
     if (!after.empty()) add_query_parameter(target, query_name::after, after);
     return target;
 }
 
-std::string watch_target(std::string_view prefix, std::uint64_t since, int block_ms) {
+std::string watch_target(std::string_view prefix, std::uint64_t after_revision, int block_ms) {
     std::string target(watch_path);
     add_query_parameter(target, query_name::prefix, prefix);
-    add_query_parameter(target, query_name::after, std::to_string(since));
+    add_query_parameter(target, query_name::after, std::to_string(after_revision));
     add_query_parameter(target, query_name::block_ms, std::to_string(block_ms));
     return target;
 }
--- a/src/wire/url.cpp
+++ b/src/wire/url.cpp
@@ -9,11 +9,11 @@
 // machines hardly need it.
 std::string escape(std::string_view value) {
     static constexpr std::string_view hex = "0123456789ABCDEF";
-    static constexpr std::string_view unescaped_marks = "-_./~";
+    static constexpr std::string_view unescaped_punctuation = "-_./~";
     std::string out;
     for (const char character : value) {
         const auto byte = static_cast<unsigned char>(character);
-        if (std::isalnum(byte) != 0 || unescaped_marks.find(character) != std::string_view::npos) {
+        if (std::isalnum(byte) != 0 || unescaped_punctuation.find(character) != std::string_view::npos) {
             out += character;
         } else {
             out += '%';
--- a/tests/durable_writes_test.cpp
+++ b/tests/durable_writes_test.cpp
@@ -57,7 +57,7 @@
     simulator.commit_all();  // checked against value_kb by the simulator
     std::size_t placed = 0;
     for (const auto& [key, row] : simulator.store.rows)
-        if (records::under(key, records::segment_prefix))
+        if (records::strip_prefix(key, records::segment_prefix))
             placed = std::max(placed,
                               records::parse_segment(row.value)->entries.at({"j-1", 0})->placements.size());
     EXPECT_GT(placed, 150U);
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -622,8 +622,8 @@
     g.put("rental by name", records::provisioning_request_key("r-1-2"));
     g.put("final of a job", records::outcome_key("j-1"));
     g.put("dependencies of a job", records::dependencies_key("j-1", 12));
-    g.put("under", print_or_nothing(records::under("pr/live/a/j-1", records::job_prefix)));
-    g.put("not under", print_or_nothing(records::under("pr/live/s/0", records::job_prefix)));
+    g.put("under", print_or_nothing(records::strip_prefix("pr/live/a/j-1", records::job_prefix)));
+    g.put("not under", print_or_nothing(records::strip_prefix("pr/live/s/0", records::job_prefix)));
     g.put("format", print(std::uint64_t{records::format}));
     g.put("entry", records::entry_name({"j-1", 0}));
     g.put("entry of a part", records::entry_name({"j-1", 12}));
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -53,9 +53,9 @@
 
 net::HttpServer::Limits few() {
     net::HttpServer::Limits l;
-    l.connections = 5, l.ordinary = 2;
+    l.connections = 5, l.max_ordinary_connections = 2;
     l.first_request_s = l.prioritized_idle_s = l.ordinary_idle_s = 60;
-    l.prioritized = [](const std::string& target) { return target == "/checkin"; };
+    l.is_prioritized = [](const std::string& target) { return target == "/checkin"; };
     return l;
 }
 
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -118,7 +118,7 @@
     const auto first = simulator.next_write_batch();
     ASSERT_TRUE(first);
     for (const auto& change : first->txn.changes) {
-        if (!change.value || !records::under(change.key, records::segment_prefix)) continue;
+        if (!change.value || !records::strip_prefix(change.key, records::segment_prefix)) continue;
         const auto segment = records::parse_segment(*change.value);
         for (const auto& [entry, progress] : segment->entries) {
             EXPECT_EQ(entry.shard, 0U);
