--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -16,7 +16,7 @@
 
 net::awaitable<Reply> UserApi::submit(std::string body) {
     const auto parsed = wire::parse_submission(body);
-    if (!parsed) co_return Reply{400, wire::error_response(parsed.error().text())};
+    if (!parsed) co_return Reply{400, wire::error_response(parsed.error().message())};
     auto spec = *parsed;
     const std::string id = spec.id;
     auto& watch_cache = dependencies_.watch_cache;
--- a/src/api/worker_api.cpp
+++ b/src/api/worker_api.cpp
@@ -46,7 +46,7 @@
 
 net::awaitable<Reply> WorkerApi::heartbeat(std::string body) {
     const auto parsed = wire::parse_heartbeat(body);
-    if (!parsed) co_return Reply{400, wire::error_response(parsed.error().text())};
+    if (!parsed) co_return Reply{400, wire::error_response(parsed.error().message())};
     const auto& heartbeat = *parsed;
     dependencies_.leadership.observe(heartbeat.fencing_token, "");
     const auto leader = dependencies_.active_term;
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -20,7 +20,7 @@
     // is the latest that this process is to read.
     Controller(net::asio::io_context& io, const config::Settings& settings, const config::Tuning& tuning,
                net::ClientFactory connect, std::uint64_t seed,
-               std::uint64_t record_format = wire::records::format);
+               std::uint64_t record_format = wire::records::record_format);
     ~Controller();
     Controller(const Controller&) = delete;
     Controller& operator=(const Controller&) = delete;
--- a/src/controller/format_loop.cpp
+++ b/src/controller/format_loop.cpp
@@ -32,7 +32,7 @@
             co_await record(term, std::move(readers));
         co_await net::sleep_for(c::format_period_s);
     }
-    if (!term.over()) spdlog::info("every controller reads record format {}", records::format);
+    if (!term.over()) spdlog::info("every controller reads record format {}", records::record_format);
 }
 
 net::awaitable<void> FormatLoop::record(const leadership::Term& term, std::set<std::string> readers) {
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -18,16 +18,17 @@
     using time_point = std::chrono::time_point<Clock>;
     static constexpr bool is_steady = true;
     // The time that tests set; nothing: the real clocks count. Asio calls a clock's static functions only.
-    inline static std::optional<time_point> simulated;  // NOLINT: not constant, for the tests
+    inline static std::optional<time_point> simulated_now;  // NOLINT: not constant, for the tests
     // The steady clock's time.
     static time_point now() {
-        return simulated ? *simulated : time_point(std::chrono::steady_clock::now().time_since_epoch());
+        return simulated_now ? *simulated_now
+                             : time_point(std::chrono::steady_clock::now().time_since_epoch());
     }
     // The time of day in milliseconds since 1970.
     static std::int64_t wall_ms() {
         const auto since_epoch =
-            simulated
-                ? simulated->time_since_epoch()
+            simulated_now
+                ? simulated_now->time_since_epoch()
                 : std::chrono::duration_cast<duration>(std::chrono::system_clock::now().time_since_epoch());
         return std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch).count();
     }
@@ -38,7 +39,7 @@
 struct ClockTraits {
     // Of a duration.
     static Clock::duration to_wait_duration(const Clock::duration& duration) {
-        return Clock::simulated ? Clock::duration::zero() : duration;
+        return Clock::simulated_now ? Clock::duration::zero() : duration;
     }
     // Of the time until then.
     static Clock::duration to_wait_duration(const Clock::time_point& time) {
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -88,8 +88,8 @@
 };
 
 // Serves one connection. The idle wait covers the first byte; a slow or endless body meets its own timeout.
-awaitable<void> serve(tcp::socket socket, const HttpServer::Limits& limits, std::size_t& ordinary_connections,
-                      const HttpServer::Handler& handler) {
+awaitable<void> serve_connection(tcp::socket socket, const HttpServer::Limits& limits,
+                                 std::size_t& ordinary_connections, const HttpServer::Handler& handler) {
     ConnectionClass connection_class(limits, ordinary_connections);
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
@@ -152,10 +152,10 @@
     state_->acceptor.set_option(tcp::acceptor::reuse_address(true));
     state_->acceptor.bind(address);
     state_->acceptor.listen(constants::accept_backlog);
-    asio::co_spawn(state_->acceptor.get_executor(), accept(state_), asio::detached);
+    asio::co_spawn(state_->acceptor.get_executor(), accept_connections(state_), asio::detached);
 }
 
-awaitable<void> HttpServer::accept(std::shared_ptr<State> state) {
+awaitable<void> HttpServer::accept_connections(std::shared_ptr<State> state) {
     for (;;) {
         auto [error, socket] = co_await state->acceptor.async_accept(use_nothrow_awaitable);
         if (error) {
@@ -174,8 +174,8 @@
             state->acceptor.get_executor(),
             [state, connection = std::move(socket)]() mutable -> awaitable<void> {
                 try {
-                    co_await serve(std::move(connection), state->limits, state->ordinary_connections,
-                                   state->handler);
+                    co_await serve_connection(std::move(connection), state->limits,
+                                              state->ordinary_connections, state->handler);
                 } catch (const std::exception& e) {
                     spdlog::error("connection failed: {}", e.what());
                 }
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -45,7 +45,7 @@
    private:
     struct State;
     // Accepts connections, and spawns the serving of each, until the process ends.
-    static awaitable<void> accept(std::shared_ptr<State> state);
+    static awaitable<void> accept_connections(std::shared_ptr<State> state);
     std::shared_ptr<State> state_;
 };
 
--- a/src/peers/peer_directory.cpp
+++ b/src/peers/peer_directory.cpp
@@ -38,14 +38,14 @@
     const auto index = find(message.node);
     if (!index) return;
     contacts_[*index].last_request_at = steady_now_s();
-    contacts_[*index].reads_format |= message.format >= records::format;
+    contacts_[*index].reads_format |= message.record_format >= records::record_format;
 }
 
 void PeerDirectory::record_response(std::size_t index, double sent, wire::PeerMessage answer) {
     PeerContact& contact = contacts_[index];
     contact.contacted_at = sent;
     contact.answered_at = steady_now_s();
-    contact.reads_format |= answer.format >= records::format;
+    contact.reads_format |= answer.record_format >= records::record_format;
     contact.last = std::move(answer);
 }
 
--- a/src/peers/peer_exchange.cpp
+++ b/src/peers/peer_exchange.cpp
@@ -45,7 +45,7 @@
     message.store_contact_age_ms = age_ms(store_.last_contact());
     message.heartbeat_age_ms = age_ms(last_heartbeat_);
     message.revision = watch_cache_.ready ? watch_cache_.revision : 0;
-    message.format = record_format_.own_format();
+    message.record_format = record_format_.own_format();
     message.dependencies_requested = record_format_.dependencies_requested();
     return message;
 }
--- a/src/peers/record_format.cpp
+++ b/src/peers/record_format.cpp
@@ -17,7 +17,7 @@
       started_at_(started_at) {}
 
 bool RecordFormat::reads_present_format() const {
-    return own_format_ >= wire::records::format;
+    return own_format_ >= wire::records::record_format;
 }
 
 bool RecordFormat::agreed() const {
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -48,7 +48,7 @@
 }
 
 net::awaitable<ReadResult> StoreClient::read(std::string key) {
-    const auto reply = co_await request("GET", wire::store_target(key));
+    const auto reply = co_await request("GET", wire::row_target(key));
     if (reply && reply->status == 200) co_return ReadResult{ReadStatus::found, wire::parse_row(reply->body)};
     if (reply && reply->status == 404) co_return ReadResult{ReadStatus::absent, std::nullopt};
     co_return ReadResult{};
--- a/src/store/watch_loop.cpp
+++ b/src/store/watch_loop.cpp
@@ -34,7 +34,7 @@
     std::uint64_t first_revision = 0;
     for (bool more = true; more;) {
         const auto reply =
-            co_await store_.request("GET", wire::list_store_target(records::live_prefix, after, c::list_page),
+            co_await store_.request("GET", wire::row_list_target(records::live_prefix, after, c::list_page),
                                     {}, 3 * c::store_timeout_s);
         if (!reply || reply->status != 200) co_return std::nullopt;
         const auto page = wire::parse_rows(reply->body);
--- a/src/wire/field_reader.cpp
+++ b/src/wire/field_reader.cpp
@@ -7,7 +7,7 @@
 namespace pineroad::wire {
 
 void FieldReader::reject(std::string_view key) {
-    if (!problem_) problem_ = InvalidRequest{InvalidRequest::Kind::missing_or_invalid, key};
+    if (!error_) error_ = InvalidRequest{InvalidRequest::Kind::missing_or_invalid, key};
 }
 
 void FieldReader::read_text(std::string_view key, std::string& into) {
--- a/src/wire/field_reader.hpp
+++ b/src/wire/field_reader.hpp
@@ -47,11 +47,11 @@
     // Takes the field for missing or invalid. Later problems are not kept.
     void reject(std::string_view key);
     // The first problem met so far.
-    [[nodiscard]] const std::optional<InvalidRequest>& problem() const { return problem_; }
+    [[nodiscard]] const std::optional<InvalidRequest>& error() const { return error_; }
 
    private:
     const boost::json::object& object_;
-    std::optional<InvalidRequest> problem_;
+    std::optional<InvalidRequest> error_;
 };
 
 }  // namespace pineroad::wire
--- a/src/wire/format_record.cpp
+++ b/src/wire/format_record.cpp
@@ -11,13 +11,13 @@
 Json format_json(const std::set<std::string>& controllers) {
     json::array list;
     for (const auto& name : controllers) list.emplace_back(name);
-    return json::object{{"format", format}, {"controllers", std::move(list)}};
+    return json::object{{"format", record_format}, {"controllers", std::move(list)}};
 }
 
 std::optional<std::set<std::string>> parse_format(const Json& value) {
     const auto* object = value.if_object();
     const auto* list = object ? read::list(*object, "controllers") : nullptr;
-    if (list == nullptr || read::count(*object, "format").value_or(0) < format) return std::nullopt;
+    if (list == nullptr || read::count(*object, "format").value_or(0) < record_format) return std::nullopt;
     std::set<std::string> out;
     for (const auto& name : *list)
         if (name.is_string()) out.emplace(name.get_string());
--- a/src/wire/format_record.hpp
+++ b/src/wire/format_record.hpp
@@ -14,7 +14,7 @@
 
 // The record format that this version reads and, once every controller does, writes. Version 0.4 knows 1
 // only.
-inline constexpr std::uint64_t format = 2;
+inline constexpr std::uint64_t record_format = 2;
 
 // Record of the controllers that read this version's format.
 Json format_json(const std::set<std::string>& controllers);
--- a/src/wire/invalid_request.cpp
+++ b/src/wire/invalid_request.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-std::string InvalidRequest::text() const {
+std::string InvalidRequest::message() const {
     const bool whole_body =
         kind == Kind::not_json || kind == Kind::not_an_object || kind == Kind::not_a_json_object;
     if (whole_body) return std::string(description(kind));
@@ -35,7 +35,7 @@
 
 void throw_exception_from_error(const InvalidRequest& error, const boost::source_location& location) {
     static_cast<void>(location);
-    throw std::invalid_argument(error.text());
+    throw std::invalid_argument(error.message());
 }
 
 }  // namespace pineroad::wire
--- a/src/wire/invalid_request.hpp
+++ b/src/wire/invalid_request.hpp
@@ -16,7 +16,7 @@
     std::string_view field = {};  // a literal with the wire's name; empty: one of several
 
     // The reason in one line, as it is told to whoever sent the request.
-    [[nodiscard]] std::string text() const;
+    [[nodiscard]] std::string message() const;
 };
 
 // What was read from a request's body, or why it can't be read.
--- a/src/wire/peer_protocol.cpp
+++ b/src/wire/peer_protocol.cpp
@@ -19,7 +19,7 @@
 constexpr NumberField store_contact_field{"state_age_ms", &PeerMessage::store_contact_age_ms, true};
 constexpr NumberField heartbeat_field{"report_age_ms", &PeerMessage::heartbeat_age_ms, true};
 constexpr NumberField revision_field{"epoch", &PeerMessage::revision, true};
-constexpr NumberField format_field{"format", &PeerMessage::format, false};
+constexpr NumberField format_field{"format", &PeerMessage::record_format, false};
 constexpr std::array number_fields{&token_field,     &uptime_field,   &store_contact_field,
                                    &heartbeat_field, &revision_field, &format_field};
 
--- a/src/wire/peer_protocol.hpp
+++ b/src/wire/peer_protocol.hpp
@@ -41,7 +41,7 @@
     // Revision and job of each. In a request: those that the sender is about to confirm to a user.
     std::vector<std::pair<std::uint64_t, std::string>> cancelled;
     // Since version 0.5; earlier versions leave these out, and skip them.
-    std::uint64_t format = 1;             // of records, the latest that this process reads
+    std::uint64_t record_format = 1;      // of records, the latest that this process reads
     bool dependencies_requested = false;  // a user asked this process for a job with dependencies
 };
 
--- a/src/wire/store_protocol.cpp
+++ b/src/wire/store_protocol.cpp
@@ -47,11 +47,11 @@
 
 }  // namespace
 
-std::string store_target(std::string_view key) {
+std::string row_target(std::string_view key) {
     return std::string(store_path) + "/" + std::string(key);
 }
 
-std::string list_store_target(std::string_view prefix, std::string_view after, int page_size) {
+std::string row_list_target(std::string_view prefix, std::string_view after, int page_size) {
     std::string target(store_path);
     add_query_parameter(target, query_name::prefix, prefix);
     add_query_parameter(target, query_name::page_size, std::to_string(page_size));
--- a/src/wire/store_protocol.hpp
+++ b/src/wire/store_protocol.hpp
@@ -80,11 +80,11 @@
 };
 
 // Target of the request for one row. The key's slashes stay as they are.
-std::string store_target(std::string_view key);
+std::string row_target(std::string_view key);
 
 // Target of a request for at most `page_size` rows with the prefix after a key, or, if that is empty, from
 // the first on.
-std::string list_store_target(std::string_view prefix, std::string_view after, int page_size);
+std::string row_list_target(std::string_view prefix, std::string_view after, int page_size);
 
 // Target of a watch of the prefix after a revision; it blocks for at most so long (0: not at all).
 std::string watch_target(std::string_view prefix, std::uint64_t after_revision, int block_ms);
--- a/src/wire/user_protocol.cpp
+++ b/src/wire/user_protocol.cpp
@@ -45,7 +45,7 @@
 
 void read_identity(FieldReader& reader, model::JobSpec& spec) {
     reader.read_text(field_name::id, spec.id);
-    if (!reader.problem() && !valid_job_id(spec.id)) reader.reject(field_name::id);
+    if (!reader.error() && !valid_job_id(spec.id)) reader.reject(field_name::id);
     reader.read_text(field_name::job_class, spec.job_class);
     reader.read_text(field_name::team, spec.team);
     reader.read_enum(field_name::shape, shapes, spec.shape);
@@ -112,7 +112,7 @@
     read_placement_constraints(reader, spec);
     read_times(reader, spec);
     read_dependencies(reader, spec);
-    if (reader.problem()) return *reader.problem();
+    if (reader.error()) return *reader.error();
     return spec;
 }
 
--- a/src/wire/worker_protocol.cpp
+++ b/src/wire/worker_protocol.cpp
@@ -113,8 +113,8 @@
     const auto object = parse_object(body);
     if (!object) return InvalidRequest{InvalidRequest::Kind::not_a_json_object};
     model::Heartbeat heartbeat;
-    if (const auto problem = read_machine(*object, heartbeat)) return *problem;
-    if (const auto problem = read_tasks(*object, heartbeat)) return *problem;
+    if (const auto error = read_machine(*object, heartbeat)) return *error;
+    if (const auto error = read_tasks(*object, heartbeat)) return *error;
     return heartbeat;
 }
 
--- a/tests/cluster_simulator.cpp
+++ b/tests/cluster_simulator.cpp
@@ -117,7 +117,7 @@
 ClusterSimulator::ClusterSimulator(const std::string& trace, int controllers, const ClusterOptions& options)
     : trace_(trace), on_upgrade_(options.on_upgrade) {
     spdlog::set_level(spdlog::level::off);
-    net::Clock::simulated = net::Clock::time_point(net::seconds(begin_s));
+    net::Clock::simulated_now = net::Clock::time_point(net::seconds(begin_s));
     // Loops of a controller never end and refer to it. All are kept until the program ends, unused but still
     // reachable.
     static auto& kept = *new std::vector<std::shared_ptr<Processes>>();
@@ -147,7 +147,7 @@
 ClusterSimulator::~ClusterSimulator() {
     for (auto& each : processes_->controllers)
         if (each.alive) *each.alive = false;
-    net::Clock::simulated.reset();
+    net::Clock::simulated_now.reset();
 }
 
 void ClusterSimulator::kill(int controller) {
@@ -171,7 +171,7 @@
 
 void ClusterSimulator::upgrade(int controller) {
     auto& own = process(controller);
-    own.record_format = wire::records::format;
+    own.record_format = wire::records::record_format;
     if (on_upgrade_) on_upgrade_(own.settings);
     note("upgrade of c-" + std::to_string(controller));
     restart(controller);
@@ -199,7 +199,7 @@
         process(i).io->restart();
         process(i).io->poll();
     }
-    *net::Clock::simulated += net::seconds(step_s);
+    *net::Clock::simulated_now += net::seconds(step_s);
     if (!store_outage) store.expire(now());
     while (!delayed_writes_.empty() && delayed_writes_.front().at <= now()) {
         store.answer("POST", std::string(wire::commit_path), delayed_writes_.front().body, now());
--- a/tests/cluster_simulator.hpp
+++ b/tests/cluster_simulator.hpp
@@ -24,9 +24,9 @@
 
 /// How a cluster's controllers begin.
 struct ClusterOptions {
-    std::uint64_t record_format = wire::records::format;  ///< that they read
-    std::function<void(config::Settings&)> adjust;        ///< of each
-    std::function<void(config::Settings&)> on_upgrade;    ///< of each that is replaced by the present version
+    std::uint64_t record_format = wire::records::record_format;  ///< that they read
+    std::function<void(config::Settings&)> adjust;               ///< of each
+    std::function<void(config::Settings&)> on_upgrade;  ///< of each that is replaced by the present version
 };
 
 class ClusterSimulator {
@@ -96,7 +96,7 @@
     struct Process {
         std::unique_ptr<boost::asio::io_context> io = std::make_unique<boost::asio::io_context>();
         config::Settings settings;
-        std::uint64_t record_format = wire::records::format;
+        std::uint64_t record_format = wire::records::record_format;
         std::unique_ptr<controller::Controller> controller;
         std::shared_ptr<bool> alive;
     };
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -109,7 +109,7 @@
 
 std::string read_submission(const std::string& body) {
     const auto parsed = wire::parse_submission(body);
-    if (!parsed) return "refused: " + parsed.error().text();
+    if (!parsed) return "refused: " + parsed.error().message();
     return "job " + print(*parsed);
 }
 
@@ -134,7 +134,7 @@
 
 std::string read_report(const std::string& body) {
     const auto parsed = wire::parse_heartbeat(body);
-    if (!parsed) return "refused: " + parsed.error().text();
+    if (!parsed) return "refused: " + parsed.error().message();
     return "report " + print(*parsed);
 }
 
@@ -188,7 +188,7 @@
                       print(g.leader) + " up " + print(g.uptime_ms) + " state " +
                       print(g.store_contact_age_ms) + " report " + print(g.heartbeat_age_ms) + " epoch " +
                       print(g.revision) + " vouches " + print(g.confirms_cancellations) + " format " +
-                      print(g.format) + " asked " + print(g.dependencies_requested) + " cancelled";
+                      print(g.record_format) + " asked " + print(g.dependencies_requested) + " cancelled";
     for (const auto& [revision, job] : g.cancelled) out += " " + print(revision) + "=" + print(job);
     return out;
 }
@@ -517,9 +517,9 @@
           wire::machine_types_path, wire::machines_path, wire::release_path, wire::commit_path,
           wire::leases_path, wire::peer_message_path})
         g.put("path", std::string(path));
-    g.put("key", wire::store_target("pr/final/j-1"));
-    g.put("list", wire::list_store_target("pr/live/", "", 500));
-    g.put("list on", wire::list_store_target("pr/live/", "pr/live/a/j 1#2?&=ü", 1));
+    g.put("key", wire::row_target("pr/final/j-1"));
+    g.put("list", wire::row_list_target("pr/live/", "", 500));
+    g.put("list on", wire::row_list_target("pr/live/", "pr/live/a/j 1#2?&=ü", 1));
     g.put("follow", wire::watch_target("pr/", 7, 2000));
     g.put("follow", wire::watch_target("p r", 18446744073709551615ULL, 0));
     g.put("lease", wire::lease_request(6000));
@@ -624,7 +624,7 @@
     g.put("dependencies of a job", records::dependencies_key("j-1", 12));
     g.put("under", print_or_nothing(records::strip_prefix("pr/live/a/j-1", records::job_prefix)));
     g.put("not under", print_or_nothing(records::strip_prefix("pr/live/s/0", records::job_prefix)));
-    g.put("format", print(std::uint64_t{records::format}));
+    g.put("format", print(std::uint64_t{records::record_format}));
     g.put("entry", records::entry_name({"j-1", 0}));
     g.put("entry of a part", records::entry_name({"j-1", 12}));
     put_bodies(g, "entry name", {"j-1", "j-1#1", "j-1#12", "j-1#0", "j-1#", "j-1#x", "j-1#1x", "j-1#-1", ""},
@@ -896,7 +896,7 @@
 
 TEST(Golden, AnswersToPeers) {
     Golden g("http_peers");
-    net::Clock::simulated = net::Clock::time_point(net::seconds(1000));
+    net::Clock::simulated_now = net::Clock::time_point(net::seconds(1000));
     {
         net::asio::io_context io;
         auto config = settings();
@@ -930,7 +930,7 @@
         for (const auto& message : sample_messages())
             ask("POST", "/gossip", wire::encode_peer_message(message));
     }
-    net::Clock::simulated.reset();
+    net::Clock::simulated_now.reset();
 }
 
 TEST(Golden, RowsOfAStory) {
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -146,14 +146,14 @@
     ASSERT_TRUE(earlier);
     EXPECT_EQ(earlier->node, "c-1");
     EXPECT_EQ(earlier->cancelled.size(), 2U);
-    EXPECT_EQ(earlier->format, 1U);
+    EXPECT_EQ(earlier->record_format, 1U);
     EXPECT_FALSE(earlier->dependencies_requested);
     auto ours = *earlier;
-    ours.format = records::format;
+    ours.record_format = records::record_format;
     ours.dependencies_requested = true;
     const auto back = wire::parse_peer_message(wire::encode_peer_message(ours));
     ASSERT_TRUE(back);
-    EXPECT_EQ(back->format, records::format);
+    EXPECT_EQ(back->record_format, records::record_format);
     EXPECT_TRUE(back->dependencies_requested);
 }
 
