--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,5 @@
-// pineroad: a cluster scheduler. The program reads its command line and runs one command; libpineroad does
-// the work.
+// Entry point of pineroad, a cluster scheduler: parses the command line and runs one command. The scheduler
+// itself is in libpineroad.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -17,14 +17,16 @@
 
 namespace config = pineroad::config;
 
-// Exit status of the process. A wrong command line ends it with a status of the command line parser.
+// Exit status of the process. An invalid command line exits with a status of the command line parser instead.
 enum ExitStatus : int { exit_success = 0, exit_failure = 1, exit_invalid_settings = 2 };
 
+// Paths of the configuration files, from the command line.
 struct ConfigFiles {
     std::string settings;
-    std::string tuning;  // empty: the defaults
+    std::string tuning;  // empty: use the defaults
 };
 
+// Returns the log level named by the environment variable LOG_LEVEL; info if it is unset or unknown.
 spdlog::level::level_enum log_level() {
     const char* variable = std::getenv("LOG_LEVEL");
     const std::string name = variable ? variable : "info";
@@ -33,6 +35,7 @@
     return spdlog::level::info;
 }
 
+// Makes stderr the destination of the log.
 void set_up_logging() {
     auto sink = std::make_shared<spdlog::sinks::stderr_sink_st>();
     auto logger = std::make_shared<spdlog::logger>("pineroad", std::move(sink));
@@ -45,7 +48,7 @@
     return files.tuning.empty() ? config::Tuning{} : config::load_tuning(files.tuning);
 }
 
-// Reads the files and says that they are valid.
+// Loads the files and reports that they are valid; throws if they are not.
 void check(const ConfigFiles& files) {
     config::load_settings(files.settings);
     load_tuning(files);
@@ -59,7 +62,7 @@
     pineroad::controller::run(settings, tuning);
 }
 
-// Runs a command and turns its errors into an exit status.
+// Runs a command and converts its exceptions into an exit status.
 ExitStatus run_command(void (*command)(const ConfigFiles&), const ConfigFiles& files) {
     try {
         command(files);
@@ -80,11 +83,12 @@
     app.set_version_flag("--version", "pineroad " PINEROAD_VERSION);
     app.require_subcommand(1);
     ConfigFiles files;
-    auto* serve_command = app.add_subcommand("serve", "run a controller until it is killed");
-    auto* check_command = app.add_subcommand("check", "check the settings and exit");
+    auto* serve_command = app.add_subcommand("serve", "run a controller until the process is killed");
+    auto* check_command = app.add_subcommand("check", "validate the settings and tuning files and exit");
     for (auto* command : {serve_command, check_command}) {
-        command->add_option("--config", files.settings, "the platform's settings (TOML)")->required();
-        command->add_option("--tuning", files.tuning, "operators' own settings (S-expressions)");
+        command->add_option("--config", files.settings, "settings file of the platform (TOML)")->required();
+        command->add_option("--tuning", files.tuning,
+                            "tuning file of the operators (S-expressions); without it the defaults apply");
     }
     CLI11_PARSE(app, argc, argv);
     set_up_logging();
--- a/src/net/awaitable.hpp
+++ b/src/net/awaitable.hpp
@@ -1,4 +1,4 @@
-// Names of the coroutine library that the rest of the code uses.
+// Names from the coroutine library (Boost.Asio) that the rest of the code uses.
 #pragma once
 
 #include <boost/asio/as_tuple.hpp>
@@ -10,7 +10,7 @@
 namespace asio = boost::asio;
 using asio::awaitable;
 
-// Awaits an operation that gives its error beside its results and doesn't throw it.
+// Completion token: the awaited operation returns its error code as part of a tuple instead of throwing it.
 inline constexpr auto use_nothrow_awaitable = asio::as_tuple(asio::use_awaitable);
 
 }  // namespace pineroad::net
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -1,4 +1,4 @@
-// Time: one clock for timers and for the time of day, which tests replace by a simulated one.
+// Clock for timers and for the time of day, which tests can replace with a simulated one.
 #pragma once
 
 #include <boost/asio/basic_waitable_timer.hpp>
@@ -10,21 +10,22 @@
 
 namespace pineroad::net {
 
-// The steady clock and the time of day; tests put simulated ones in their place, and step them.
+// Steady clock for Asio timers that also returns the time of day. Tests set and advance a simulated time.
 struct Clock {
     using duration = std::chrono::steady_clock::duration;
     using rep = duration::rep;
     using period = duration::period;
     using time_point = std::chrono::time_point<Clock>;
     static constexpr bool is_steady = true;
-    // The time that tests set; nothing: the real clocks count. Asio calls a clock's static functions only.
-    inline static std::optional<time_point> simulated_now;  // NOLINT: not constant, for the tests
-    // The steady clock's time.
+    // Simulated time, set by tests; without a value the real clocks are used. Static because Asio calls only
+    // static functions of a clock.
+    inline static std::optional<time_point> simulated_now;  // NOLINT: mutable, for tests
+    // Returns the steady clock's time.
     static time_point now() {
         return simulated_now ? *simulated_now
                              : time_point(std::chrono::steady_clock::now().time_since_epoch());
     }
-    // The time of day in milliseconds since 1970.
+    // Returns the time of day in milliseconds since the Unix epoch.
     static std::int64_t wall_ms() {
         const auto since_epoch =
             simulated_now
@@ -34,27 +35,27 @@
     }
 };
 
-// How long a timer sleeps before it looks at the clock again. The real clock stands still for a simulated
-// one: timers are looked at in every turn instead.
+// Asio's wait traits: how long the event loop may block before it checks a timer again. A duration of real
+// time says nothing about simulated time, so with a simulated clock timers are checked on every iteration.
 struct ClockTraits {
-    // Of a duration.
+    // Returns the time to block for a timer that expires after `duration`.
     static Clock::duration to_wait_duration(const Clock::duration& duration) {
         return Clock::simulated_now ? Clock::duration::zero() : duration;
     }
-    // Of the time until then.
+    // Returns the time to block for a timer that expires at `time`.
     static Clock::duration to_wait_duration(const Clock::time_point& time) {
         return to_wait_duration(time - Clock::now());
     }
 };
 using Timer = asio::basic_waitable_timer<Clock, ClockTraits>;
 
-// A number of seconds in the steady clock's units.
+// Converts seconds to a duration of the steady clock.
 inline std::chrono::steady_clock::duration seconds(double duration_s) {
     return std::chrono::duration_cast<std::chrono::steady_clock::duration>(
         std::chrono::duration<double>(duration_s));
 }
 
-// Suspends the coroutine for so many seconds.
+// Suspends the calling coroutine for `duration_s` seconds.
 awaitable<void> sleep_for(double duration_s);
 
 }  // namespace pineroad::net
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -1,4 +1,5 @@
-// Plain requests and replies, so that the rest of the code needs no HTTP library.
+// HTTP requests and replies as plain structs, so that the rest of the code does not depend on an HTTP
+// library.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -13,31 +14,31 @@
 
 namespace pineroad::net {
 
-// A request to this process. The target is path and query as they were sent.
+// A request to this process. `target` is the undecoded path and query.
 struct Request {
     std::string method, target, body;
 };
 
-// The answer to a request, of this process or to it.
+// The response to a request, sent or received by this process.
 struct Reply {
     int status = 0;
     std::string body;
-    int retry_after_s = 0;   // 0: no header
-    bool close = false;      // the connection ends with it
-    bool too_large = false;  // there was an answer, but more of it than is taken: the body is missing
+    int retry_after_s = 0;   // 0: no Retry-After header
+    bool close = false;      // close the connection after sending it
+    bool too_large = false;  // the received body exceeded the limit and was discarded
 };
 
-// Whoever can be asked over HTTP.
+// HTTP client of one endpoint.
 class Client {
    public:
     virtual ~Client() = default;
-    // The answer. Nothing: the outcome is unknown, since the request may or may not have been executed, and
-    // may yet be.
+    // Sends a request and returns the reply. Returns std::nullopt if none was received; the outcome is then
+    // unknown: the request may have been executed, may still be, or may never be.
     virtual awaitable<std::optional<Reply>> request(std::string method, std::string target, std::string body,
                                                     double timeout_s) = 0;
 };
 
-// Makes a client of an endpoint; tests put clients of simulated endpoints in their place.
+// Creates a client of an endpoint. Tests supply clients of simulated endpoints.
 using ClientFactory = std::function<std::unique_ptr<Client>(const config::Endpoint&)>;
 
 }  // namespace pineroad::net
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -17,21 +17,21 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 using asio::ip::tcp;
-using SteadyClock = std::chrono::steady_clock;  // of the sockets' own timers
+using SteadyClock = std::chrono::steady_clock;  // clock of the sockets' timers, never simulated
 using Stream = std::unique_ptr<beast::tcp_stream>;
 using HttpRequest = http::request<http::string_body>;
 
-// Shared by the client and its requests under way.
+// State shared by the client and its requests in flight.
 struct HttpClient::State {
     asio::any_io_executor executor;
     config::Endpoint endpoint;
     std::size_t max_body_bytes;
-    std::vector<Stream> idle_connections;    // kept-alive connections
-    std::size_t permits_in_use = 0;          // permits given out
-    std::list<asio::steady_timer*> waiting;  // requests without a permit, in the order of their arrival
+    std::vector<Stream> idle_connections;    // keep-alive connections, last used at the back
+    std::size_t permits_in_use = 0;          // number of live permits
+    std::list<asio::steady_timer*> waiting;  // timers of requests without a permit, oldest first
 
-    // One of the connections that the client may use at a time. Its end lets the longest waiting request go
-    // on.
+    // Permit to use one connection; the number of permits is limited. Its destructor wakes the request that
+    // has waited longest.
     class Permit {
        public:
         explicit Permit(State& state) : state_(state) { ++state_.permits_in_use; }
@@ -48,7 +48,7 @@
         State& state_;
     };
 
-    // Waits until a permit can be taken. False: too many wait already, or the time is over.
+    // Waits until a permit is available. Returns false if the queue is full or the deadline has passed.
     awaitable<bool> wait_for_permit(SteadyClock::time_point deadline) {
         while (permits_in_use >= constants::client_connections) {
             if (waiting.size() >= constants::client_queue || SteadyClock::now() >= deadline) co_return false;
@@ -60,7 +60,7 @@
         co_return true;
     }
 
-    // A new connection; null if it fails.
+    // Opens a new connection. Returns nullptr on failure.
     awaitable<Stream> connect(SteadyClock::time_point deadline) {
         auto stream = std::make_unique<beast::tcp_stream>(executor);
         const auto connect_deadline = SteadyClock::now() + seconds(constants::connect_timeout_s);
@@ -73,7 +73,7 @@
         co_return stream;
     }
 
-    // The connection used last; null if none is idle.
+    // Returns the most recently used idle connection, or nullptr if there is none.
     Stream take_idle_connection() {
         if (idle_connections.empty()) return nullptr;
         auto stream = std::move(idle_connections.back());
@@ -86,8 +86,8 @@
         idle_connections.push_back(std::move(stream));
     }
 
-    // One dead connection speaks for the others that idle: after an outage the next request must not meet
-    // them.
+    // Closes all idle connections after one connection failed: the others probably failed too, and the next
+    // request after an outage must not try them one by one.
     void close_idle_connections() { idle_connections.clear(); }
 
     [[nodiscard]] HttpRequest to_http_request(const std::string& method, const std::string& target,
@@ -103,8 +103,8 @@
         return http_request;
     }
 
-    // Sends the request and reads its answer. A connection that can be used again is taken back among the
-    // idle ones.
+    // Sends the request and reads the reply. A connection that can be reused is moved to the idle
+    // connections.
     awaitable<std::optional<Reply>> exchange(Stream& stream, const HttpRequest& http_request,
                                              SteadyClock::time_point deadline) {
         stream->expires_at(deadline);
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 client of one endpoint: a bounded pool of kept-alive connections and a bounded queue before it.
+// HTTP/1.1 client of one endpoint with a bounded pool of keep-alive connections and a bounded request queue.
 #pragma once
 
 #include <cstddef>
@@ -11,14 +11,15 @@
 
 namespace pineroad::net {
 
-// Client of one endpoint. Requests that are under way may outlive it.
+// Client of one endpoint. Requests in flight may outlive the client.
 class HttpClient : public Client {
    public:
-    // Connects to nothing yet. Answers with bodies of more than so many bytes are given as `too_large`.
+    // Opens no connection yet. A response body of more than `max_body_bytes` is discarded and reported by
+    // `Reply::too_large`.
     HttpClient(asio::any_io_executor executor, config::Endpoint endpoint, std::size_t max_body_bytes);
 
-    // Gives nothing also for a request that was not sent: the queue is full, no connection came free in time,
-    // or none could be made.
+    // Also returns std::nullopt for a request that was not sent, because the queue was full, no connection
+    // became free in time, or none could be opened.
     awaitable<std::optional<Reply>> request(std::string method, std::string target, std::string body,
                                             double timeout_s) override;
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -20,7 +20,7 @@
 namespace http = beast::http;
 using asio::ip::tcp;
 
-// Shared by the server and its connections.
+// State shared by the server and its connections.
 struct HttpServer::State {
     tcp::acceptor acceptor;
     config::Endpoint endpoint;
@@ -43,13 +43,15 @@
     return response;
 }
 
-// True for a parser's error; false for a peer that is gone or silent, which gets no answer.
+// Returns whether the error is a parse error, which is reported to the client. If the client closed the
+// connection or timed out, there is nobody to report it to.
 bool is_malformed(const boost::system::error_code& error) {
     return error.category() == http::make_error_code(http::error::end_of_stream).category() &&
            error != http::error::end_of_stream && error != http::error::partial_message;
 }
 
-// Answers what can't be read as a request, under the timeout that is set. The connection ends with it.
+// Sends an error response to a request that could not be read. The caller sets the stream's timeout before
+// and closes the connection afterwards.
 awaitable<void> reject(beast::tcp_stream& stream, const boost::system::error_code& error) {
     const bool body_too_large = error == http::error::body_limit;
     const char* const body =
@@ -59,13 +61,14 @@
     co_await http::async_write(stream, response, use_nothrow_awaitable);
 }
 
-// The class of one connection.
+// Tracks whether a connection is prioritized or ordinary, and counts it while it is ordinary.
 class ConnectionClass {
    public:
     ConnectionClass(const HttpServer::Limits& limits, std::size_t& ordinary_connections)
         : limits_(limits), ordinary_connections_(ordinary_connections), idle_s_(limits.first_request_s) {}
 
-    // Takes on the class of the connection's latest request. False: that class has no room.
+    // Assigns the connection to the class of its latest request. Returns false if the limit of ordinary
+    // connections is reached.
     bool admit(const std::string& target) {
         bool admitted = true;
         if (limits_.is_prioritized(target)) {
@@ -77,17 +80,18 @@
         idle_s_ = ordinary_slot_ ? limits_.ordinary_idle_s : limits_.prioritized_idle_s;
         return admitted;
     }
-    // How long the connection may wait for its next request.
+    // Returns how long the connection may wait for its next request, in seconds.
     [[nodiscard]] double idle_s() const { return idle_s_; }
 
    private:
     const HttpServer::Limits& limits_;
     std::size_t& ordinary_connections_;
-    std::optional<ScopedCount> ordinary_slot_;  // among the ordinary connections
+    std::optional<ScopedCount> ordinary_slot_;  // set while the connection is ordinary
     double idle_s_;
 };
 
-// Serves one connection. The idle wait covers the first byte; a slow or endless body meets its own timeout.
+// Serves one connection. The idle timeout covers the wait for a request and its header; the body has a
+// timeout of its own, so that a slow or endless one is cut off.
 awaitable<void> serve_connection(tcp::socket socket, const HttpServer::Limits& limits,
                                  std::size_t& ordinary_connections, const HttpServer::Handler& handler) {
     ConnectionClass connection_class(limits, ordinary_connections);
@@ -117,7 +121,7 @@
         auto http_request = parser.release();
         const bool keep_alive = http_request.keep_alive();
         stream.expires_never();
-        // A named object: GCC 12 destroys a braced temporary twice inside a co_await expression.
+        // Named because GCC 12 destroys a braced temporary inside a co_await expression twice.
         Request request{std::string(http_request.method_string()), std::string(http_request.target()),
                         std::move(http_request.body())};
         Reply reply;
@@ -164,7 +168,7 @@
             continue;
         }
         if (state->connections >= state->limits.connections) {
-            // Closed at once rather than queued: the balancer turns to another node.
+            // Closed immediately instead of queued, so that the load balancer tries another controller.
             boost::system::error_code ignored;
             socket.close(ignored);
             continue;
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -1,4 +1,5 @@
-// HTTP/1.1 server on one address: keep-alive connections, one request at a time on each, everything bounded.
+// HTTP/1.1 server on one address: keep-alive connections without pipelining; connections, request sizes and
+// idle times are limited.
 #pragma once
 
 #include <cstddef>
@@ -12,39 +13,39 @@
 
 namespace pineroad::net {
 
-// Server on one address. Its connections may outlive it.
+// Server on one address. Connections may outlive the server.
 class HttpServer {
    public:
-    // Answers a request. An exception that it throws closes the connection.
+    // Handles a request and returns the reply. An exception closes the connection.
     using Handler = std::function<awaitable<Reply>(Request)>;
 
-    // Two classes share the connections, prioritized and ordinary ones, so that many of one leave room for
-    // the other. A connection is of the class of its latest request.
+    // Limits of the connections. Connections belong to one of two classes, prioritized or ordinary, depending
+    // on their latest request. The separate limit of ordinary ones leaves room for prioritized ones.
     struct Limits {
-        std::size_t connections = 0;  // of both classes and of those that have not asked yet
-        std::size_t max_ordinary_connections =
-            SIZE_MAX;  // of these: beyond, a request gets `make_rejection` and the connection ends
-        // A connection without a request for so long is closed: before its first one, and then by its class.
+        std::size_t connections = 0;  // in total, including those without a request so far
+        std::size_t max_ordinary_connections = SIZE_MAX;  // maximum of the ordinary ones among these
+        // Longest time to wait for the first request of a connection, and for the next one by class. The
+        // connection is closed afterwards.
         double first_request_s = 0, prioritized_idle_s = 0, ordinary_idle_s = 0;
-        // Whether a request with that target is prioritized.
+        // Returns whether requests with this target are prioritized.
         std::function<bool(const std::string& target)> is_prioritized = [](const std::string&) {
             return true;
         };
-        // The answer to a request beyond the ordinary ones.
+        // Returns the reply to an ordinary request over the limit.
         std::function<Reply()> make_rejection = [] { return Reply{503, {}, 1, true}; };
     };
 
-    // Binds to nothing yet. Port 0 takes any that is free.
+    // Does not bind yet. Port 0 selects any free port.
     HttpServer(const asio::any_io_executor& executor, config::Endpoint endpoint, Limits limits,
                Handler handler);
-    // Binds and serves until the process ends. Throws when the address can't be bound.
+    // Binds the address and serves until the process ends. Throws if the address cannot be bound.
     void start();
-    // The port that it is bound to.
+    // Returns the port that the server is bound to.
     [[nodiscard]] std::uint16_t port() const;
 
    private:
     struct State;
-    // Accepts connections, and spawns the serving of each, until the process ends.
+    // Accepts connections and spawns a coroutine for each until the process ends.
     static awaitable<void> accept_connections(std::shared_ptr<State> state);
     std::shared_ptr<State> state_;
 };
--- a/src/net/notification.hpp
+++ b/src/net/notification.hpp
@@ -1,4 +1,4 @@
-// Wakes coroutines that wait for something to change. One thread, no locks.
+// Wakes coroutines that wait for a change. Single-threaded, without locks.
 #pragma once
 
 #include <boost/asio/this_coro.hpp>
@@ -8,17 +8,17 @@
 
 namespace pineroad::net {
 
-// A condition variable for coroutines. It must outlive those that wait for it.
+// A condition variable for coroutines. It must outlive the coroutines that wait for it.
 class Notification {
    public:
-    // Suspends the coroutine until the next notify(), or for at most so many seconds.
+    // Suspends the calling coroutine until the next notify(), or for at most `timeout_s` seconds.
     awaitable<void> wait(double timeout_s) {
         Timer timer(co_await asio::this_coro::executor, seconds(timeout_s));
         const auto position = waiting_.insert(waiting_.end(), &timer);
         co_await timer.async_wait(use_nothrow_awaitable);
         waiting_.erase(position);
     }
-    // Wakes all that wait now; whoever waits later is not woken.
+    // Wakes all coroutines that are waiting now; later wait() calls are not affected.
     void notify() {
         for (auto* timer : waiting_) timer->cancel();
     }
--- a/src/net/scoped_count.hpp
+++ b/src/net/scoped_count.hpp
@@ -1,17 +1,18 @@
-// Counts operations under way.
+// Counts operations in flight.
 #pragma once
 
 #include <cstddef>
 
 namespace pineroad::net {
 
-// Adds one to a count while it lives. The count must outlive it.
+// Increments a counter when it is created and decrements it when it is destroyed. The counter must outlive
+// it.
 class ScopedCount {
    public:
-    // Counts in that variable.
+    // Counts one operation in `count`.
     explicit ScopedCount(std::size_t& count) : count_(count) { ++count_; }
     ~ScopedCount() { --count_; }
-    // A copy would take off more than it added.
+    // Not copyable: a copy would decrement the counter without having incremented it.
     ScopedCount(const ScopedCount&) = delete;
     ScopedCount& operator=(const ScopedCount&) = delete;
     ScopedCount(ScopedCount&&) = delete;
--- a/src/net/socket_budget.cpp
+++ b/src/net/socket_budget.cpp
@@ -12,7 +12,7 @@
     const auto total_sockets = static_cast<std::size_t>(settings.max_sockets);
     const auto peers = std::max<std::size_t>(1, settings.peers.size());
     const auto user_sockets = static_cast<std::size_t>(static_cast<double>(total_sockets) * c::user_share);
-    // Where there are few, no use beside users and workers gets more than an eighth.
+    // With few sockets, each of the other uses gets at most an eighth, so that users and workers keep most.
     const auto eighth = total_sockets / 8;
     SocketBudget out;
     out.users = std::max<std::size_t>(2, user_sockets);
--- a/src/wire/category_averages_record.hpp
+++ b/src/wire/category_averages_record.hpp
@@ -1,4 +1,4 @@
-// Record of the running averages of slowdown.
+// Record of the average slowdown of each job category.
 //
 //   pr/live/means   {category: [mean, number of jobs], ...}
 #pragma once
@@ -8,9 +8,9 @@
 
 namespace pineroad::wire::records {
 
-// The averages' record.
+// Returns the record of the averages.
 Json category_averages_json(const model::CategoryAverages& averages);
-// The reverse. Categories that are malformed are left out: their averages begin anew.
+// Parses the record. Malformed categories are skipped: their averages start over.
 model::CategoryAverages parse_category_averages(const Json& value);
 
 }  // namespace pineroad::wire::records
--- a/src/wire/cloud_protocol.cpp
+++ b/src/wire/cloud_protocol.cpp
@@ -14,7 +14,7 @@
 
 namespace json = boost::json;
 
-// For optional fields of a machine type.
+// Defaults for the optional fields of a machine type.
 constexpr double default_fetch_gb_per_s = 1;
 constexpr double default_price = 1;
 constexpr double default_boot_s = 60;
@@ -24,7 +24,7 @@
                                                    {"running", model::MachineStatus::running},
                                                    {"failed", model::MachineStatus::failed}});
 
-// Strings, each of which must be one; nothing if there is no list or something else in it.
+// Parses a list of strings. Returns std::nullopt if `list` is null or contains anything but strings.
 std::optional<std::vector<std::string>> parse_strings(const json::array* list) {
     if (!list) return std::nullopt;
     std::vector<std::string> out;
--- a/src/wire/cloud_protocol.hpp
+++ b/src/wire/cloud_protocol.hpp
@@ -6,17 +6,17 @@
 //   Breeds, Name                       machine types, name of one
 //   Vcpus, Accelerators, MemGb         capacity of a machine: CPUs, GPUs, memory
 //   CacheGb, PullGbPerS                image cache, rate of image fetches
-//   Hourly, MarketPrice                price an hour, that of a spot instance now
-//   StartupS                           usual boot time, in seconds
+//   Hourly, MarketPrice                hourly price, current hourly price as a spot instance
+//   StartupS                           typical boot time in seconds
 //   Yards                              zones where the type exists
-//   Hire                               name of a provisioning request, which makes it idempotent
-//   Breed, Yard, Loaners, Count        machine type, zone, spot instances, how many
+//   Hire                               name of a provisioning request, which serves as idempotency key
+//   Breed, Yard, Loaners, Count        machine type, zone, whether spot instances, number of machines
 //   Hosts                              machines
-//   NameId, Address                    machine, its address
+//   NameId, Address                    name and address of a machine
 //   Status, HeldS                      machine status (booting, running, failed), age in seconds
-//   Since, Page, Truncated             list after this machine, of at most so many, more follow
+//   Since, Page, Truncated             machine after which the page starts, page size, whether more follow
 //
-// Each reader gives nothing if the answer is malformed; its caller then asks again, as after no answer.
+// Parsers return std::nullopt for a malformed response; callers then retry as after a missing response.
 #pragma once
 
 #include <optional>
@@ -33,32 +33,32 @@
 inline constexpr std::string_view machines_path = "/machines";
 inline constexpr std::string_view release_path = "/machines/release";
 
-// The cloud's machine types; nothing if malformed. Stored records hold them in the same form.
+// Parses the list of machine types. The store's record of machine types has the same form.
 std::optional<std::vector<model::MachineType>> parse_machine_types(const Json& document);
 
-// The reverse.
+// Returns the document that parse_machine_types() reads.
 Json machine_types_json(const std::vector<model::MachineType>& types);
 
-// Body of a request for machines.
+// Returns the body of a request to provision machines.
 std::string provisioning_request(const model::ProvisioningRequest& request);
 
-// Names of the machines that were provisioned; nothing if malformed.
+// Returns the names of the machines that were provisioned.
 std::optional<std::vector<std::string>> parse_provisioned_machines(std::string_view body);
 
-// Body of a request to release these machines.
+// Returns the body of a request to release the machines.
 std::string release_request(const std::vector<std::string>& machines);
 
-// Target of a request for at most `page_size` machines after the named one, or, if the name is empty, from
-// the first on.
+// Returns the target of a request for at most `page_size` machines, starting after the machine `after`, or
+// with the first one if `after` is empty.
 std::string machine_list_target(std::string_view after, int page_size);
 
-// One page of the machines, in the order of their names.
+// One page of the list of machines, sorted by name.
 struct MachineList {
     std::vector<model::ListedMachine> machines;
-    bool truncated = false;  // more follow
+    bool truncated = false;  // whether more machines follow
 };
 
-// A page of the list; nothing if malformed.
+// Parses one page of the list of machines.
 std::optional<MachineList> parse_machine_list(std::string_view body);
 
 }  // namespace pineroad::wire
--- a/src/wire/enum_names.hpp
+++ b/src/wire/enum_names.hpp
@@ -1,4 +1,4 @@
-// Enumerations on the wire: tables of a value's name, read in both directions.
+// Tables that map enumeration values to their names on the wire and back.
 #pragma once
 
 #include <array>
@@ -9,18 +9,19 @@
 
 namespace pineroad::wire {
 
-// One row of a table: a value and its name on the wire.
+// One table row: an enumeration value and its name on the wire.
 template <class Enum>
 struct EnumName {
     std::string_view name;
     Enum value;
 };
 
-// All rows of an enumeration; std::to_array makes it.
+// All names of an enumeration, built with std::to_array.
 template <class Enum, std::size_t Size>
 using EnumTable = std::array<EnumName<Enum>, Size>;
 
-// The value of that name; nothing if there is no name or the table doesn't know it.
+// Returns the value with the given name; std::nullopt if there is no name or the table does
+// not contain it.
 template <class Enum, std::size_t Size>
 std::optional<Enum> value_of(const EnumTable<Enum, Size>& table, const std::optional<std::string>& name) {
     if (!name) return std::nullopt;
@@ -30,7 +31,7 @@
     return std::nullopt;
 }
 
-// The name of that value; empty if the table doesn't hold it.
+// Returns the name of the value; an empty string if the value is not in the table.
 template <class Enum, std::size_t Size>
 std::string_view name_of(const EnumTable<Enum, Size>& table, Enum value) {
     for (const auto& row : table) {
--- a/src/wire/field_names.hpp
+++ b/src/wire/field_names.hpp
@@ -1,6 +1,6 @@
-// The protocol's names of JSON fields and of query parameters, each mapped once to the term that the code
-// uses for it. Internal to src/wire: other folders see no name of the wire. The names of enumerated values
-// stand in the tables of the protocol that uses them, and paths in its header.
+// Names of the JSON fields and query parameters on the wire, under the terms that the code uses for them.
+// Internal to src/wire: code in other folders never uses wire names. Names of enumeration values are defined
+// in the source file of the protocol that uses them, paths in its header or source file.
 #pragma once
 
 #include <string_view>
@@ -9,10 +9,10 @@
 
 using Name = std::string_view;
 
-// Jobs, tasks and machines, in several protocols.
+// Jobs, tasks and machines: shared by several protocols.
 inline constexpr Name id = "NameId";
 inline constexpr Name status = "Status";
-inline constexpr Name tasks = "Pieces";  // how many in a submission, which ones in a heartbeat
+inline constexpr Name tasks = "Pieces";  // a number in a submission, a list in a heartbeat
 inline constexpr Name cpus = "Vcpus";
 inline constexpr Name gpus = "Accelerators";
 inline constexpr Name memory_gb = "MemGb";
@@ -66,7 +66,7 @@
 inline constexpr Name machine_count = "Count";
 inline constexpr Name machines = "Hosts";
 inline constexpr Name machine_age_s = "HeldS";
-inline constexpr Name truncated = "Truncated";  // of the store's lists too
+inline constexpr Name truncated = "Truncated";  // also in the store's row lists
 
 // Consensus-backed key-value store.
 inline constexpr Name key = "Key";
@@ -88,7 +88,7 @@
 namespace pineroad::wire::query_name {
 
 inline constexpr std::string_view prefix = "Under";
-inline constexpr std::string_view after = "Since";  // a machine, a key or a revision
+inline constexpr std::string_view after = "Since";  // a machine name, key or revision
 inline constexpr std::string_view page_size = "Page";
 inline constexpr std::string_view block_ms = "BlockMs";
 
--- a/src/wire/field_reader.hpp
+++ b/src/wire/field_reader.hpp
@@ -1,5 +1,5 @@
-// Reads the fields of a request one by one into plain data and keeps the first problem it meets, so that the
-// reading of a large request is a list of fields.
+// Reads and validates the fields of a request one by one and keeps the first error, so that callers need not
+// check after every field.
 #pragma once
 
 #include <boost/json/object.hpp>
@@ -15,38 +15,40 @@
 
 namespace pineroad::wire {
 
-// Reader of one object, which must outlive it. A field that is missing or invalid leaves its destination
-// unchanged. Keys are literals: the problem refers to them.
+// Reads the fields of one JSON object, which must outlive the reader. A missing or invalid field leaves its
+// destination unchanged. Keys must be string literals, because the error refers to them.
 class FieldReader {
    public:
-    // Reads from that object.
+    // Creates a reader of the object's fields.
     explicit FieldReader(const boost::json::object& object) : object_(object) {}
 
-    // A string of 1 to constants::max_text bytes.
+    // Reads a string of 1 to constants::max_text bytes.
     void read_text(std::string_view key, std::string& into);
-    // A finite number, not negative.
+    // Reads a finite, non-negative number.
     void read_amount(std::string_view key, double& into);
-    // True or false.
+    // Reads a Boolean.
     void read_flag(std::string_view key, bool& into);
-    // An integer within the bounds, both included.
+    // Reads an integer from `min` to `max`, both inclusive.
     void read_count(std::string_view key, std::uint32_t min, std::uint32_t max, std::uint32_t& into);
-    // A name of the table.
+    // Reads a name that the table contains.
     template <class Enum, std::size_t Size>
     void read_enum(std::string_view key, const EnumTable<Enum, Size>& table, Enum& into) {
         const auto value = value_of(table, read::text(object_, key));
         if (!value) return reject(key);
         into = *value;
     }
-    // As read_text, but null and missing are valid and leave nothing.
+    // Reads a string as read_text() does, but accepts a missing or null field and then leaves `into`
+    // unchanged.
     void read_optional_text(std::string_view key, std::optional<std::string>& into);
-    // As read_amount, but null and missing are valid and leave nothing.
+    // Reads a number as read_amount() does, but accepts a missing or null field and then leaves `into`
+    // unchanged.
     void read_optional_amount(std::string_view key, std::optional<double>& into);
 
-    // The field's value for a reader of the caller's own; null where the field is missing or JSON's null.
+    // Returns the field's value for callers that parse it themselves; nullptr if it is missing or JSON null.
     [[nodiscard]] const Json* field(std::string_view key) const { return read::field(object_, key); }
-    // Takes the field for missing or invalid. Later problems are not kept.
+    // Records that the field is missing or invalid, unless an earlier error was recorded.
     void reject(std::string_view key);
-    // The first problem met so far.
+    // Returns the first error so far.
     [[nodiscard]] const std::optional<InvalidRequest>& error() const { return error_; }
 
    private:
--- a/src/wire/format_record.hpp
+++ b/src/wire/format_record.hpp
@@ -1,6 +1,6 @@
-// Record of the format that records may be written in.
+// Record of the format that every controller can read.
 //
-//   pr/live/format   {"format": number, "controllers": [names of the controllers that were seen to read it]}
+//   pr/live/format   {"format": number, "controllers": [names of the controllers known to read it]}
 #pragma once
 
 #include <cstdint>
@@ -12,13 +12,13 @@
 
 namespace pineroad::wire::records {
 
-// The record format that this version reads and, once every controller does, writes. Version 0.4 knows 1
-// only.
+// Latest record format that this version reads. It is written only once every controller is known to read
+// it: version 0.4 reads only format 1.
 inline constexpr std::uint64_t record_format = 2;
 
-// Record of the controllers that read this version's format.
+// Returns the record of the controllers that read this version's format.
 Json format_json(const std::set<std::string>& controllers);
-// The reverse; nothing if it is malformed or of an earlier format.
+// Parses the record. Returns std::nullopt if it is malformed or of an earlier format.
 std::optional<std::set<std::string>> parse_format(const Json& value);
 
 }  // namespace pineroad::wire::records
--- a/src/wire/invalid_request.hpp
+++ b/src/wire/invalid_request.hpp
@@ -1,4 +1,4 @@
-// Why the body of a request is answered with 400: the error of the readers of requests, and its text.
+// Error type of the request parsers: the reason for a response with status 400.
 #pragma once
 
 #include <boost/system/result.hpp>
@@ -7,23 +7,24 @@
 
 namespace pineroad::wire {
 
-// What is wrong with the body of a request, and with which of its fields.
+// Describes what is wrong with the body of a request, and in which field.
 struct InvalidRequest {
-    // The first three tell of the whole body and name no field; the third is either of the first two.
+    // The first three concern the whole body and name no field. not_a_json_object does not distinguish
+    // between the first two.
     enum class Kind { not_json, not_an_object, not_a_json_object, missing, invalid, missing_or_invalid };
 
     Kind kind = Kind::not_json;
-    std::string_view field = {};  // a literal with the wire's name; empty: one of several
+    std::string_view field = {};  // wire name (a string literal); empty if one of several
 
-    // The reason in one line, as it is told to whoever sent the request.
+    // Returns the one-line message that is sent to the client.
     [[nodiscard]] std::string message() const;
 };
 
-// What was read from a request's body, or why it can't be read.
+// The value parsed from a request's body, or the error.
 template <class T>
 using Parsed = boost::system::result<T, InvalidRequest>;
 
-// Called by result::value() in the place of a missing value: throws std::invalid_argument with the text.
+// Called by result::value() if there is no value. Throws std::invalid_argument with the error's message.
 [[noreturn]] void throw_exception_from_error(const InvalidRequest& error,
                                              const boost::source_location& location);
 
--- a/src/wire/job_id.hpp
+++ b/src/wire/job_id.hpp
@@ -1,4 +1,4 @@
-// Names of jobs and of their tasks, as users choose them and workers report them.
+// Job ids, which users choose, and task names, which workers report.
 #pragma once
 
 #include <optional>
@@ -9,14 +9,14 @@
 
 namespace pineroad::wire {
 
-// True for "j-" and 1 to 38 letters or digits.
+// Returns whether the id is "j-" followed by 1 to 38 letters or digits.
 bool valid_job_id(std::string_view id);
 
-// The task's name: the job's id, a slash, and the task's index.
+// Returns the task's name: the job's id, a slash and the task's index.
 std::string task_name(const model::TaskId& task);
 
-// The reverse; nothing if the job's id is not valid, or the index is not a decimal number below
-// constants::max_tasks.
+// Parses a task's name. Returns std::nullopt if the job's id is not valid, or the index is not a decimal
+// number below constants::max_tasks.
 std::optional<model::TaskId> parse_task_name(std::string_view name);
 
 }  // namespace pineroad::wire
--- a/src/wire/job_record.cpp
+++ b/src/wire/job_record.cpp
@@ -13,7 +13,7 @@
 
 namespace json = boost::json;
 
-constexpr std::string_view job_id_prefix = "j-";  // that all ids share, and records leave out
+constexpr std::string_view job_id_prefix = "j-";  // common to all ids, omitted in records
 
 constexpr auto last_shape = static_cast<std::uint64_t>(model::Shape::service);
 constexpr auto last_priority = static_cast<std::uint64_t>(model::Priority::low);
@@ -37,7 +37,7 @@
     return out;
 }
 
-// The end of the longest run of ids from `first` on whose text fits into so many bytes.
+// Returns the end of the longest run of ids, starting at index `first`, whose text fits into `max_bytes`.
 std::size_t end_of_fitting_ids(const std::vector<std::string>& ids, std::size_t first,
                                std::size_t max_bytes) {
     std::size_t last = first;
@@ -47,7 +47,7 @@
     return last;
 }
 
-// What was not given, or is none, stands in no field.
+// Adds the fields that are omitted when they are not set.
 void add_optional_fields(json::object& out, const model::JobSpec& spec) {
     if (spec.allowed_machine_types) {
         json::array types;
@@ -96,7 +96,7 @@
 
 std::optional<JobRecords> job_records(const model::JobSpec& spec, std::size_t max_value_bytes,
                                       std::size_t max_dependency_records) {
-    constexpr std::size_t list_frame_bytes = 16;  // of a list: its key, quotes and separators
+    constexpr std::size_t list_frame_bytes = 16;  // key, quotes and separators of a dependency list
     const auto& ids = spec.dependencies;
     model::JobSpec own_spec = spec;
     own_spec.dependencies.clear();
@@ -135,7 +135,7 @@
     spec.job_class = *job_class;
     spec.team = *team;
     spec.image = *image;
-    // Without a shape: an array. A shape that this version doesn't know counts as its last one.
+    // A missing shape means a job array. A shape unknown to this version is treated as the last known one.
     spec.shape = static_cast<model::Shape>(std::min(read::count(*object, "shape").value_or(0), last_shape));
     spec.priority = static_cast<model::Priority>(*priority);
     spec.task_count = static_cast<std::uint32_t>(*task_count);
--- a/src/wire/job_record.hpp
+++ b/src/wire/job_record.hpp
@@ -7,17 +7,17 @@
 //                     "need": resources of each task,
 //                     "gb": size of the image,
 //                     "one_zone", "spread", "spot": true or false,
-//                     "est", "ckpt", "save": estimated run time, checkpoint interval and duration of saving
-//                     a checkpoint, in seconds,
+//                     "est", "ckpt", "save": estimated run time, checkpoint interval and time to save a
+//                     checkpoint, in seconds,
 //                     "at": time of acceptance in milliseconds,
 //                     "types", "zone", "due": allowed machine types, required zone and deadline in seconds,
-//                     each only if the user gave it,
+//                     each only if the user set it,
 //                     "after": dependencies, only if there are any,
 //                     "more": number of dependency records, only if there are any}
 //   pr/live/w/ID/N   {"after": further dependencies}
 //
-// Dependencies are one text: ids without their common "j-", separated by blanks. A record holds twice as many
-// of these as of an array.
+// Dependencies are stored as one string of ids without their common prefix "j-", separated by spaces. A
+// record holds twice as many ids in this form as in a JSON array.
 #pragma once
 
 #include <cstddef>
@@ -30,24 +30,26 @@
 
 namespace pineroad::wire::records {
 
-// The job's record with its whole list of dependencies.
+// Returns the job's record with its complete list of dependencies.
 Json job_json(const model::JobSpec& spec);
 
-// The same in several values: the job's own record, and those that hold the end of its list of dependencies.
+// A job split into several values: the job's own record, and the dependency records that hold the rest of a
+// long list of dependencies.
 struct JobRecords {
     Json job;
     std::vector<Json> dependencies;
 };
 
-// The job in values of at most so many bytes each; nothing if it takes more than so many dependency records.
+// Splits the job into values of at most `max_value_bytes` each. Returns std::nullopt if that takes more than
+// `max_dependency_records` dependency records, or if the other fields alone exceed a value.
 std::optional<JobRecords> job_records(const model::JobSpec& spec, std::size_t max_value_bytes,
                                       std::size_t max_dependency_records);
 
-// The job of its own record; nothing if malformed. The end of a long list of dependencies is missing still:
-// the records that `dependency_records` counts hold it.
+// Parses the job's own record. Returns std::nullopt if it is malformed. If `dependency_records` is not 0, the
+// rest of the list of dependencies is in that many dependency records.
 std::optional<model::JobSpec> parse_job(const std::string& id, const Json& value);
 
-// The ids of one dependency record; nothing if malformed.
+// Returns the ids in one dependency record; std::nullopt if it is malformed.
 std::optional<std::vector<std::string>> parse_dependencies(const Json& value);
 
 }  // namespace pineroad::wire::records
--- a/src/wire/json_reader.hpp
+++ b/src/wire/json_reader.hpp
@@ -1,6 +1,5 @@
-// Strict reading of JSON: each function gives a value of exactly the asked kind, or nothing. A field that is
-// null counts as missing, and fields that nobody asks for are ignored. Shared by the protocols and by the
-// service's own records.
+// Strictly typed access to JSON: each function returns a value of exactly the requested type, or nothing. A
+// null field counts as missing; unknown fields are ignored. Used by the protocols and the stored records.
 #pragma once
 
 #include <boost/json/object.hpp>
@@ -14,28 +13,30 @@
 
 using Json = boost::json::value;
 
-// The document; nothing if the text is not JSON.
+// Parses a JSON document. Returns std::nullopt if the text is not valid JSON.
 std::optional<Json> parse_json(std::string_view text);
-// The document as an object; nothing if the text is not JSON or not an object.
+// Parses a JSON object. Returns std::nullopt if the text is not valid JSON or not an object.
 std::optional<boost::json::object> parse_object(std::string_view text);
 
 namespace read {
 
-// The field's value, or null where the field is missing or JSON's null.
+// Returns the field's value; nullptr if the field is missing or JSON null.
 const Json* field(const boost::json::object& object, std::string_view key);
-// The field's value as an array, or null where the field is missing or something else.
+// Returns the field's value as an array; nullptr if the field is missing or not an array.
 const boost::json::array* list(const boost::json::object& object, std::string_view key);
-// A finite number of any form.
+// Returns the value as a number, whether it is stored as an integer or as a double. Returns std::nullopt if
+// `value` is null, not a number or not finite.
 std::optional<double> number(const Json* value);
-// The same of a field.
+// Returns the field's value as a number, in the same way.
 std::optional<double> number(const boost::json::object& object, std::string_view key);
-// An integer from 0 to 2^64 - 1.
+// Returns the value as an unsigned integer; std::nullopt if `value` is null or not an integer from 0 to
+// 2^64 - 1.
 std::optional<std::uint64_t> count(const Json* value);
-// The same of a field.
+// Returns the field's value as an unsigned integer, in the same way.
 std::optional<std::uint64_t> count(const boost::json::object& object, std::string_view key);
-// A string, which may be empty.
+// Returns the field's value as a string, which may be empty; std::nullopt if it is missing or not a string.
 std::optional<std::string> text(const boost::json::object& object, std::string_view key);
-// True or false.
+// Returns the field's value as a Boolean; std::nullopt if it is missing or not a Boolean.
 std::optional<bool> flag(const boost::json::object& object, std::string_view key);
 
 }  // namespace read
--- a/src/wire/leadership_records.hpp
+++ b/src/wire/leadership_records.hpp
@@ -1,10 +1,10 @@
-// Records of leadership.
+// Records of the leader and of the latest term.
 //
-//   pr/live/leader   {"node": controller, "token": fencing token, "lease": its lease,
-//                     "nonce": random number of its election}
-//   pr/live/term     {"token": last fencing token}
+//   pr/live/leader   {"node": controller, "token": fencing token, "lease": the controller's lease,
+//                     "nonce": random number of the election attempt}
+//   pr/live/term     {"token": latest fencing token}
 //
-// Readers give nothing if the value is malformed: it then counts as absent.
+// Parsers return std::nullopt for a malformed value, which callers treat as absent.
 #pragma once
 
 #include <cstdint>
@@ -15,20 +15,21 @@
 
 namespace pineroad::wire::records {
 
-// Who leads. The random nonce tells the controller's own attempts apart when an answer was lost.
+// The current leader. If the response to an election attempt is lost, the random nonce tells the controller
+// whether the record was written by that attempt.
 struct Leader {
     std::string node;
     std::uint64_t fencing_token = 0, lease = 0, nonce = 0;
 };
 
-// The leader's record.
+// Returns the leader's record.
 Json leader_json(const Leader& leader);
-// The reverse; nothing if malformed.
+// Parses the leader's record.
 std::optional<Leader> parse_leader(const Json& value);
 
-// Record of the last fencing token.
+// Returns the record of the latest fencing token.
 Json term_json(std::uint64_t fencing_token);
-// The reverse; nothing if malformed.
+// Parses the record of the latest fencing token.
 std::optional<std::uint64_t> parse_term(const Json& value);
 
 }  // namespace pineroad::wire::records
--- a/src/wire/outcome_record.hpp
+++ b/src/wire/outcome_record.hpp
@@ -1,4 +1,4 @@
-// Record of a job that ended.
+// Record of a finished job.
 //
 //   pr/final/ID   {"f": "done" or "cancelled", "at": time of day in milliseconds (since version 0.5)}
 #pragma once
@@ -10,9 +10,9 @@
 
 namespace pineroad::wire::records {
 
-// The outcome's record.
+// Returns the record of the outcome.
 Json outcome_json(const model::JobOutcome& outcome);
-// The reverse; nothing if malformed.
+// Parses the record. Returns std::nullopt if it is malformed.
 std::optional<model::JobOutcome> parse_outcome(const Json& value);
 
 }  // namespace pineroad::wire::records
--- a/src/wire/peer_protocol.cpp
+++ b/src/wire/peer_protocol.cpp
@@ -8,7 +8,7 @@
 namespace pineroad::wire {
 namespace {
 
-// The fields that hold one number each, and whether every version sends them. Names are the wire's.
+// A field that holds one number. `name` is the wire name; a required field is sent by every version.
 struct NumberField {
     std::string_view name;
     std::uint64_t PeerMessage::*member;
@@ -29,7 +29,7 @@
 };
 constexpr TextField node_field{"node", &PeerMessage::node};
 constexpr TextField leader_field{"leader", &PeerMessage::leader};
-constexpr std::array text_fields{&node_field, &leader_field};  // required, all of them
+constexpr std::array text_fields{&node_field, &leader_field};  // all required
 
 struct FlagField {
     std::string_view name;
@@ -60,7 +60,7 @@
 
 void add(cbor_item_t* map, std::string_view name, const CborItem& value) {
     const CborItem key = text_item(name);
-    (void)!cbor_map_add(map, {key.get(), value.get()});  // the map takes its own references
+    (void)!cbor_map_add(map, {key.get(), value.get()});  // the map takes its own references to both
 }
 
 void add(cbor_item_t* map, const NumberField& field, const PeerMessage& message) {
@@ -131,7 +131,7 @@
     return true;
 }
 
-// What one field of a message turned out to be.
+// Result of reading one field of a message.
 enum class FieldStatus { malformed, required, optional, unknown };
 
 FieldStatus field_status(bool well_formed, bool required) {
--- a/src/wire/progress_record.hpp
+++ b/src/wire/progress_record.hpp
@@ -1,10 +1,11 @@
-// Record of a job's progress, and of a shard's. It is an entry of a segment (segment_record.hpp).
+// Record of the progress of a job or of one of its shards, stored as an entry of a segment
+// (segment_record.hpp).
 //
-//   {"d": [[first, last], ...] tasks that are done, "r": [[task, attempt, machine], ...] placements,
-//    "n": next attempt, "c": true if it covers one shard only,
-//    "s": run time in seconds kept by checkpoints, "w": resources of each task, "t": team}
+//   {"d": [[first, last], ...] ranges of completed tasks, "r": [[task, attempt, machine], ...] placements,
+//    "n": next attempt, "c": true if the entry covers only one shard,
+//    "s": run time in seconds saved by checkpoints, "w": resources of each task, "t": team}
 //
-// "s", "w" and "t" speak of the whole job: entries of shards other than 0 leave them out.
+// "s", "w" and "t" apply to the whole job: only the entry of shard 0 contains them.
 #pragma once
 
 #include <compare>
@@ -18,22 +19,23 @@
 
 namespace pineroad::wire::records {
 
-// The entry of a job, or of one shard of its tasks: on the wire "ID" for shard 0 and "ID#SHARD" for the
-// others.
+// Identifies the entry of a job, or of one shard of its tasks. The stored name is "ID" for shard 0 and
+// "ID#SHARD" for the other shards.
 struct EntryName {
     std::string job;
     std::uint32_t shard = 0;
     auto operator<=>(const EntryName&) const = default;
 };
 
-// The name on the wire.
+// Returns the stored name of the entry.
 std::string entry_name(const EntryName& entry);
-// The reverse; nothing if what follows the mark is no shard number above 0.
+// Parses a stored name. Returns std::nullopt if the "#" is not followed by a shard number above 0.
 std::optional<EntryName> parse_entry_name(std::string_view name);
 
-// The progress as the entry of that shard.
+// Returns the record of the progress as the entry of the given shard.
 Json progress_json(const model::Progress& progress, std::uint32_t shard = 0);
-// The reverse; nothing if malformed, or if the entry covers a whole job and lacks its team or resources.
+// Parses the record. Returns std::nullopt if it is malformed, or if it covers a whole job but lacks the team
+// or the resources.
 std::optional<model::Progress> parse_progress(const Json& value);
 
 }  // namespace pineroad::wire::records
--- a/src/wire/protocol.hpp
+++ b/src/wire/protocol.hpp
@@ -1,4 +1,4 @@
-// All protocols but that between controllers, for includers that need several.
+// Includes the headers of all protocols except the one between controllers.
 #pragma once
 
 #include "wire/cloud_protocol.hpp"
--- a/src/wire/record_keys.hpp
+++ b/src/wire/record_keys.hpp
@@ -1,4 +1,4 @@
-// Keys of the records (records.hpp lists what stands under each).
+// Keys of the stored records. records.hpp describes the record under each key.
 #pragma once
 
 #include <cstdint>
@@ -23,20 +23,20 @@
 inline constexpr std::string_view provisioning_request_prefix = "pr/live/r/";
 inline constexpr std::string_view outcome_prefix = "pr/final/";
 
-// Of the accepted job.
+// Returns the key of an accepted job's record.
 std::string job_key(std::string_view id);
-// Of the job's progress in the form of version 0.1.
+// Returns the key of a job's progress record in the format of version 0.1.
 std::string progress_key(std::string_view id);
-// Of the segment.
+// Returns the key of a segment.
 std::string segment_key(std::string_view name);
-// Of the provisioning request in the form of version 0.2.
+// Returns the key of a provisioning request in the format of version 0.2.
 std::string provisioning_request_key(std::string_view name);
-// Of the job's outcome.
+// Returns the key of the outcome of a finished job.
 std::string outcome_key(std::string_view id);
-// Of one of the job's dependency records.
+// Returns the key of the job's dependency record with the given number.
 std::string dependencies_key(std::string_view id, std::uint32_t number);
 
-// The rest of the key after the prefix; nothing if it has another one.
+// Returns the part of the key after the prefix; std::nullopt if the key does not start with it.
 std::optional<std::string> strip_prefix(std::string_view key, std::string_view prefix);
 
 }  // namespace pineroad::wire::records
--- a/src/wire/records.hpp
+++ b/src/wire/records.hpp
@@ -1,27 +1,28 @@
-// What the service itself keeps in the key-value store: keys and values, all of them under "pr/". Names and
-// forms are those of versions that are in use and never change; a file of this folder for each kind of record
-// says its fields.
+// Records that the service keeps in the key-value store, all of them under "pr/". The keys and formats are in
+// use by deployed versions and must not change. Each kind of record has a header in this folder that lists
+// its fields; this header includes all of them.
 //
-//   pr/live/leader   leader: who leads, with its fencing token (attached to that controller's lease)
-//   pr/live/term     the last fencing token given out; it only ever grows
-//   pr/live/types    machine types, so that every controller can tell what can never run
-//   pr/live/means    averages of slowdown by category
-//   pr/live/format   the controllers that were seen to read format 2 (below); written once all of them were
-//   pr/live/a/ID     accepted job; "after": its dependencies, without their "j-" (format 2)
-//   pr/live/w/ID/N   dependency record: the end of a long list of dependencies. "more" of these belong to the
-//                    job's record, and they are written and removed with it (format 2)
-//   pr/live/s/N      segment: progress and placements of several jobs. Of an entry in several segments, the
-//                    one with the greatest sequence counts; null there is a tombstone: nothing of it is left.
-//                    A segment that nobody needs any more is overwritten (compaction), never removed.
-//                    The entry of a job covers all its tasks. In format 2 a large job has an entry for each
-//                    shard of its tasks, ID and ID#1, ID#2 ..., each marked as partial: such an entry counts
-//                    for the tasks of its shard, and an entry of the whole job only for tasks without one
-//   pr/live/p/ID     progress of one job, as version 0.1 wrote it: still read, older than any segment
-//   pr/live/rentals  the provisioning requests that are not answered yet, by name
-//   pr/live/r/NAME   one of them: read because version 0.2 wrote it, never written
-//   pr/final/ID      outcome of a job that ended: how, and since version 0.5 when
-//
-// This header includes all of them.
+//   pr/live/leader   current leader and its fencing token; attached to the leader's lease
+//   pr/live/term     latest fencing token issued; it only increases
+//   pr/live/types    machine types: every controller uses them to reject jobs that can never run
+//   pr/live/means    average slowdown by job category
+//   pr/live/format   controllers known to read format 2 (see below); written once all of them are
+//   pr/live/a/ID     accepted job; "after" holds its dependencies, without their prefix "j-" (format 2)
+//   pr/live/w/ID/N   dependency record: part of a list of dependencies too long for the job's record. "more"
+//                    in the job's record is the number of dependency records; they are written and removed
+//                    together with it (format 2)
+//   pr/live/s/N      segment: progress and placements of several jobs. If several segments contain the same
+//                    entry, the one with the highest sequence is valid. Null is a tombstone: the entry was
+//                    removed. A segment that is no longer needed is overwritten (compaction), never removed.
+//                    A job's entry covers all of its tasks. In format 2 a large job has one entry for each
+//                    shard of its tasks (ID, ID#1, ID#2 ...), marked as partial. A partial entry is valid for
+//                    the tasks of its shard; an entry of the whole job only for tasks without a partial entry
+//   pr/live/p/ID     progress of one job, as written by version 0.1: still read, never written. Any segment
+//   is
+//                    newer
+//   pr/live/rentals  provisioning requests not yet answered by the cloud, by name
+//   pr/live/r/NAME   one provisioning request, as written by version 0.2: still read, never written
+//   pr/final/ID      outcome of a finished job and, since version 0.5, the time of its end
 #pragma once
 
 #include "wire/category_averages_record.hpp"
--- a/src/wire/resources_record.hpp
+++ b/src/wire/resources_record.hpp
@@ -1,4 +1,4 @@
-// Resources as a part of records: [CPUs, GPUs, memory in GB].
+// Resources inside other records: [CPUs, GPUs, memory in GB].
 #pragma once
 
 #include <boost/json/array.hpp>
@@ -10,9 +10,9 @@
 
 namespace pineroad::wire::records {
 
-// The array.
+// Returns the resources as an array.
 boost::json::array resources_json(const model::Resources& resources);
-// The reverse, of a field; nothing if it is missing or malformed.
+// Parses the resources in a field of `object`. Returns std::nullopt if the field is missing or malformed.
 std::optional<model::Resources> parse_resources(const boost::json::object& object, std::string_view key);
 
 }  // namespace pineroad::wire::records
--- a/src/wire/segment_record.hpp
+++ b/src/wire/segment_record.hpp
@@ -1,4 +1,4 @@
-// Segments: records that hold the progress of several jobs, so that one write serves them all.
+// Segments: records that hold the progress of several jobs, so that one write updates all of them.
 //
 //   pr/live/s/N   {"n": [fencing token, number], "jobs": {entry name: progress, or null for a tombstone}}
 #pragma once
@@ -15,24 +15,23 @@
 
 namespace pineroad::wire::records {
 
-// Order of the writes of segments: by fencing token, then by the number of the segment under that token. The
-// latest write of an entry counts.
+// Orders the writes of segments: by fencing token, then by the number of the write under that token. The
+// latest write of an entry is valid.
 struct Sequence {
     std::uint64_t fencing_token = 0;
     std::uint64_t number = 0;
     auto operator<=>(const Sequence&) const = default;
 };
 
-// What one segment holds.
+// Contents of one segment.
 struct Segment {
     Sequence sequence;
-    std::map<EntryName, std::optional<model::Progress>>
-        entries;  // nothing: a tombstone, no task of it is left
+    std::map<EntryName, std::optional<model::Progress>> entries;  // no value: tombstone of a removed entry
 };
 
-// The segment with these entries, by their names on the wire.
+// Returns the record of a segment. The keys of `entries` are stored entry names (see entry_name()).
 Json segment_json(const Sequence& sequence, boost::json::object entries);
-// The reverse; nothing if any part is malformed.
+// Parses a segment. Returns std::nullopt if any part of it is malformed.
 std::optional<Segment> parse_segment(const Json& value);
 
 }  // namespace pineroad::wire::records
--- a/src/wire/store_protocol.cpp
+++ b/src/wire/store_protocol.cpp
@@ -15,7 +15,7 @@
 constexpr std::string_view store_path = "/store";
 constexpr std::string_view watch_path = "/follow";
 
-// The value may be JSON's null, which counts as a value here.
+// A JSON null is accepted as the row's value.
 std::optional<Row> read_row(const json::object& object) {
     auto key = read::text(object, field_name::key);
     const auto mod_revision = read::count(object, field_name::mod_revision);
--- a/src/wire/url.cpp
+++ b/src/wire/url.cpp
@@ -5,8 +5,8 @@
 namespace pineroad::wire {
 namespace {
 
-// The value with every byte percent-encoded except letters, digits and "-_./~". Our keys and the names of
-// machines hardly need it.
+// Percent-encodes every byte except letters, digits and "-_./~". Record keys and machine names rarely contain
+// other bytes.
 std::string escape(std::string_view value) {
     static constexpr std::string_view hex = "0123456789ABCDEF";
     static constexpr std::string_view unescaped_punctuation = "-_./~";
--- a/src/wire/url.hpp
+++ b/src/wire/url.hpp
@@ -1,4 +1,4 @@
-// Targets of requests: a path and its query.
+// Request targets: a path and its query.
 #pragma once
 
 #include <string>
@@ -6,7 +6,7 @@
 
 namespace pineroad::wire {
 
-// Adds a parameter to the target's query. Its value is escaped, its name is not.
+// Appends a query parameter to the target. The value is percent-encoded, the name is not.
 void add_query_parameter(std::string& target, std::string_view name, std::string_view value);
 
 }  // namespace pineroad::wire
--- a/src/wire/user_protocol.cpp
+++ b/src/wire/user_protocol.cpp
@@ -28,7 +28,8 @@
                                                                   {"done", JobStatus::done},
                                                                   {"withdrawn", JobStatus::cancelled}});
 
-// Ids of jobs, each once, in the order of their first mention; nothing if it is no list of valid ids.
+// Returns the job ids without duplicates, in order of first occurrence; std::nullopt if `value` is not a list
+// of valid ids.
 std::optional<std::vector<std::string>> parse_job_ids(const Json& value) {
     const auto* list = value.if_array();
     if (!list) return std::nullopt;
@@ -104,7 +105,8 @@
     if (!document) return InvalidRequest{InvalidRequest::Kind::not_json};
     const auto* object = document->if_object();
     if (!object) return InvalidRequest{InvalidRequest::Kind::not_an_object};
-    // In the order of the protocol's table: the first field that is wrong is the one that the user is told.
+    // The order of the calls is that of the protocol's table, because the first invalid field is reported to
+    // the user.
     FieldReader reader(*object);
     model::JobSpec spec;
     read_identity(reader, spec);
--- a/src/wire/user_protocol.hpp
+++ b/src/wire/user_protocol.hpp
@@ -1,25 +1,25 @@
-// The interface to users: submissions, polls, cancellations and the health probe of the load balancer.
+// The protocol for users: submissions, polls, cancellations and the load balancer's health check.
 //
 //   wire name                term
-//   /submissions             jobs: idempotent submission, poll, cancellation
-//   .../cancel               cancellation
-//   /up                      health probe
+//   /submissions             jobs: idempotent submission, poll
+//   .../cancel               cancellation of a job
+//   /up                      health check
 //   NameId                   id of the job
 //   Jobclass, Crew           job class, team
-//   Shape                    batch: job array; group: gang; standing: service
-//   Urgency                  priority: production, high, standard: normal, best_effort: low
+//   Shape                    shape of the job (batch: job array; group: gang; standing: service)
+//   Urgency                  priority (production; high; standard: normal; best_effort: low)
 //   Pieces                   number of tasks
 //   Vcpus, Accelerators,
 //   MemGb                    resources of each task: CPUs, GPUs, memory
-//   Bundle, SizeGb           image and its size
+//   Bundle, SizeGb           image and its size in GB
 //   Breeds, Yard             allowed machine types, required zone
 //   Together, Spread         all tasks in the same zone; at most half of them, rounded up, in one zone
-//   Loaners                  allows spot instances
-//   GuessS, NotchS, StashS   estimated run time, checkpoint interval, duration of saving a checkpoint
-//   DueS                     deadline
-//   WaitsOn                  dependencies of the job (DAG)
-//   Status                   job status: queued, running, done, withdrawn: cancelled
-//   done, running            task counts
+//   Loaners                  whether spot instances are allowed
+//   GuessS, NotchS, StashS   estimated run time, checkpoint interval, time to save a checkpoint, in seconds
+//   DueS                     deadline in seconds after acceptance
+//   WaitsOn                  dependencies: ids of the jobs that must be done first
+//   Status                   job status (queued; running; done; withdrawn: cancelled)
+//   done, running            number of tasks in each state
 #pragma once
 
 #include <cstdint>
@@ -34,28 +34,28 @@
 
 inline constexpr std::string_view submissions_path = "/submissions";
 inline constexpr std::string_view health_path = "/up";
-// What a cancellation's path has after the job's.
+// Suffix that a cancellation's path adds to the path of the job.
 inline constexpr std::string_view cancellation_suffix = "/cancel";
-// The field of a submission that names its dependencies, for the reasons of a refusal.
+// Submission field that lists the dependencies. Public because error messages outside src/wire name it.
 inline constexpr std::string_view dependencies_field = "WaitsOn";
 
-// The job of a submission, or the first field that is wrong. Every field must have its type and range; fields
-// of other names are ignored. `accepted_ms` and `dependency_records` are not the user's and stay as they are.
+// Parses a submission and returns the job, or an error that names the first invalid field. Unknown fields are
+// ignored. `accepted_ms` and `dependency_records` are not part of a submission and keep their defaults.
 Parsed<model::JobSpec> parse_submission(std::string_view body);
 
-// What a user is told of a job.
+// Status of a job as reported to users.
 enum class JobStatus { queued, running, done, cancelled };
 
-// How many tasks of a job are done, and how many are placed: for display only.
+// Numbers of completed and of placed tasks of a job, for display only.
 struct TaskCounts {
     std::uint64_t done = 0;
     std::uint64_t running = 0;
 };
 
-// Body of the answer to a submission, a poll or a cancellation.
+// Returns the body of the response to a submission, a poll or a cancellation.
 std::string job_status_response(std::string_view id, JobStatus status, std::optional<TaskCounts> counts = {});
 
-// Body of every answer that refuses a request.
+// Returns the body of an error response.
 std::string error_response(std::string_view reason);
 
 }  // namespace pineroad::wire
--- a/src/wire/worker_protocol.cpp
+++ b/src/wire/worker_protocol.cpp
@@ -49,7 +49,7 @@
     return out;
 }
 
-// Everything but the tasks.
+// Reads all fields of the heartbeat except the tasks.
 std::optional<InvalidRequest> read_machine(const json::object& object, model::Heartbeat& heartbeat) {
     using Kind = InvalidRequest::Kind;
     auto machine = read::text(object, field_name::machine);
