--- a/src/wire/records.hpp
+++ b/src/wire/records.hpp
@@ -17,9 +17,8 @@
 //                    A job's entry covers all of its tasks. In format 2 a large job has one entry for each
 //                    shard of its tasks (ID, ID#1, ID#2 ...), marked as partial. A partial entry is valid for
 //                    the tasks of its shard; an entry of the whole job only for tasks without a partial entry
-//   pr/live/p/ID     progress of one job, as written by version 0.1: still read, never written. Any segment
-//   is
-//                    newer
+//   pr/live/p/ID     progress of one job, as written by version 0.1: still read, never written; entries of
+//                    segments take precedence
 //   pr/live/rentals  provisioning requests not yet answered by the cloud, by name
 //   pr/live/r/NAME   one provisioning request, as written by version 0.2: still read, never written
 //   pr/final/ID      outcome of a finished job and, since version 0.5, the time of its end
