--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -20,7 +20,7 @@
 namespace http = beast::http;
 using asio::ip::tcp;
 
-// Shared by the server and its connections.
+// State shared by the server and its connections.
 struct HttpServer::State {
     tcp::acceptor acceptor;
     config::Endpoint endpoint;
@@ -31,10 +31,10 @@
 
 namespace {
 
-using Response = http::response<http::string_body>;
+using HttpResponse = http::response<http::string_body>;
 
-Response to_response(Reply reply, bool keep_alive) {
-    Response response{static_cast<http::status>(reply.status), 11};
+HttpResponse to_http_response(Reply reply, bool keep_alive) {
+    HttpResponse response{static_cast<http::status>(reply.status), 11};
     response.set(http::field::content_type, "application/json");
     if (reply.retry_after_s > 0) response.set(http::field::retry_after, std::to_string(reply.retry_after_s));
     response.body() = std::move(reply.body);
@@ -43,52 +43,57 @@
     return response;
 }
 
-// True for a parser's error; false for a peer that is gone or silent, which gets no answer.
+// Returns whether the error is a parse error, which is reported to the client. If the client closed the
+// connection or timed out, there is nobody to report it to.
 bool is_malformed(const boost::system::error_code& error) {
     return error.category() == http::make_error_code(http::error::end_of_stream).category() &&
            error != http::error::end_of_stream && error != http::error::partial_message;
 }
 
-// Answers what can't be read as a request, under the timeout that is set. The connection ends with it.
+// Sends an error response to a request that could not be read. The caller sets the stream's timeout before
+// and closes the connection afterwards.
 awaitable<void> reject(beast::tcp_stream& stream, const boost::system::error_code& error) {
-    const bool large = error == http::error::body_limit;
-    const char* const body = large ? R"({"error":"body too large"})" : R"({"error":"malformed request"})";
+    const bool body_too_large = error == http::error::body_limit;
+    const char* const body =
+        body_too_large ? R"({"error":"body too large"})" : R"({"error":"malformed request"})";
     Reply reply{400, body, 0, true};
-    const auto response = to_response(std::move(reply), false);
-    co_await http::async_write(stream, response, tuple_awaitable);
+    const auto response = to_http_response(std::move(reply), false);
+    co_await http::async_write(stream, response, use_nothrow_awaitable);
 }
 
-// The class of one connection.
+// Tracks whether a connection is prioritized or ordinary, and counts it while it is ordinary.
 class ConnectionClass {
    public:
     ConnectionClass(const HttpServer::Limits& limits, std::size_t& ordinary_connections)
         : limits_(limits), ordinary_connections_(ordinary_connections), idle_s_(limits.first_request_s) {}
 
-    // Takes on the class of the connection's latest request. False: that class has no room.
+    // Assigns the connection to the class of its latest request. Returns false if the limit of ordinary
+    // connections is reached.
     bool admit(const std::string& target) {
         bool admitted = true;
-        if (limits_.prioritized(target)) {
-            counted_.reset();
-        } else if (!counted_) {
-            admitted = ordinary_connections_ < limits_.ordinary;
-            if (admitted) counted_.emplace(ordinary_connections_);
+        if (limits_.is_prioritized(target)) {
+            ordinary_slot_.reset();
+        } else if (!ordinary_slot_) {
+            admitted = ordinary_connections_ < limits_.max_ordinary_connections;
+            if (admitted) ordinary_slot_.emplace(ordinary_connections_);
         }
-        idle_s_ = counted_ ? limits_.ordinary_idle_s : limits_.prioritized_idle_s;
+        idle_s_ = ordinary_slot_ ? limits_.ordinary_idle_s : limits_.prioritized_idle_s;
         return admitted;
     }
-    // How long the connection may wait for its next request.
+    // Returns how long the connection may wait for its next request, in seconds.
     [[nodiscard]] double idle_s() const { return idle_s_; }
 
    private:
     const HttpServer::Limits& limits_;
     std::size_t& ordinary_connections_;
-    std::optional<ScopedCount> counted_;  // among the ordinary connections
+    std::optional<ScopedCount> ordinary_slot_;  // set while the connection is ordinary
     double idle_s_;
 };
 
-// Serves one connection. The idle wait covers the first byte; a slow or endless body meets its own timeout.
-awaitable<void> serve(tcp::socket socket, const HttpServer::Limits& limits, std::size_t& ordinary_connections,
-                      const HttpServer::Handler& handler) {
+// Serves one connection. The idle timeout covers the wait for a request and its header; the body has a
+// timeout of its own, so that a slow or endless one is cut off.
+awaitable<void> serve_connection(tcp::socket socket, const HttpServer::Limits& limits,
+                                 std::size_t& ordinary_connections, const HttpServer::Handler& handler) {
     ConnectionClass connection_class(limits, ordinary_connections);
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
@@ -99,7 +104,7 @@
         parser.body_limit(constants::max_request_body_bytes);
         stream.expires_after(seconds(connection_class.idle_s()));
         auto [head_error, head_size] =
-            co_await http::async_read_header(stream, buffer, parser, tuple_awaitable);
+            co_await http::async_read_header(stream, buffer, parser, use_nothrow_awaitable);
         if (head_error) {
             if (!is_malformed(head_error)) break;
             stream.expires_after(seconds(constants::write_timeout_s));
@@ -108,27 +113,28 @@
         }
         stream.expires_after(seconds(constants::body_timeout_s));
         if (!parser.is_done()) {
-            auto [body_error, body_size] = co_await http::async_read(stream, buffer, parser, tuple_awaitable);
+            auto [body_error, body_size] =
+                co_await http::async_read(stream, buffer, parser, use_nothrow_awaitable);
             if (body_error == http::error::body_limit) co_await reject(stream, body_error);
             if (body_error) break;
         }
-        auto message = parser.release();
-        const bool keep_alive = message.keep_alive();
+        auto http_request = parser.release();
+        const bool keep_alive = http_request.keep_alive();
         stream.expires_never();
-        // A named object: GCC 12 destroys a braced temporary twice inside a co_await expression.
-        Request request{std::string(message.method_string()), std::string(message.target()),
-                        std::move(message.body())};
+        // Named because GCC 12 destroys a braced temporary inside a co_await expression twice.
+        Request request{std::string(http_request.method_string()), std::string(http_request.target()),
+                        std::move(http_request.body())};
         Reply reply;
         if (connection_class.admit(request.target)) {
             reply = co_await handler(std::move(request));
         } else {
-            reply = limits.full();
+            reply = limits.make_rejection();
         }
-        auto response = to_response(std::move(reply), keep_alive);
-        const bool stay = response.keep_alive();
+        auto response = to_http_response(std::move(reply), keep_alive);
+        const bool keep_open = response.keep_alive();
         stream.expires_after(seconds(constants::write_timeout_s));
-        auto [write_error, written] = co_await http::async_write(stream, response, tuple_awaitable);
-        if (write_error || !stay) break;
+        auto [write_error, written] = co_await http::async_write(stream, response, use_nothrow_awaitable);
+        if (write_error || !keep_open) break;
     }
     stream.socket().shutdown(tcp::socket::shutdown_both, ignored);
 }
@@ -150,19 +156,19 @@
     state_->acceptor.set_option(tcp::acceptor::reuse_address(true));
     state_->acceptor.bind(address);
     state_->acceptor.listen(constants::accept_backlog);
-    asio::co_spawn(state_->acceptor.get_executor(), accept(state_), asio::detached);
+    asio::co_spawn(state_->acceptor.get_executor(), accept_connections(state_), asio::detached);
 }
 
-awaitable<void> HttpServer::accept(std::shared_ptr<State> state) {
+awaitable<void> HttpServer::accept_connections(std::shared_ptr<State> state) {
     for (;;) {
-        auto [error, socket] = co_await state->acceptor.async_accept(tuple_awaitable);
+        auto [error, socket] = co_await state->acceptor.async_accept(use_nothrow_awaitable);
         if (error) {
             spdlog::warn("accept on {} failed: {}", state->endpoint.text(), error.message());
             co_await sleep_for(constants::accept_retry_s);
             continue;
         }
         if (state->connections >= state->limits.connections) {
-            // Closed at once rather than queued: the balancer turns to another node.
+            // Closed immediately instead of queued, so that the load balancer tries another controller.
             boost::system::error_code ignored;
             socket.close(ignored);
             continue;
@@ -172,8 +178,8 @@
             state->acceptor.get_executor(),
             [state, connection = std::move(socket)]() mutable -> awaitable<void> {
                 try {
-                    co_await serve(std::move(connection), state->limits, state->ordinary_connections,
-                                   state->handler);
+                    co_await serve_connection(std::move(connection), state->limits,
+                                              state->ordinary_connections, state->handler);
                 } catch (const std::exception& e) {
                     spdlog::error("connection failed: {}", e.what());
                 }
--- a/src/peers/peer_exchange.cpp
+++ b/src/peers/peer_exchange.cpp
@@ -13,7 +13,7 @@
 using store::steady_now_s;
 
 PeerExchange::PeerExchange(std::string name, double started_at, const Dependencies& dependencies,
-                           const net::Connect& connect)
+                           const net::ClientFactory& connect)
     : name_(std::move(name)),
       started_at_(started_at),
       store_(dependencies.store),
@@ -45,7 +45,7 @@
     message.store_contact_age_ms = age_ms(store_.last_contact_s());
     message.heartbeat_age_ms = age_ms(last_heartbeat_);
     message.revision = watch_cache_.ready ? watch_cache_.revision : 0;
-    message.format = record_format_.own_format();
+    message.record_format = record_format_.own_format();
     message.dependencies_requested = record_format_.dependencies_requested();
     return message;
 }
--- a/src/wire/cloud_protocol.cpp
+++ b/src/wire/cloud_protocol.cpp
@@ -14,7 +14,7 @@
 
 namespace json = boost::json;
 
-// For optional fields of a machine type.
+// Defaults for the optional fields of a machine type.
 constexpr double default_fetch_gb_per_s = 1;
 constexpr double default_price = 1;
 constexpr double default_boot_s = 60;
@@ -24,7 +24,7 @@
                                                    {"running", model::MachineStatus::running},
                                                    {"failed", model::MachineStatus::failed}});
 
-// Strings, each of which must be one; nothing if there is no list or something else in it.
+// Parses a list of strings. Returns std::nullopt if `list` is null or contains anything but strings.
 std::optional<std::vector<std::string>> parse_strings(const json::array* list) {
     if (!list) return std::nullopt;
     std::vector<std::string> out;
@@ -124,9 +124,9 @@
     return json::serialize(json::object{{field_name::machines, std::move(list)}});
 }
 
-std::string machine_list_target(std::string_view after, int page) {
+std::string machine_list_target(std::string_view after, int page_size) {
     std::string target(machines_path);
-    add_query_parameter(target, query_name::page_size, std::to_string(page));
+    add_query_parameter(target, query_name::page_size, std::to_string(page_size));
     if (!after.empty()) add_query_parameter(target, query_name::after, after);
     return target;
 }
--- a/src/wire/invalid_request.cpp
+++ b/src/wire/invalid_request.cpp
@@ -5,7 +5,7 @@
 namespace pineroad::wire {
 namespace {
 
-std::string_view problem(InvalidRequest::Kind kind) {
+std::string_view description(InvalidRequest::Kind kind) {
     switch (kind) {
         case InvalidRequest::Kind::not_json:
             return "not JSON";
@@ -25,17 +25,17 @@
 
 }  // namespace
 
-std::string InvalidRequest::text() const {
+std::string InvalidRequest::message() const {
     const bool whole_body =
         kind == Kind::not_json || kind == Kind::not_an_object || kind == Kind::not_a_json_object;
-    if (whole_body) return std::string(problem(kind));
+    if (whole_body) return std::string(description(kind));
     std::string out(field.empty() ? "a field" : field);
-    return out.append(" ").append(problem(kind));
+    return out.append(" ").append(description(kind));
 }
 
 void throw_exception_from_error(const InvalidRequest& error, const boost::source_location& location) {
     static_cast<void>(location);
-    throw std::invalid_argument(error.text());
+    throw std::invalid_argument(error.message());
 }
 
 }  // namespace pineroad::wire
--- a/src/wire/url.cpp
+++ b/src/wire/url.cpp
@@ -5,15 +5,15 @@
 namespace pineroad::wire {
 namespace {
 
-// The value with every byte percent-encoded except letters, digits and "-_./~". Our keys and the names of
-// machines hardly need it.
+// Percent-encodes every byte except letters, digits and "-_./~". Record keys and machine names rarely contain
+// other bytes.
 std::string escape(std::string_view value) {
     static constexpr std::string_view hex = "0123456789ABCDEF";
-    static constexpr std::string_view unescaped_marks = "-_./~";
+    static constexpr std::string_view unescaped_punctuation = "-_./~";
     std::string out;
     for (const char character : value) {
         const auto byte = static_cast<unsigned char>(character);
-        if (std::isalnum(byte) != 0 || unescaped_marks.find(character) != std::string_view::npos) {
+        if (std::isalnum(byte) != 0 || unescaped_punctuation.find(character) != std::string_view::npos) {
             out += character;
         } else {
             out += '%';
--- a/src/wire/user_protocol.cpp
+++ b/src/wire/user_protocol.cpp
@@ -28,7 +28,8 @@
                                                                   {"done", JobStatus::done},
                                                                   {"withdrawn", JobStatus::cancelled}});
 
-// Ids of jobs, each once, in the order of their first mention; nothing if it is no list of valid ids.
+// Returns the job ids without duplicates, in order of first occurrence; std::nullopt if `value` is not a list
+// of valid ids.
 std::optional<std::vector<std::string>> parse_job_ids(const Json& value) {
     const auto* list = value.if_array();
     if (!list) return std::nullopt;
@@ -45,7 +46,7 @@
 
 void read_identity(FieldReader& reader, model::JobSpec& spec) {
     reader.read_text(field_name::id, spec.id);
-    if (!reader.problem() && !valid_job_id(spec.id)) reader.reject(field_name::id);
+    if (!reader.error() && !valid_job_id(spec.id)) reader.reject(field_name::id);
     reader.read_text(field_name::job_class, spec.job_class);
     reader.read_text(field_name::team, spec.team);
     reader.read_enum(field_name::shape, shapes, spec.shape);
@@ -106,7 +107,8 @@
     if (!document) return InvalidRequest{InvalidRequest::Kind::not_json};
     const auto* object = document->if_object();
     if (!object) return InvalidRequest{InvalidRequest::Kind::not_an_object};
-    // In the order of the protocol's table: the first field that is wrong is the one that the user is told.
+    // The order of the calls is that of the protocol's table, because the first invalid field is reported to
+    // the user.
     FieldReader reader(*object);
     model::JobSpec spec;
     read_identity(reader, spec);
@@ -114,7 +116,7 @@
     read_placement_constraints(reader, spec);
     read_times(reader, spec);
     read_dependencies(reader, spec);
-    if (reader.problem()) return *reader.problem();
+    if (reader.error()) return *reader.error();
     return spec;
 }
 
