--- a/tests/cluster_simulator.hpp
+++ b/tests/cluster_simulator.hpp
@@ -24,9 +24,10 @@
 
 /// How a cluster's controllers begin.
 struct ClusterOptions {
-    std::uint64_t record_format = wire::records::format;  ///< that they read
-    std::function<void(config::Settings&)> adjust;        ///< of each
-    std::function<void(config::Settings&)> on_upgrade;    ///< of each that is replaced by the present version
+    std::uint64_t record_format = wire::records::format;     ///< that they read
+    std::function<void(config::Settings&)> adjust_settings;  ///< of each
+    std::function<void(config::Settings&)>
+        adjust_settings_on_upgrade;  ///< of each that is replaced by the present version
 };
 
 class ClusterSimulator {
@@ -50,15 +51,15 @@
                                       const std::string& body = {});
     /// A job of one task; what else it asks for replaces the fields of the same name.
     std::optional<net::Reply> submit(int controller, const std::string& id,
-                                     const boost::json::object& other = {});
+                                     const boost::json::object& overrides = {});
     std::optional<net::Reply> poll(int controller, const std::string& id);
     std::optional<net::Reply> cancel(int controller, const std::string& id);
-    std::optional<net::Reply> send_heartbeat(int controller, const model::Heartbeat& report);
+    std::optional<net::Reply> send_heartbeat(int controller, const model::Heartbeat& heartbeat);
     /// A request whose answer is looked at later: a paused process gives none.
     std::shared_ptr<std::optional<net::Reply>> send_request(int controller, const std::string& method,
                                                             const std::string& target,
                                                             const std::string& body = {});
-    static std::string heartbeat_body(const model::Heartbeat& report);
+    static std::string heartbeat_body(const model::Heartbeat& heartbeat);
 
     // --- processes ---
     void kill(int controller);
@@ -77,22 +78,22 @@
     /// By the store: 503 at once; open watches wait as in an outage.
     std::set<int> rejected_by_store;
     /// Transactions get no answer and are carried out so much later, after newer ones.
-    double delayed_writes_s = 0;
+    double write_delay_s = 0;
     /// Answers to these controllers' transactions are lost; they are carried out at once.
-    std::set<int> lost_commit_answers;
+    std::set<int> lost_commit_responses;
     /// Processes that stand still while the clocks run on. What they had begun goes on when they do.
     std::set<int> paused;
-    struct Sent {
+    struct HeldRequest {
         std::string method, target, body;
     };
     /// Commits of these controllers are held back, in order; the controllers get no answer.
-    std::set<int> holding_commits;
-    std::map<int, std::vector<Sent>> held_commits;
+    std::set<int> controllers_with_held_commits;
+    std::map<int, std::vector<HeldRequest>> held_commits;
 
-    std::map<std::string, int> store_requests;  ///< by their first path element
+    std::map<std::string, int> store_request_counts;  ///< by their first path element
 
    private:
-    friend class Link;
+    friend class SimulatedClient;
     struct Process {
         std::unique_ptr<boost::asio::io_context> io = std::make_unique<boost::asio::io_context>();
         config::Settings settings;
@@ -103,19 +104,21 @@
     struct Processes {
         config::Tuning tuning;
         std::vector<Process> controllers;
-        std::vector<std::unique_ptr<controller::Controller>> ended;
+        std::vector<std::unique_ptr<controller::Controller>> ended_controllers;
     };
     struct DelayedWrite {
-        double at = 0;
+        double apply_at = 0;
         std::string body;
     };
-    net::awaitable<std::optional<net::Reply>> to_store(int from, std::string method, std::string target,
-                                                       std::string body, double timeout_s);
-    net::awaitable<std::optional<net::Reply>> to_peer(int from, int to, std::string method,
-                                                      std::string target, std::string body, double timeout_s);
-    [[nodiscard]] bool unreachable_store(int from) const;
-    std::optional<net::Reply> record_answer(const std::string& what, int controller,
-                                            std::optional<net::Reply> reply);
+    net::awaitable<std::optional<net::Reply>> forward_to_store(int controller, std::string method,
+                                                               std::string target, std::string body,
+                                                               double timeout_s);
+    net::awaitable<std::optional<net::Reply>> forward_to_peer(int sender, int receiver, std::string method,
+                                                              std::string target, std::string body,
+                                                              double timeout_s);
+    [[nodiscard]] bool is_store_unreachable(int controller) const;
+    std::optional<net::Reply> record_reply(const std::string& what, int controller,
+                                           std::optional<net::Reply> reply);
     void configure(int controller, int controllers, const ClusterOptions& options);
     void step();
     Process& process(int controller) {
@@ -124,9 +127,9 @@
 
     Trace trace_;
     std::shared_ptr<Processes> processes_;
-    std::function<void(config::Settings&)> on_upgrade_;
+    std::function<void(config::Settings&)> adjust_settings_on_upgrade_;
     std::deque<DelayedWrite> delayed_writes_;
-    std::uint64_t seed_ = 0, noted_token_ = 0;
+    std::uint64_t seed_ = 0, last_noted_token_ = 0;
 };
 
 }  // namespace pineroad::test
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -20,8 +20,8 @@
     // Jobs that are submitted, and running.
     void start_jobs(const std::vector<std::string>& jobs) {
         for (const auto& id : jobs) EXPECT_EQ(submit(0, id)->status, 201);
-        for (int i = 0; i < 60 && workers.running_tasks() < jobs.size(); ++i) run(1);
-        EXPECT_EQ(workers.running_tasks(), jobs.size());
+        for (int i = 0; i < 60 && workers.executing_task_count() < jobs.size(); ++i) run(1);
+        EXPECT_EQ(workers.executing_task_count(), jobs.size());
         old_leader = leader();
         follower = (old_leader + 1) % 3;
         other_follower = (old_leader + 2) % 3;
@@ -39,8 +39,8 @@
     // How long until nothing of the job is on a machine; the test fails after at_most seconds.
     double seconds_until_stopped(const std::string& job, double at_most) {
         const double from = now();
-        while (workers.runs(job) && now() < from + at_most) run(0.5);
-        EXPECT_FALSE(workers.runs(job)) << job;
+        while (workers.has_live_task_of(job) && now() < from + at_most) run(0.5);
+        EXPECT_FALSE(workers.has_live_task_of(job)) << job;
         note("gone    " + job);
         return now() - from;
     }
@@ -109,11 +109,11 @@
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 10), 8);
     EXPECT_LT(cluster.seconds_until_stopped("j-2", 10), 8);
     cluster.run(78);
-    EXPECT_EQ(cluster.workers.killed_by_lease, 0);
-    EXPECT_TRUE(cluster.workers.runs("j-3"));
+    EXPECT_EQ(cluster.workers.tasks_killed_by_lease_expiry, 0);
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-3"));
     cluster.end_store_outage();
     cluster.run(10);
-    EXPECT_TRUE(cluster.workers.runs("j-3"));
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-3"));
     EXPECT_EQ(cluster.workers.starts, 3);
     cluster.expect_status_everywhere("j-1", "withdrawn");
     cluster.expect_status_everywhere("j-3", "running");
@@ -129,7 +129,7 @@
     CombinedFaultsCluster cluster(by_submission ? "confirmed_by_submission" : "confirmed_by_poll");
     cluster.start_jobs({"j-1", "j-2"});
     cluster.rejected_by_store = {cluster.old_leader};
-    cluster.lost_commit_answers = {cluster.follower};
+    cluster.lost_commit_responses = {cluster.follower};
     EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 503);  // applied, but not confirmed
     cluster.begin_store_outage();
     cluster.run(1);
@@ -138,8 +138,8 @@
     EXPECT_NE(r->body.find("withdrawn"), std::string::npos);
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 8);
     cluster.run(70);
-    EXPECT_TRUE(cluster.workers.runs("j-2"));
-    EXPECT_EQ(cluster.workers.killed_by_lease, 0);
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-2"));
+    EXPECT_EQ(cluster.workers.tasks_killed_by_lease_expiry, 0);
     cluster.end_store_outage();
     cluster.run(5);
     cluster.expect_status_everywhere("j-1", "withdrawn");
@@ -177,7 +177,7 @@
     cluster.run(10);
     cluster.expect_status_everywhere("j-1", "withdrawn");
     cluster.run(60);
-    EXPECT_TRUE(cluster.workers.runs("j-2"));  // again, if its lease expired
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-2"));  // again, if its lease expired
 }
 
 INSTANTIATE_TEST_SUITE_P(Back, ConfirmingControllerEnds,
@@ -192,8 +192,8 @@
     cluster.start_jobs({"j-1", "j-2"});
     cluster.rejected_by_store = {cluster.old_leader};
     const auto answer = cluster.send_request(cluster.follower, "POST", "/submissions/j-1/cancel");
-    const auto commits = cluster.store_requests["commit"];
-    while (cluster.store_requests["commit"] == commits) cluster.run(0.005);
+    const auto commits = cluster.store_request_counts["commit"];
+    while (cluster.store_request_counts["commit"] == commits) cluster.run(0.005);
     cluster.run(0.01);
     cluster.note("freeze  of c-" + std::to_string(cluster.follower));
     cluster.paused = {cluster.follower};
@@ -204,7 +204,7 @@
     cluster.run(0.1);
     ASSERT_TRUE(*answer);
     if ((*answer)->status == 200)
-        cluster.workers.invariants.job_status_confirmed("j-1", "withdrawn", cluster.now());
+        cluster.workers.invariants.record_confirmed_status("j-1", "withdrawn", cluster.now());
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 66);
     cluster.end_store_outage();
     cluster.run(10);
@@ -225,9 +225,9 @@
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 30);
     EXPECT_NE(cluster.leader(), cluster.old_leader);
     cluster.run(60);
-    EXPECT_TRUE(cluster.workers.runs("j-2"));
-    EXPECT_TRUE(cluster.workers.runs("j-4"));
-    EXPECT_EQ(cluster.workers.killed_by_lease, 0);
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-2"));
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-4"));
+    EXPECT_EQ(cluster.workers.tasks_killed_by_lease_expiry, 0);
     cluster.note("cut     ends");
     cluster.partitioned_from_store.clear(), cluster.partitioned_from_peers.clear();
     cluster.run(5);
@@ -245,8 +245,8 @@
     CombinedFaultsCluster cluster(trace_name);
     cluster.start_jobs({"j-1", "j-2"});
     cluster.rejected_by_store = {cluster.old_leader};
-    const auto machine = cluster.workers.machine_with("j-1").id;
-    EXPECT_EQ(cluster.workers.machine_with("j-2").id, machine);
+    const auto machine = cluster.workers.machine_with_task_of("j-1").id;
+    EXPECT_EQ(cluster.workers.machine_with_task_of("j-2").id, machine);
     cluster.note(noted_fault + "    " + machine);
     cluster.workers.machines.at(machine).fault = fault;
     EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
@@ -256,7 +256,7 @@
     if (cluster.workers.machines.contains(machine)) cluster.workers.machines.at(machine).fault = {};
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 8);
     cluster.run(20);
-    EXPECT_EQ(cluster.workers.runs("j-2"), lasts < 10);  // in the long cases its lease expired
+    EXPECT_EQ(cluster.workers.has_live_task_of("j-2"), lasts < 10);  // in the long cases its lease expired
     cluster.end_store_outage();
     cluster.run(5);
     cluster.expect_status_everywhere("j-1", "withdrawn");
@@ -276,12 +276,12 @@
     EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
     cluster.begin_store_outage();
     cluster.run(6);
-    cluster.workers.machine_with("j-1").fault.outbound_partition = true;
-    EXPECT_TRUE(cluster.workers.runs("j-1"));
+    cluster.workers.machine_with_task_of("j-1").fault.outbound_partition = true;
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-1"));
     cluster.note("cut     from the peers ends");
     cluster.partitioned_from_peers.clear();
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 5);
-    EXPECT_TRUE(cluster.workers.runs("j-2"));
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-2"));
     cluster.end_store_outage();
 }
 
@@ -293,7 +293,7 @@
     const auto& [name, trace_name, noted_fault, fault, lasts] = GetParam();
     CombinedFaultsCluster cluster(trace_name);
     cluster.start_jobs({"j-1", "j-2", "j-3"});
-    const auto machine = cluster.workers.machine_with("j-1").id;
+    const auto machine = cluster.workers.machine_with_task_of("j-1").id;
     cluster.workers.machines.at(machine).fault = fault;
     cluster.note(noted_fault + "    " + machine);
     cluster.run(1);
@@ -307,8 +307,8 @@
     cluster.restart(cluster.old_leader);
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 45);
     cluster.run(60);
-    EXPECT_TRUE(cluster.workers.runs("j-2"));
-    EXPECT_TRUE(cluster.workers.runs("j-3"));
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-2"));
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-3"));
     cluster.expect_status_everywhere("j-1", "withdrawn");
     EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
@@ -365,8 +365,8 @@
     EXPECT_EQ(cluster.cancel(0, "j-1")->status, 200);
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 60), 30);
     cluster.run(60);
-    EXPECT_TRUE(cluster.workers.runs("j-2"));
-    EXPECT_TRUE(cluster.workers.runs("j-3"));
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-2"));
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-3"));
     cluster.expect_status_everywhere("j-1", "withdrawn");
     EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
@@ -383,9 +383,9 @@
     const boost::json::object capped{{"Crew", "capped"}};
     for (const auto* id : {"j-1", "j-2", "j-3", "j-4"}) EXPECT_EQ(cluster.submit(0, id, capped)->status, 201);
     cluster.run(15);
-    EXPECT_EQ(cluster.workers.running_tasks(), 2U);
-    const std::string running = cluster.workers.runs("j-1") ? "j-1" : "j-2";
-    const auto machine = cluster.workers.machine_with(running).id;
+    EXPECT_EQ(cluster.workers.executing_task_count(), 2U);
+    const std::string running = cluster.workers.has_live_task_of("j-1") ? "j-1" : "j-2";
+    const auto machine = cluster.workers.machine_with_task_of(running).id;
     cluster.workers.machines.at(machine).fault.hung = true;
     cluster.kill(cluster.leader());
     cluster.run(7);
@@ -393,8 +393,8 @@
     cluster.run(25);
     if (cluster.workers.machines.contains(machine)) cluster.workers.machines.at(machine).fault.hung = false;
     cluster.run(60);
-    EXPECT_EQ(cluster.workers.running_tasks(), 2U);
-    EXPECT_FALSE(cluster.workers.runs(running));
+    EXPECT_EQ(cluster.workers.executing_task_count(), 2U);
+    EXPECT_FALSE(cluster.workers.has_live_task_of(running));
 }
 
 // Copies of heartbeats come later, from seconds to well over a lease, also those of an earlier term, agent
@@ -406,7 +406,7 @@
     CombinedFaultsCluster cluster("duplicated_heartbeats_" + std::to_string(static_cast<int>(after)));
     cluster.workers.duplicate_heartbeats_after_s = after;
     cluster.start_jobs({"j-1", "j-2"});
-    const auto machine = cluster.workers.machine_with("j-1").id;
+    const auto machine = cluster.workers.machine_with_task_of("j-1").id;
     cluster.workers.machines.at(machine).fault.hung = true;
     cluster.run(2);
     cluster.kill(cluster.old_leader);
@@ -416,8 +416,8 @@
     cluster.run(20);
     EXPECT_EQ(cluster.cancel(0, "j-1")->status, 200);
     cluster.run(after + 20);
-    EXPECT_FALSE(cluster.workers.runs("j-1"));
-    EXPECT_TRUE(cluster.workers.runs("j-2"));
+    EXPECT_FALSE(cluster.workers.has_live_task_of("j-1"));
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-2"));
 }
 
 INSTANTIATE_TEST_SUITE_P(After, DuplicatedHeartbeats,
@@ -439,8 +439,8 @@
     cluster.note("reports arrive");
     cluster.workers.hold_heartbeats = false;
     cluster.run(60);
-    EXPECT_FALSE(cluster.workers.runs("j-1"));
-    EXPECT_TRUE(cluster.workers.runs("j-2"));
+    EXPECT_FALSE(cluster.workers.has_live_task_of("j-1"));
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-2"));
     EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
 
@@ -451,22 +451,22 @@
     const double late = GetParam().value;
     CombinedFaultsCluster cluster("delayed_writes_" + std::to_string(static_cast<int>(late)));
     cluster.start_jobs({"j-1", "j-2"});
-    cluster.delayed_writes_s = late;
+    cluster.write_delay_s = late;
     cluster.note("writes  are late");
     cluster.submit(0, "j-3");
     cluster.cancel(1, "j-1");
     cluster.submit(2, "j-3");
     cluster.cancel(2, "j-1");
     cluster.run(3);
-    cluster.delayed_writes_s = 0;
+    cluster.write_delay_s = 0;
     cluster.note("writes  are answered");
     EXPECT_TRUE(cluster.submit(0, "j-3")->status / 100 == 2);
     EXPECT_EQ(cluster.cancel(0, "j-1")->status, 200);
     cluster.run(40);
     cluster.expect_status_everywhere("j-1", "withdrawn");
-    EXPECT_TRUE(cluster.workers.runs("j-2"));
-    EXPECT_TRUE(cluster.workers.runs("j-3"));
-    EXPECT_FALSE(cluster.workers.runs("j-1"));
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-2"));
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-3"));
+    EXPECT_FALSE(cluster.workers.has_live_task_of("j-1"));
     EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
 
@@ -491,7 +491,7 @@
     cluster.restart(cluster.old_leader), cluster.restart(cluster.follower);
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 60), 30);
     cluster.run(60);
-    EXPECT_TRUE(cluster.workers.runs("j-2"));
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-2"));
     cluster.expect_status_everywhere("j-1", "withdrawn");
     EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
@@ -529,21 +529,21 @@
     for (const auto* id : {"j-1", "j-2"}) EXPECT_EQ(cluster.submit(0, id, {{"Yard", "a"}})->status, 201);
     EXPECT_EQ(cluster.submit(0, "j-3", {{"Yard", "b"}, {"Pieces", 3}})->status, 201);
     cluster.run(20);
-    EXPECT_EQ(cluster.workers.running_tasks(), 5U);
+    EXPECT_EQ(cluster.workers.executing_task_count(), 5U);
     const int l = cluster.leader();
     cluster.partitioned_from_store = cluster.partitioned_from_peers = {l};
     cluster.workers.partitioned_zone = "a", cluster.workers.partitioned_zone_controller = l;
     cluster.note("cut     zone a with c-" + std::to_string(l));
     cluster.run(2);
     EXPECT_EQ(cluster.cancel((l + 1) % 3, "j-1")->status, 200);
-    cluster.workers.machines.erase(cluster.workers.machine_with("j-3").id);
+    cluster.workers.machines.erase(cluster.workers.machine_with_task_of("j-3").id);
     cluster.run(60);
-    EXPECT_FALSE(cluster.workers.runs("j-1"));
+    EXPECT_FALSE(cluster.workers.has_live_task_of("j-1"));
     cluster.partitioned_from_store.clear(), cluster.partitioned_from_peers.clear(),
         cluster.workers.partitioned_zone.clear();
     cluster.note("cut     ends");
     cluster.run(60);
-    EXPECT_TRUE(cluster.workers.runs("j-2"));
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-2"));
     cluster.run(60);
     cluster.expect_status_everywhere("j-1", "withdrawn");
     cluster.expect_status_everywhere("j-3", "done");
@@ -560,7 +560,7 @@
     EXPECT_EQ(cluster.leader(), cluster.old_leader);
     EXPECT_EQ(cluster.submit(cluster.follower, "j-4")->status, 201);
     cluster.run(25);
-    EXPECT_TRUE(cluster.workers.runs("j-4"));
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-4"));
     cluster.store_delay_s = 0.7;
     cluster.cancel(cluster.old_leader, "j-1");
     cluster.rejected_by_store = {cluster.old_leader};
@@ -581,7 +581,7 @@
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 20), 10);
     EXPECT_LT(cluster.seconds_until_stopped("j-2", 20), 10);
     cluster.run(40);
-    EXPECT_TRUE(cluster.workers.runs("j-3"));
+    EXPECT_TRUE(cluster.workers.has_live_task_of("j-3"));
     EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
 
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -115,10 +115,10 @@
     const auto held = cluster.send_request(
         old, "POST", "/checkin", ClusterSimulator::heartbeat_body(idle_report(++sequence, fencing_token)));
     cluster.run(0.1);
-    cluster.holding_commits = {old};
+    cluster.controllers_with_held_commits = {old};
     EXPECT_EQ(cluster.submit(other, "j-1")->status, 201);
     while (cluster.held_commits[old].empty()) cluster.run(0.01);  // the placement is on its way
-    cluster.holding_commits.clear();
+    cluster.controllers_with_held_commits.clear();
     cluster.note("freeze  of c-" + std::to_string(old));
     cluster.paused = {old};
     cluster.run(12);
@@ -155,8 +155,9 @@
     const int one = (first + 1) % 3, two = (first + 2) % 3;
     cluster.note("end     of c-" + std::to_string(first));
     cluster.kill(first);
-    const auto leases = cluster.store_requests["leases"];
-    while (cluster.store_requests["leases"] == leases) cluster.run(0.01);  // one of them asks for a lease
+    const auto leases = cluster.store_request_counts["leases"];
+    while (cluster.store_request_counts["leases"] == leases)
+        cluster.run(0.01);  // one of them asks for a lease
     cluster.note("freeze  of both others");
     cluster.paused = {one, two};
     cluster.run(20);
@@ -183,12 +184,12 @@
     const auto fencing_token = cluster.store.fencing_token();
     const int one = (first + 1) % 3, two = (first + 2) % 3;
     cluster.note("hold    the commits of c-" + std::to_string(one) + " and c-" + std::to_string(two));
-    cluster.holding_commits = {one, two};
+    cluster.controllers_with_held_commits = {one, two};
     cluster.note("end     of c-" + std::to_string(first));
     cluster.kill(first);
     while (cluster.held_commits[one].empty() || cluster.held_commits[two].empty()) cluster.run(0.1);
     cluster.note("end     of the other two, back at once");
-    cluster.holding_commits.clear();
+    cluster.controllers_with_held_commits.clear();
     cluster.kill(one), cluster.kill(two);
     for (const int n : {one, two})
         for (const auto& r : cluster.held_commits[n]) {
@@ -214,14 +215,14 @@
     ClusterSimulator cluster("reads_paced", 5);
     cluster.run(5);
     EXPECT_EQ(cluster.submit(0, "j-1")->status, 201);
-    cluster.store_requests.clear();
+    cluster.store_request_counts.clear();
     const double from = cluster.now();
     for (int i = 0; i < 60; ++i)
         for (int n = 0; n < 5; ++n) EXPECT_EQ(cluster.poll(n, "j-1")->status, 200);
     int total = 0;
-    for (const auto& [kind, n] : cluster.store_requests) total += n;
+    for (const auto& [kind, n] : cluster.store_request_counts) total += n;
     EXPECT_LT(total / (cluster.now() - from), 70);  // of the 100 a second that the settings allow
-    EXPECT_GT(cluster.store_requests["leases"] / (cluster.now() - from), 0.5);  // renewals go on
+    EXPECT_GT(cluster.store_request_counts["leases"] / (cluster.now() - from), 0.5);  // renewals go on
 }
 
 }  // namespace
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -294,7 +294,7 @@
     cluster.run(8);
     cluster.expect_status_everywhere("j-f499", "withdrawn");
     cluster.run(90);
-    EXPECT_EQ(cluster.store.live_jobs(), 0U);
+    EXPECT_EQ(cluster.store.live_job_count(), 0U);
     EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
 
@@ -378,9 +378,9 @@
 // an error, and the job is not known.
 TEST(Pipelines, LongListsAreAcceptedWholeOrNotAtAll) {
     ClusterOptions small;
-    small.adjust = [](config::Settings& s) { s.value_kb = 2, s.max_transaction_changes = 4; };
+    small.adjust_settings = [](config::Settings& s) { s.value_kb = 2, s.max_transaction_changes = 4; };
     PipelineCluster cluster("pipeline_long_lists", small);
-    cluster.store.value_bytes = 2048, cluster.store.max_transaction_changes = 4;
+    cluster.store.max_value_bytes = 2048, cluster.store.max_transaction_changes = 4;
     cluster.workers.cloud_capacity = 0;
     std::vector<std::string> names;
     for (int i = 0; i < 500; ++i) names.push_back("j-" + std::to_string(100000 + i));
@@ -394,7 +394,7 @@
     EXPECT_EQ(cluster.cancel(0, names.back())->status, 200);
     cluster.expect_status_everywhere("j-all", "withdrawn");
     cluster.run(30);
-    EXPECT_EQ(cluster.store.rows_under(records::dependencies_prefix), 0U);
+    EXPECT_EQ(cluster.store.count_rows_with_prefix(records::dependencies_prefix), 0U);
     auto more = names;
     more.pop_back();
     more.insert(more.end(), {"j-100000", "j-1", "j-2"});
@@ -405,7 +405,7 @@
     cluster.run(1);
     EXPECT_EQ(cluster.accept(0, "j-long", long_names), 400);
     cluster.expect_status_everywhere("j-long", "404");
-    EXPECT_EQ(cluster.store.refused_commits, 0);
+    EXPECT_EQ(cluster.store.oversized_commits, 0);
 }
 
 }  // namespace
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -845,9 +845,9 @@
     ask_submissions(a);
     a.put("after a cancelled one", c.submit(0, "j-orphan", {{"WaitsOn", json::array{"j-cancelled"}}}));
     a.put("known by then", c.submit(0, "j-done"));
-    c.store.value_bytes = 10;
+    c.store.max_value_bytes = 10;
     a.submit("Crew", "\"team\"");
-    c.store.value_bytes = SIZE_MAX;
+    c.store.max_value_bytes = SIZE_MAX;
     g.section("check-ins");
     model::Heartbeat report;
     report.machine = "m-77", report.agent_epoch = 1, report.sequence = 5;
@@ -936,7 +936,7 @@
 TEST(Golden, RowsOfAStory) {
     Golden g("rows");
     ClusterOptions options;
-    options.adjust = [](config::Settings& s) { s.value_kb = s.current_value_kb = 2; };
+    options.adjust_settings = [](config::Settings& s) { s.value_kb = s.current_value_kb = 2; };
     ClusterSimulator c("golden_rows", 3, options);
     c.workers.cloud_capacity = 6;
     c.workers.task_run_s["j-array/0"] = c.workers.task_run_s["j-first/0"] = 5;
@@ -956,7 +956,7 @@
     json::array before;
     for (int i = 0; i < 60; ++i) {
         const std::string id = "j-abcdefghijklmnopqrstuvwxyz" + std::to_string(i);
-        c.workers.invariants.job_submitted(
+        c.workers.invariants.record_submission(
             {{"NameId", id}, {"Crew", "team"}, {"Pieces", 1}, {"Accelerators", 1}});
         c.store.put_job(array_job(id, 1), c.now());
         before.emplace_back(id);
@@ -1052,7 +1052,7 @@
     Golden g("transactions_large");
     Story w("golden_transactions_large", g);
     w.config.value_kb = w.config.current_value_kb = 2;
-    w.record_parts_allowed = true;
+    w.sharding_allowed = true;
     w.begin_term();
     for (int i = 0; i < 40; ++i)
         w.synchronize_worker((w.add_worker("m-" + std::to_string(10 + i)), "m-" + std::to_string(10 + i)));
--- a/tests/invariant_checker.hpp
+++ b/tests/invariant_checker.hpp
@@ -20,16 +20,16 @@
     explicit InvariantChecker(const SimulatedMachines& machines) : machines_(machines) {}
 
     /// A job in the form of a submission, before it is sent.
-    void job_submitted(const boost::json::object& submission);
+    void record_submission(const boost::json::object& submission);
     /// A user got an answer that shows the job's status: what was confirmed may not be taken back.
-    void job_status_confirmed(const std::string& job, const std::string& status, double now);
-    void task_completed(const model::TaskId& task);
+    void record_confirmed_status(const std::string& job, const std::string& status, double now);
+    void record_task_completion(const model::TaskId& task);
     /// A task that has its image starts to execute.
     void check_start(const SimulatedMachine& machine, const SimulatedTask& task) const;
     /// A task may not execute longer than cancel_s after its cancellation was confirmed; once a task.
     void check_execution(const SimulatedMachine& machine, const SimulatedTask& task, double now);
 
-    [[nodiscard]] bool cancellation_confirmed(const std::string& job) const;
+    [[nodiscard]] bool is_cancellation_confirmed(const std::string& job) const;
 
     double cancellation_timeout_s = 66;  ///< from a confirmed cancellation until nothing of it executes
     double team_gpus_max = 2;            ///< of the team "capped", as in settings()
@@ -41,17 +41,17 @@
         double gpus = 1;
         std::vector<std::string> dependencies;
         bool completion_confirmed = false;
-        std::set<std::uint32_t> completed;
+        std::set<std::uint32_t> completed_tasks;
     };
     /// The earliest confirmed cancellation of a job that this one depends on, through others too.
-    [[nodiscard]] std::optional<double> dependency_cancelled_at(const std::string& job) const;
+    [[nodiscard]] std::optional<double> earliest_dependency_cancellation(const std::string& job) const;
     /// Of the team's executing tasks.
-    [[nodiscard]] double gpus_of(const std::string& team) const;
+    [[nodiscard]] double gpus_in_use(const std::string& team) const;
 
     const SimulatedMachines& machines_;
     std::map<std::string, Job> jobs_;
     std::map<std::string, double> confirmed_cancellations_;  // when
-    std::set<std::string> violating_tasks_;                  // that were reported
+    std::set<std::string> reported_tasks_;                   // that were reported
 };
 
 }  // namespace pineroad::test
--- a/tests/leader_simulator.cpp
+++ b/tests/leader_simulator.cpp
@@ -18,13 +18,13 @@
 
 namespace {
 
-std::string describe(const Command& order) {
+std::string describe(const Command& command) {
     const std::string task =
-        order.task.job + "/" + std::to_string(order.task.index) + "#" + std::to_string(order.attempt);
-    if (order.kind == Command::Kind::start) return "start " + task;
-    if (order.kind == Command::Kind::forget) return "reap " + task;
+        command.task.job + "/" + std::to_string(command.task.index) + "#" + std::to_string(command.attempt);
+    if (command.kind == Command::Kind::start) return "start " + task;
+    if (command.kind == Command::Kind::forget) return "reap " + task;
     std::ostringstream out;
-    out << "stop " << task << " grace " << order.grace_s;
+    out << "stop " << task << " grace " << command.grace_s;
     return out.str();
 }
 
@@ -84,28 +84,28 @@
 }
 
 // What the leader's process learns of a job's end.
-void LeaderSimulator::record_ending(const std::string& id, const model::JobOutcome& ending) {
+void LeaderSimulator::record_job_outcome(const std::string& id, const model::JobOutcome& outcome) {
     watch_cache_->apply_drop(records::job_key(id));
-    watch_cache_->record_outcome(id, ending, store.revision);
+    watch_cache_->record_outcome(id, outcome, store.revision);
 }
 
-bool LeaderSimulator::cancel(const std::string& id, bool leader_learns) {
+bool LeaderSimulator::cancel(const std::string& id, bool notify_leader) {
     const auto row = store.rows.find(records::job_key(id));
     if (row == store.rows.end()) return false;
-    const model::JobOutcome ending{model::FinalStatus::cancelled, wall_ms()};
+    const model::JobOutcome outcome{model::FinalStatus::cancelled, wall_ms()};
     wire::Transaction transaction;
     transaction.conditions = {{records::job_key(id), row->second.mod_revision},
                               {records::outcome_key(id), 0}};
     transaction.changes = {{records::job_key(id), std::nullopt, std::nullopt},
-                           {records::outcome_key(id), records::outcome_json(ending), std::nullopt}};
-    const bool apply_commit = store.commit(transaction).has_value();
-    note("user    cancels " + id + (apply_commit ? ": withdrawn" : ": too late"));
-    if (apply_commit) cancelled_at[id] = now;
-    if (apply_commit && leader_learns && leader_state_) {
+                           {records::outcome_key(id), records::outcome_json(outcome), std::nullopt}};
+    const bool committed = store.commit(transaction).has_value();
+    note("user    cancels " + id + (committed ? ": withdrawn" : ": too late"));
+    if (committed) cancelled_at[id] = now;
+    if (committed && notify_leader && leader_state_) {
         leader_state_->job_cancelled(id, now);
-        record_ending(id, ending);
+        record_job_outcome(id, outcome);
     }
-    return apply_commit;
+    return committed;
 }
 
 std::string LeaderSimulator::job_status(const std::string& id) const {
@@ -130,7 +130,7 @@
         for (const auto& id : change.cancelled) leader_state_->job_cancelled_by_dependency(id, now);
     };
     leader_state_->load(*watch_cache_, now, wall_ms());
-    if (record_parts_allowed) leader_state_->allow_sharding();
+    if (sharding_allowed) leader_state_->allow_sharding();
     note("term    " + std::to_string(fencing_token_) + " begins");
 }
 
@@ -156,13 +156,14 @@
     EXPECT_LE(batch.txn.conditions.size(), 4 * static_cast<std::size_t>(config.max_transaction_changes));
     if (!revision) return false;
     leader_state_->apply_commit(batch, *revision, now, wall_ms());
-    for (const auto& end : batch.finished_jobs) record_ending(end.job, end.outcome);
+    for (const auto& finished_job : batch.finished_jobs)
+        record_job_outcome(finished_job.job, finished_job.outcome);
     return true;
 }
 
 bool LeaderSimulator::commit_all() {
-    constexpr int most_batches = 50;
-    for (int i = 0; i < most_batches; ++i) {
+    constexpr int max_batches = 50;
+    for (int i = 0; i < max_batches; ++i) {
         const auto batch = next_write_batch();
         if (!batch) return true;
         if (!apply_batch(*batch)) return false;
@@ -196,21 +197,21 @@
 }
 
 model::Heartbeat LeaderSimulator::next_heartbeat(Worker& worker) {
-    model::Heartbeat r;
-    r.machine = worker.id;
-    r.address = "10.0.0.9:1";
-    r.type = worker.type;
-    r.zone = worker.zone;
-    r.spot = worker.spot;
-    r.agent_epoch = worker.agent_epoch;
-    r.sequence = ++worker.sequence;
-    r.fencing_token = worker.fencing_token;
-    r.interruption_notice_s = worker.interruption_notice_s;
-    r.tasks = worker.tasks;
-    return r;
-}
-
-std::vector<Command> LeaderSimulator::send_heartbeat(const std::string& id, bool lost_answer) {
+    model::Heartbeat heartbeat;
+    heartbeat.machine = worker.id;
+    heartbeat.address = "10.0.0.9:1";
+    heartbeat.type = worker.type;
+    heartbeat.zone = worker.zone;
+    heartbeat.spot = worker.spot;
+    heartbeat.agent_epoch = worker.agent_epoch;
+    heartbeat.sequence = ++worker.sequence;
+    heartbeat.fencing_token = worker.fencing_token;
+    heartbeat.interruption_notice_s = worker.interruption_notice_s;
+    heartbeat.tasks = worker.tasks;
+    return heartbeat;
+}
+
+std::vector<Command> LeaderSimulator::send_heartbeat(const std::string& id, bool lost_response) {
     Worker& worker = workers.at(id);
     const bool fresh = leader_state_->apply_heartbeat(next_heartbeat(worker), now);
     const auto commands = fresh ? leader_state_->commands_for(id, true, now) : std::vector<Command>{};
@@ -218,9 +219,9 @@
                        std::to_string(worker.sequence) + ")";
     for (const auto& task : worker.tasks) line += " " + describe(task);
     note(line + (fresh ? "" : " is stale"));
-    for (const auto& order : commands)
-        note("answer  " + id + ": " + describe(order) + (lost_answer ? " (lost)" : ""));
-    if (!lost_answer) execute(worker, commands, leader_state_->fencing_token());
+    for (const auto& command : commands)
+        note("answer  " + id + ": " + describe(command) + (lost_response ? " (lost)" : ""));
+    if (!lost_response) execute(worker, commands, leader_state_->fencing_token());
     return commands;
 }
 
@@ -232,31 +233,31 @@
                               std::uint64_t fencing_token) {
     if (fencing_token < worker.fencing_token) return;
     worker.fencing_token = fencing_token;
-    for (const auto& order : commands) {
+    for (const auto& command : commands) {
         const auto task = std::find_if(worker.tasks.begin(), worker.tasks.end(), [&](const auto& t) {
-            return t.task == order.task && t.attempt == order.attempt;
+            return t.task == command.task && t.attempt == command.attempt;
         });
-        const bool known = task != worker.tasks.end();
-        if (order.kind == Command::Kind::start) {
-            if (!known) execute_start(worker, order);
-        } else if (known && order.kind == Command::Kind::forget) {
+        const bool exists = task != worker.tasks.end();
+        if (command.kind == Command::Kind::start) {
+            if (!exists) execute_start(worker, command);
+        } else if (exists && command.kind == Command::Kind::forget) {
             if (task->state == TaskState::exited) worker.tasks.erase(task);
-        } else if (known && task->state != TaskState::exited) {
-            execute_stop(*task, order);
+        } else if (exists && task->state != TaskState::exited) {
+            execute_stop(*task, command);
         }
     }
 }
 
-void LeaderSimulator::execute_start(Worker& worker, const Command& order) {
+void LeaderSimulator::execute_start(Worker& worker, const Command& command) {
     ++starts;
-    check_start(worker, order.task);
-    worker.tasks.push_back({order.task, order.attempt, TaskState::fetching, ExitCause::none, false});
+    check_start(worker, command.task);
+    worker.tasks.push_back({command.task, command.attempt, TaskState::fetching, ExitCause::none, false});
 }
 
-void LeaderSimulator::execute_stop(model::ReportedTask& task, const Command& order) const {
-    const auto& spec = specs.at(order.task.job);
+void LeaderSimulator::execute_stop(model::ReportedTask& task, const Command& command) const {
+    const auto& spec = specs.at(command.task.job);
     if (task.state == TaskState::running && spec.checkpoint_interval_s > 0 &&
-        order.grace_s >= spec.checkpoint_save_s)
+        command.grace_s >= spec.checkpoint_save_s)
         task.state = TaskState::checkpointing;
     else
         task = {task.task, task.attempt, TaskState::exited, ExitCause::stopped, false};
@@ -265,16 +266,18 @@
 void LeaderSimulator::deliver_direct_commands() {
     for (const auto& direct : leader_state_->take_direct_commands()) {
         auto& worker = workers.at(direct.machine);
-        for (const auto& order : direct.commands) note("/do     " + direct.machine + ": " + describe(order));
+        for (const auto& command : direct.commands)
+            note("/do     " + direct.machine + ": " + describe(command));
         if (!worker.hung && direct.agent_epoch == worker.agent_epoch)
             execute(worker, direct.commands, leader_state_->fencing_token());
     }
 }
 
-void LeaderSimulator::set_task_state(const std::string& name, TaskState state, ExitCause cause, bool saved) {
+void LeaderSimulator::set_task_state(const std::string& task_name, TaskState state, ExitCause cause,
+                                     bool saved) {
     for (auto& [id, worker] : workers)
         for (auto& task : worker.tasks) {
-            if (task.task.job + "/" + std::to_string(task.task.index) != name) continue;
+            if (task.task.job + "/" + std::to_string(task.task.index) != task_name) continue;
             if (task.state == TaskState::exited) continue;
             task.state = state;
             task.cause = cause;
@@ -320,7 +323,7 @@
         }
     const auto& spec = specs.at(task.job);
     check_quota(spec);
-    check_place(worker, spec);
+    check_placement(worker, spec);
     const auto cancelled = cancelled_at.find(task.job);
     EXPECT_TRUE(cancelled == cancelled_at.end() || now <= cancelled->second + config.cancellation_timeout_s)
         << "ran_cancelled: " << task.job;
@@ -343,7 +346,7 @@
     }
 }
 
-void LeaderSimulator::check_place(const Worker& worker, const model::JobSpec& spec) const {
+void LeaderSimulator::check_placement(const Worker& worker, const model::JobSpec& spec) const {
     std::map<std::string, std::uint32_t> tasks_by_zone{{worker.zone, 1}};
     for (const auto& [id, other] : workers)
         for (const auto& task : other.tasks)
@@ -360,24 +363,24 @@
 // --- cloud -------------------------------------------------------------------------------------------------
 
 std::vector<model::ProvisioningRequest> LeaderSimulator::provision_machines() {
-    std::vector<model::ProvisioningRequest> out;
+    std::vector<model::ProvisioningRequest> requests;
     while (const auto request = leader_state_->next_provisioning_request()) {
-        auto& machines = provisioned_[request->name];
-        const bool again = !machines.empty();
+        auto& machines = machines_by_request_[request->name];
+        const bool is_repeat = !machines.empty();
         while (machines.size() < request->count)
-            machines.push_back("m-" + std::to_string(++provisioned_count_));
+            machines.push_back("m-" + std::to_string(++last_machine_number_));
         std::string line = "cloud   " + request->name + ": " + std::to_string(request->count) + " " +
                            request->type + " in " + request->zone + (request->spot ? ", spot" : "") +
-                           (again ? ", as before:" : ":");
+                           (is_repeat ? ", as before:" : ":");
         for (const auto& id : machines) {
             line += " " + id;
             if (!workers.contains(id)) add_worker(id, request->type, request->zone, request->spot);
         }
         note(line);
         leader_state_->machines_provisioned(request->name, machines, now);
-        out.push_back(*request);
+        requests.push_back(*request);
     }
-    return out;
+    return requests;
 }
 
 void LeaderSimulator::release_machines() {
--- a/tests/leader_simulator.hpp
+++ b/tests/leader_simulator.hpp
@@ -58,7 +58,7 @@
     /// The leader learns of an accepted job, without a line in the trace.
     void add_accepted_job(const model::JobSpec& spec);
     /// Whether the cancellation was committed. The leader learns of it now, or never.
-    bool cancel(const std::string& id, bool leader_learns = true);
+    bool cancel(const std::string& id, bool notify_leader = true);
     /// "accepted", "done", "withdrawn" or "unknown", by the store's records.
     [[nodiscard]] std::string job_status(const std::string& id) const;
 
@@ -82,13 +82,13 @@
     /// Workers of the default type in zone a that have proven to run nothing.
     void add_ready_workers(const std::vector<std::string>& ids);
     model::Heartbeat next_heartbeat(Worker& worker);
-    /// One heartbeat, its answer executed; with lost_answer the worker never gets it.
-    std::vector<model::Command> send_heartbeat(const std::string& id, bool lost_answer = false);
+    /// One heartbeat, its answer executed; with lost_response the worker never gets it.
+    std::vector<model::Command> send_heartbeat(const std::string& id, bool lost_response = false);
     void send_heartbeats(const std::vector<std::string>& ids);
     /// By a worker: commands under an older fencing token are ignored.
     void execute(Worker& worker, const std::vector<model::Command>& commands, std::uint64_t fencing_token);
     void deliver_direct_commands();
-    void set_task_state(const std::string& task, model::TaskState state,
+    void set_task_state(const std::string& task_name, model::TaskState state,
                         model::ExitCause cause = model::ExitCause::none, bool saved = false);
     /// The worker's lease expires: its tasks have ended, and a new agent epoch begins.
     void expire_worker_lease(const std::string& id);
@@ -109,24 +109,24 @@
     SimulatedStore store;
     config::Settings config = settings();
     config::Tuning tuning;
-    int starts = 0;                     ///< that workers have executed
-    bool record_parts_allowed = false;  ///< every controller reads the present record format
+    int starts = 0;                 ///< that workers have executed
+    bool sharding_allowed = false;  ///< every controller reads the present record format
     std::map<std::string, model::JobSpec> specs;
     std::map<std::string, double> cancelled_at;
 
    private:
-    void record_ending(const std::string& id, const model::JobOutcome& ending);
-    void execute_start(Worker& worker, const model::Command& order);
-    void execute_stop(model::ReportedTask& task, const model::Command& order) const;
+    void record_job_outcome(const std::string& id, const model::JobOutcome& outcome);
+    void execute_start(Worker& worker, const model::Command& command);
+    void execute_stop(model::ReportedTask& task, const model::Command& command) const;
     void check_start(const Worker& worker, const model::TaskId& task) const;
     void check_quota(const model::JobSpec& spec) const;
-    void check_place(const Worker& worker, const model::JobSpec& spec) const;
+    void check_placement(const Worker& worker, const model::JobSpec& spec) const;
     Trace trace_;
     std::unique_ptr<store::WatchCache> watch_cache_;
     std::unique_ptr<cluster::ClusterState> leader_state_;
     std::uint64_t fencing_token_ = 0;
-    int provisioned_count_ = 0;
-    std::map<std::string, std::vector<std::string>> provisioned_;  // by the request's name
+    int last_machine_number_ = 0;
+    std::map<std::string, std::vector<std::string>> machines_by_request_;  // by the request's name
 };
 
 /// A simulator in its first term, with workers that are ready for placements: what most tests begin with.
--- a/tests/simulated_machine.cpp
+++ b/tests/simulated_machine.cpp
@@ -9,9 +9,9 @@
                        [&](const SimulatedTask& task) { return task.id.job == job; });
 }
 
-std::size_t SimulatedMachine::executing_tasks() const {
-    return static_cast<std::size_t>(
-        std::count_if(tasks.begin(), tasks.end(), [](const SimulatedTask& task) { return task.executes(); }));
+std::size_t SimulatedMachine::executing_task_count() const {
+    return static_cast<std::size_t>(std::count_if(
+        tasks.begin(), tasks.end(), [](const SimulatedTask& task) { return task.is_executing(); }));
 }
 
 const char* name_of(model::TaskState state) {
--- a/tests/simulated_machine.hpp
+++ b/tests/simulated_machine.hpp
@@ -25,11 +25,11 @@
     std::uint64_t attempt = 0;
     model::TaskState state = model::TaskState::fetching;
     model::ExitCause cause = model::ExitCause::none;
-    bool saved = false;
-    double fetched_at = 0, checkpointed_run_s = 0, saves_until = 0;
+    bool checkpoint_saved = false;
+    double image_fetched_at = 0, run_time_s = 0, checkpoint_complete_at = 0;
 
     /// It occupies its machine's resources: it has its image and has not ended.
-    [[nodiscard]] bool executes() const {
+    [[nodiscard]] bool is_executing() const {
         return state == model::TaskState::running || state == model::TaskState::checkpointing;
     }
 };
@@ -42,14 +42,14 @@
     std::uint64_t agent_epoch = 1, sequence = 0, fencing_token = 0;
     std::vector<SimulatedTask> tasks;
     int controller = 0;  ///< that its heartbeats go to
-    double lease_from = 0, next_heartbeat = 0;
-    double sent_at = -1;   ///< of the heartbeat that waits for its answer; negative: none does
-    bool changed = false;  ///< since the last heartbeat
-    std::shared_ptr<std::optional<net::Reply>> answer;
-    std::vector<std::pair<int, std::string>> held_commands;  ///< direct ones, while it hangs
+    double lease_renewed_at = 0, next_heartbeat_at = 0;
+    double heartbeat_sent_at = -1;       ///< of the heartbeat that waits for its answer; negative: none does
+    bool has_unreported_change = false;  ///< since the last heartbeat
+    std::shared_ptr<std::optional<net::Reply>> heartbeat_response;
+    std::vector<std::pair<int, std::string>> queued_direct_commands;  ///< direct ones, while it hangs
 
     [[nodiscard]] bool has_task_of(const std::string& job) const;
-    [[nodiscard]] std::size_t executing_tasks() const;
+    [[nodiscard]] std::size_t executing_task_count() const;
 };
 
 using SimulatedMachines = std::map<std::string, SimulatedMachine>;
--- a/tests/store_simulator.cpp
+++ b/tests/store_simulator.cpp
@@ -20,11 +20,11 @@
 
 }  // namespace
 
-std::string StoreSimulator::parameter(const std::string& target, const std::string& name) {
-    const auto at = target.find(name + "=");
-    if (at == std::string::npos) return {};
-    const auto from = at + name.size() + 1;
-    return target.substr(from, target.find('&', from) - from);
+std::string StoreSimulator::query_parameter(const std::string& target, const std::string& name) {
+    const auto name_position = target.find(name + "=");
+    if (name_position == std::string::npos) return {};
+    const auto value_position = name_position + name.size() + 1;
+    return target.substr(value_position, target.find('&', value_position) - value_position);
 }
 
 Reply StoreSimulator::answer(const std::string& method, const std::string& target, const std::string& body,
@@ -34,16 +34,17 @@
     if (target == "/leases") return grant_lease(body, now);
     if (target.starts_with(leases))
         return renew_or_end_lease(method, std::stoull(target.substr(leases.size())), now);
-    if (target.starts_with("/follow")) return changes_since(std::stoull(parameter(target, "Since")));
-    if (target.starts_with("/store?")) return list(parameter(target, "Under"), parameter(target, "Since"));
+    if (target.starts_with("/follow")) return changes_since(std::stoull(query_parameter(target, "Since")));
+    if (target.starts_with("/store?"))
+        return list(query_parameter(target, "Under"), query_parameter(target, "Since"));
     return read(target.substr(keys.size()));
 }
 
 // --- leases ------------------------------------------------------------------------------------------------
 
 Reply StoreSimulator::grant_lease(const std::string& body, double now) {
-    const double ttl = json::parse(body).at("TtlMs").to_number<double>() / 1000;
-    leases_[next_lease_] = {now + ttl, ttl};
+    const double ttl_s = json::parse(body).at("TtlMs").to_number<double>() / 1000;
+    leases_[next_lease_] = {now + ttl_s, ttl_s};
     return reply(200, {{"Permit", next_lease_++}});
 }
 
@@ -53,7 +54,7 @@
     if (method == "DELETE")
         end_lease(id);
     else
-        lease->second.until = now + lease->second.ttl;
+        lease->second.expires_at = now + lease->second.ttl_s;
     return reply(200);
 }
 
@@ -62,19 +63,19 @@
     ++revision_;
     for (auto next = rows_.begin(); next != rows_.end();) {
         const auto row = next++;
-        if (row->second.lease == id) drop(std::string(row->first));
+        if (row->second.lease == id) delete_row(std::string(row->first));
     }
 }
 
-void StoreSimulator::expire(double now) {
+void StoreSimulator::expire_leases(double now) {
     for (auto next = leases_.begin(); next != leases_.end();) {
         const auto lease = next++;
-        if (lease->second.until < now) end_lease(lease->first);
+        if (lease->second.expires_at < now) end_lease(lease->first);
     }
 }
 
 void StoreSimulator::extend_leases(double now) {
-    for (auto& [id, lease] : leases_) lease.until = now + lease.ttl;
+    for (auto& [id, lease] : leases_) lease.expires_at = now + lease.ttl_s;
 }
 
 // --- transactions ------------------------------------------------------------------------------------------
@@ -84,11 +85,11 @@
     return changes.size() <= max_transaction_changes &&
            std::all_of(changes.begin(), changes.end(), [&](const auto& change) {
                const auto* value = change.as_object().if_contains("Value");
-               return !value || json::serialize(*value).size() <= value_bytes;
+               return !value || json::serialize(*value).size() <= max_value_bytes;
            });
 }
 
-bool StoreSimulator::names_ended_lease(const wire::Json& transaction) const {
+bool StoreSimulator::uses_unknown_lease(const wire::Json& transaction) const {
     const auto& changes = transaction.at("Apply").as_array();
     return std::any_of(changes.begin(), changes.end(), [&](const auto& change) {
         const auto* lease = change.as_object().if_contains("Permit");
@@ -108,39 +109,39 @@
 }
 
 void StoreSimulator::apply(const wire::Json& change) {
-    if (const auto* dropped = change.as_object().if_contains("Drop")) {
-        drop(std::string(dropped->as_string()));
+    if (const auto* deleted_key = change.as_object().if_contains("Drop")) {
+        delete_row(std::string(deleted_key->as_string()));
         return;
     }
     const std::string key(change.at("Write").as_string());
     const auto* lease = change.as_object().if_contains("Permit");
     rows_[key] = {change.at("Value"), revision_, lease ? lease->to_number<std::uint64_t>() : 0};
-    log_.push_back({{"Write", key}, {"Value", change.at("Value")}, {"Stamp", revision_}});
+    change_log_.push_back({{"Write", key}, {"Value", change.at("Value")}, {"Stamp", revision_}});
 }
 
 Reply StoreSimulator::commit(const std::string& body) {
     const auto transaction = json::parse(body);
     if (!within_limits(transaction)) {
-        ++refused_commits;
+        ++oversized_commits;
         return reply(400, {{"error", "a limit is exceeded"}});
     }
     const auto failed = failed_conditions(transaction);
-    if (names_ended_lease(transaction)) return reply(400, {{"error", "no such lease"}});
+    if (uses_unknown_lease(transaction)) return reply(400, {{"error", "no such lease"}});
     if (!failed.empty()) return reply(409, {{"failed", json::value_from(failed)}, {"Epoch", revision_}});
     ++revision_;
     for (const auto& change : transaction.at("Apply").as_array()) apply(change);
     return reply(200, {{"Epoch", revision_}});
 }
 
-void StoreSimulator::drop(const std::string& key) {
-    if (rows_.erase(key)) log_.push_back({{"Drop", key}, {"Stamp", revision_}});
+void StoreSimulator::delete_row(const std::string& key) {
+    if (rows_.erase(key)) change_log_.push_back({{"Drop", key}, {"Stamp", revision_}});
 }
 
 // --- reads -------------------------------------------------------------------------------------------------
 
 Reply StoreSimulator::changes_since(std::uint64_t revision) const {
     json::array events;
-    for (const auto& change : log_)
+    for (const auto& change : change_log_)
         if (change.at("Stamp").to_number<std::uint64_t>() > revision) events.push_back(change);
     return reply(200, {{"Epoch", revision_}, {"Events", events}});
 }
@@ -159,13 +160,13 @@
     return reply(200, {{"Key", key}, {"Value", row->second.value}, {"Stamp", row->second.mod_revision}});
 }
 
-std::size_t StoreSimulator::rows_under(std::string_view prefix) const {
+std::size_t StoreSimulator::count_rows_with_prefix(std::string_view prefix) const {
     return static_cast<std::size_t>(std::count_if(
         rows_.begin(), rows_.end(), [&](const auto& row) { return row.first.starts_with(prefix); }));
 }
 
-std::size_t StoreSimulator::live_jobs() const {
-    return rows_under(records::job_prefix);
+std::size_t StoreSimulator::live_job_count() const {
+    return count_rows_with_prefix(records::job_prefix);
 }
 
 std::string StoreSimulator::leader() const {
@@ -182,7 +183,7 @@
 
 void StoreSimulator::put(const std::string& key, wire::Json value) {
     rows_[key] = {value, ++revision_, 0};
-    log_.push_back({{"Write", key}, {"Value", std::move(value)}, {"Stamp", revision_}});
+    change_log_.push_back({{"Write", key}, {"Value", std::move(value)}, {"Stamp", revision_}});
 }
 
 void StoreSimulator::put_job(model::JobSpec spec, double now) {
--- a/tests/store_simulator.hpp
+++ b/tests/store_simulator.hpp
@@ -25,10 +25,10 @@
     net::Reply answer(const std::string& method, const std::string& target, const std::string& body,
                       double now);
     /// The parameter of a request's target; empty if it is missing.
-    static std::string parameter(const std::string& target, const std::string& name);
-    [[nodiscard]] bool changed_since(std::uint64_t revision) const { return revision_ > revision; }
+    static std::string query_parameter(const std::string& target, const std::string& name);
+    [[nodiscard]] bool has_changes_since(std::uint64_t revision) const { return revision_ > revision; }
     /// Leases that ran out end, and their keys are dropped.
-    void expire(double now);
+    void expire_leases(double now);
     /// After an outage: every lease counts anew.
     void extend_leases(double now);
 
@@ -37,24 +37,24 @@
     /// The fencing token of the newest term.
     [[nodiscard]] std::uint64_t fencing_token() const;
     [[nodiscard]] const std::map<std::string, Row>& rows() const { return rows_; }
-    [[nodiscard]] std::size_t rows_under(std::string_view prefix) const;
-    [[nodiscard]] std::size_t live_jobs() const;
+    [[nodiscard]] std::size_t count_rows_with_prefix(std::string_view prefix) const;
+    [[nodiscard]] std::size_t live_job_count() const;
 
     /// An accepted job, without a controller that accepts it.
     void put_job(model::JobSpec spec, double now);
     void put(const std::string& key, wire::Json value);
 
     /// Limits of a transaction; beyond, it is answered 400.
-    std::size_t value_bytes = SIZE_MAX, max_transaction_changes = SIZE_MAX;
-    int refused_commits = 0;  ///< for these limits
+    std::size_t max_value_bytes = SIZE_MAX, max_transaction_changes = SIZE_MAX;
+    int oversized_commits = 0;  ///< for these limits
 
    private:
     struct Lease {
-        double until = 0, ttl = 0;
+        double expires_at = 0, ttl_s = 0;
     };
     net::Reply commit(const std::string& body);
     [[nodiscard]] bool within_limits(const wire::Json& transaction) const;
-    [[nodiscard]] bool names_ended_lease(const wire::Json& transaction) const;
+    [[nodiscard]] bool uses_unknown_lease(const wire::Json& transaction) const;
     [[nodiscard]] std::vector<std::string> failed_conditions(const wire::Json& transaction) const;
     void apply(const wire::Json& change);
     net::Reply grant_lease(const std::string& body, double now);
@@ -63,11 +63,11 @@
     [[nodiscard]] net::Reply list(const std::string& prefix, const std::string& after) const;
     [[nodiscard]] net::Reply read(const std::string& key) const;
     void end_lease(std::uint64_t id);
-    void drop(const std::string& key);
+    void delete_row(const std::string& key);
 
     std::map<std::string, Row> rows_;
     std::map<std::uint64_t, Lease> leases_;
-    std::vector<boost::json::object> log_;  // every change, with its revision
+    std::vector<boost::json::object> change_log_;  // every change, with its revision
     std::uint64_t revision_ = 0, next_lease_ = 1;
 };
 
--- a/tests/trace.cpp
+++ b/tests/trace.cpp
@@ -14,35 +14,35 @@
 namespace {
 
 /// The names of the traces that the tests of this run have written.
-std::set<std::string>& names_used() {
+std::set<std::string>& used_trace_names() {
     static std::set<std::string> names;
     return names;
 }
 
-bool every_test_runs() {
+bool runs_every_test() {
     const auto& run = *::testing::UnitTest::GetInstance();
     return run.test_to_run_count() == run.total_test_count();
 }
 
 /// A kept trace that no test writes guards nothing: a run of all tests fails for each.
-class EveryKeptTraceIsCompared : public ::testing::Environment {
-    void SetUp() override { names_used().clear(); }
+class UnusedTraceCheck : public ::testing::Environment {
+    void SetUp() override { used_trace_names().clear(); }
     void TearDown() override {
-        if (!every_test_runs()) return;
+        if (!runs_every_test()) return;
         for (const auto& file : std::filesystem::directory_iterator(PINEROAD_TRACES))
-            EXPECT_TRUE(names_used().contains(file.path().stem().string()))
+            EXPECT_TRUE(used_trace_names().contains(file.path().stem().string()))
                 << "no test writes the trace " << file.path();
     }
 };
 
-const auto* const environment = ::testing::AddGlobalTestEnvironment(new EveryKeptTraceIsCompared);
+const auto* const environment = ::testing::AddGlobalTestEnvironment(new UnusedTraceCheck);
 
-std::string path_of(const std::string& name) {
+std::string trace_path(const std::string& name) {
     return std::string(PINEROAD_TRACES) + "/" + name + ".trace";
 }
 
-std::string kept(const std::string& name) {
-    std::ifstream in(path_of(name));
+std::string read_expected_trace(const std::string& name) {
+    std::ifstream in(trace_path(name));
     std::ostringstream text;
     text << in.rdbuf();
     return text.str();
@@ -51,16 +51,17 @@
 }  // namespace
 
 Trace::Trace(std::string name) : name_(std::move(name)) {
-    EXPECT_TRUE(names_used().insert(name_).second) << "two tests write the trace " << name_;
+    EXPECT_TRUE(used_trace_names().insert(name_).second) << "two tests write the trace " << name_;
 }
 
 // PINEROAD_KEEP_TRACES=1 writes the file anew instead, after a change that was meant.
 Trace::~Trace() {
     if (std::getenv("PINEROAD_KEEP_TRACES")) {
-        std::ofstream(path_of(name_)) << lines_.str();
+        std::ofstream(trace_path(name_)) << lines_.str();
         return;
     }
-    EXPECT_EQ(kept(name_), lines_.str()) << "trace of " << name_ << " differs from the kept one";
+    EXPECT_EQ(read_expected_trace(name_), lines_.str())
+        << "trace of " << name_ << " differs from the kept one";
 }
 
 void Trace::note(double at_s, const std::string& line) {
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -78,7 +78,7 @@
 // leader comes, it reads every placement once.
 TEST(Upgrade, LargeRecordsAreSupersededInPieces) {
     StoreOfVersion04 simulator("upgrade_split");
-    simulator.record_parts_allowed = true;
+    simulator.sharding_allowed = true;
     simulator.begin_term();
     simulator.add_workers();
     const auto placed = simulator.placements_read("j-000001");
@@ -162,8 +162,10 @@
 ClusterOptions earlier_version() {
     ClusterOptions options;
     options.record_format = 1;
-    options.adjust = [](config::Settings& s) { s.value_kb = s.current_value_kb = 16; };
-    options.on_upgrade = [](config::Settings& s) { s.value_kb = 2, s.max_transaction_changes = 4; };
+    options.adjust_settings = [](config::Settings& s) { s.value_kb = s.current_value_kb = 16; };
+    options.adjust_settings_on_upgrade = [](config::Settings& s) {
+        s.value_kb = 2, s.max_transaction_changes = 4;
+    };
     return options;
 }
 
@@ -218,8 +220,8 @@
     constexpr std::size_t tasks = 120;
     const json::object wide{{"Pieces", tasks}, {"Vcpus", 0.5}, {"Accelerators", 0}, {"MemGb", 0.5}};
     EXPECT_EQ(cluster.submit(0, "j-1", wide)->status, 201);
-    for (int i = 0; i < 60 && cluster.workers.running_tasks() < tasks; ++i) cluster.run(1);
-    EXPECT_EQ(cluster.workers.running_tasks(), tasks);
+    for (int i = 0; i < 60 && cluster.workers.executing_task_count() < tasks; ++i) cluster.run(1);
+    EXPECT_EQ(cluster.workers.executing_task_count(), tasks);
     const auto replace_leader = [&](bool by_present_version) {
         const int l = cluster.leader();
         cluster.note("end     of c-" + std::to_string(l));
@@ -234,14 +236,14 @@
     replace_leader(true);
     replace_leader(false);
     replace_leader(false);
-    EXPECT_EQ(cluster.workers.running_tasks(), tasks);
+    EXPECT_EQ(cluster.workers.executing_task_count(), tasks);
     for (int n = 0; n < 3; ++n) {
         cluster.upgrade(n);
         cluster.run(7);
     }
     const int l = cluster.leader();
     cluster.note("limits  of the state service fall");
-    cluster.store.value_bytes = 2048, cluster.store.max_transaction_changes = 4;
+    cluster.store.max_value_bytes = 2048, cluster.store.max_transaction_changes = 4;
     cluster.workers.task_run_s["j-1/7"] = cluster.workers.task_run_s["j-1/70"] =
         1;  // something is to be written
     cluster.kill(l);
@@ -250,13 +252,13 @@
     cluster.run(20);
     EXPECT_EQ(cluster.submit(1, "j-2", waits_on_first)->status, 201);
     cluster.run(20);
-    EXPECT_EQ(cluster.workers.running_tasks(), tasks - 2);
+    EXPECT_EQ(cluster.workers.executing_task_count(), tasks - 2);
     EXPECT_EQ(cluster.workers.starts, static_cast<int>(tasks));
-    EXPECT_EQ(cluster.workers.killed_by_lease, 0);
-    EXPECT_EQ(cluster.store.refused_commits, 0);
+    EXPECT_EQ(cluster.workers.tasks_killed_by_lease_expiry, 0);
+    EXPECT_EQ(cluster.store.oversized_commits, 0);
     cluster.cancel(0, "j-1");
     cluster.run(30);
-    EXPECT_EQ(cluster.workers.running_tasks(), 0U);
+    EXPECT_EQ(cluster.workers.executing_task_count(), 0U);
     const auto after = cluster.poll(2, "j-2");
     EXPECT_NE(after->body.find("withdrawn"), std::string::npos);
 }
--- a/tests/worker_simulator.cpp
+++ b/tests/worker_simulator.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-constexpr double answer_timeout_s = 4;
-constexpr double next_controller_s = 1;
-constexpr double least_heartbeat_gap_s = 0.5;
-constexpr double checkpoint_interval_s = 2;  // to write one
+constexpr double response_timeout_s = 4;
+constexpr double next_controller_delay_s = 1;
+constexpr double min_heartbeat_interval_s = 0.5;
+constexpr double checkpoint_duration_s = 2;  // to write one
 
 model::TaskId task_id(const std::string& name) {
     const auto slash = name.find('/');
@@ -35,16 +35,16 @@
     machine.type = type;
     machine.spot = spot;
     machine.controller = static_cast<int>(machines.size()) % cluster_.controllers();
-    machine.lease_from = machine.provisioned_at = cluster_.now();
-    machine.next_heartbeat = cluster_.now() + 0.1 * static_cast<double>(machines.size() % 10);
+    machine.lease_renewed_at = machine.provisioned_at = cluster_.now();
+    machine.next_heartbeat_at = cluster_.now() + 0.1 * static_cast<double>(machines.size() % 10);
 }
 
-bool WorkerSimulator::reaches(const SimulatedMachine& machine, int controller) const {
+bool WorkerSimulator::can_communicate(const SimulatedMachine& machine, int controller) const {
     return partitioned_zone.empty() ||
            (machine.zone == partitioned_zone) == (controller == partitioned_zone_controller);
 }
 
-bool WorkerSimulator::runs(const std::string& job) const {
+bool WorkerSimulator::has_live_task_of(const std::string& job) const {
     return std::any_of(machines.begin(), machines.end(), [&](const auto& entry) {
         const auto& tasks = entry.second.tasks;
         return std::any_of(tasks.begin(), tasks.end(), [&](const SimulatedTask& task) {
@@ -53,16 +53,16 @@
     });
 }
 
-SimulatedMachine& WorkerSimulator::machine_with(const std::string& job) {
-    const auto at = std::find_if(machines.begin(), machines.end(),
-                                 [&](const auto& entry) { return entry.second.has_task_of(job); });
-    if (at == machines.end()) throw std::logic_error("no machine has " + job);
-    return at->second;
+SimulatedMachine& WorkerSimulator::machine_with_task_of(const std::string& job) {
+    const auto found = std::find_if(machines.begin(), machines.end(),
+                                    [&](const auto& entry) { return entry.second.has_task_of(job); });
+    if (found == machines.end()) throw std::logic_error("no machine has " + job);
+    return found->second;
 }
 
-std::size_t WorkerSimulator::running_tasks() const {
+std::size_t WorkerSimulator::executing_task_count() const {
     std::size_t tasks = 0;
-    for (const auto& [id, machine] : machines) tasks += machine.executing_tasks();
+    for (const auto& [id, machine] : machines) tasks += machine.executing_task_count();
     return tasks;
 }
 
@@ -77,57 +77,57 @@
 }
 
 void WorkerSimulator::step_machine(SimulatedMachine& machine, double seconds) {
-    for (const auto& [from, body] : std::exchange(machine.held_commands, {}))
-        direct_command(from, machine.id, body);
+    for (const auto& [controller, body] : std::exchange(machine.queued_direct_commands, {}))
+        handle_direct_command(controller, machine.id, body);
     run_tasks(machine, seconds);
-    if (cluster_.now() - machine.lease_from > worker_lease_s) expire_lease(machine);
-    receive_answer(machine);
+    if (cluster_.now() - machine.lease_renewed_at > worker_lease_s) expire_lease(machine);
+    receive_response(machine);
     send_heartbeat(machine);
 }
 
 double WorkerSimulator::run_time_of(const model::TaskId& task) const {
-    const auto own = task_run_s.find(name_of(task));
-    return own == task_run_s.end() ? default_task_run_s : own->second;
+    const auto configured = task_run_s.find(name_of(task));
+    return configured == task_run_s.end() ? default_task_run_s : configured->second;
 }
 
 void WorkerSimulator::run_tasks(SimulatedMachine& machine, double seconds) {
     const double now = cluster_.now();
     for (auto& task : machine.tasks) {
-        if (task.state == TaskState::fetching && now >= task.fetched_at) {
+        if (task.state == TaskState::fetching && now >= task.image_fetched_at) {
             task.state = TaskState::running;
-            machine.changed = true;
+            machine.has_unreported_change = true;
             invariants.check_start(machine, task);
         } else if (task.state == TaskState::running) {
-            task.checkpointed_run_s += seconds;
-            if (task.checkpointed_run_s < run_time_of(task.id)) continue;
+            task.run_time_s += seconds;
+            if (task.run_time_s < run_time_of(task.id)) continue;
             task.state = TaskState::exited;
             task.cause = ExitCause::done;
-            invariants.task_completed(task.id);
-            machine.changed = true;
-        } else if (task.state == TaskState::checkpointing && now >= task.saves_until) {
+            invariants.record_task_completion(task.id);
+            machine.has_unreported_change = true;
+        } else if (task.state == TaskState::checkpointing && now >= task.checkpoint_complete_at) {
             task.state = TaskState::exited;
             task.cause = ExitCause::stopped;
-            task.saved = true;
-            machine.changed = true;
+            task.checkpoint_saved = true;
+            machine.has_unreported_change = true;
         }
     }
 }
 
 // The worker ends its tasks itself, and a new agent epoch begins.
 void WorkerSimulator::expire_lease(SimulatedMachine& machine) {
-    killed_by_lease += static_cast<int>(machine.executing_tasks());
+    tasks_killed_by_lease_expiry += static_cast<int>(machine.executing_task_count());
     machine.tasks.clear();
     ++machine.agent_epoch;
-    machine.lease_from = cluster_.now();
-    machine.answer.reset();
-    machine.sent_at = -1;
+    machine.lease_renewed_at = cluster_.now();
+    machine.heartbeat_response.reset();
+    machine.heartbeat_sent_at = -1;
 }
 
 // --- heartbeats --------------------------------------------------------------------------------------------
 
 void WorkerSimulator::deliver_delayed_heartbeats() {
     for (auto& heartbeat : std::exchange(delayed_heartbeats_, {})) {
-        if (heartbeat.at > cluster_.now() || hold_heartbeats)
+        if (heartbeat.deliver_at > cluster_.now() || hold_heartbeats)
             delayed_heartbeats_.push_back(std::move(heartbeat));
         else  // nobody waits for the answer
             cluster_.send_request(heartbeat.controller, "POST", "/checkin", heartbeat.body);
@@ -141,7 +141,7 @@
             {"Piece", name_of(task.id)}, {"Try", task.attempt}, {"Status", name_of(task.state)}};
         if (task.state == TaskState::exited) {
             entry["Cause"] = task.cause == ExitCause::done ? "done" : "stopped";
-            entry["Saved"] = task.saved;
+            entry["Saved"] = task.checkpoint_saved;
         }
         tasks.push_back(entry);
     }
@@ -158,97 +158,99 @@
 
 void WorkerSimulator::send_heartbeat(SimulatedMachine& machine) {
     const double now = cluster_.now();
-    if (machine.sent_at >= 0) return;
-    const bool tasks_under_older_token =
-        machine.changed && now >= machine.next_heartbeat - heartbeat_period_s + least_heartbeat_gap_s;
-    if (now < machine.next_heartbeat && !tasks_under_older_token) return;
-    machine.changed = false;
+    if (machine.heartbeat_sent_at >= 0) return;
+    const bool early_heartbeat_due =
+        machine.has_unreported_change &&
+        now >= machine.next_heartbeat_at - heartbeat_period_s + min_heartbeat_interval_s;
+    if (now < machine.next_heartbeat_at && !early_heartbeat_due) return;
+    machine.has_unreported_change = false;
     ++machine.sequence;
-    machine.sent_at = now;
-    machine.next_heartbeat = now + heartbeat_period_s;
-    machine.answer.reset();
-    if (machine.fault.outbound_partition || !reaches(machine, machine.controller)) return;
+    machine.heartbeat_sent_at = now;
+    machine.next_heartbeat_at = now + heartbeat_period_s;
+    machine.heartbeat_response.reset();
+    if (machine.fault.outbound_partition || !can_communicate(machine, machine.controller)) return;
     const auto body = heartbeat_body(machine);
     if (duplicate_heartbeats_after_s > 0)
         delayed_heartbeats_.push_back({now + duplicate_heartbeats_after_s, machine.controller, body});
     if (hold_heartbeats)
         delayed_heartbeats_.push_back({now, machine.controller, body});
     else
-        machine.answer = cluster_.send_request(machine.controller, "POST", "/checkin", body);
+        machine.heartbeat_response = cluster_.send_request(machine.controller, "POST", "/checkin", body);
 }
 
-void WorkerSimulator::receive_answer(SimulatedMachine& machine) {
+void WorkerSimulator::receive_response(SimulatedMachine& machine) {
     const double now = cluster_.now();
-    if (machine.sent_at < 0) return;
-    const bool received = machine.answer && *machine.answer && !machine.fault.inbound_partition;
+    if (machine.heartbeat_sent_at < 0) return;
+    const bool received =
+        machine.heartbeat_response && *machine.heartbeat_response && !machine.fault.inbound_partition;
     if (!received) {
-        if (now - machine.sent_at < answer_timeout_s) return;
+        if (now - machine.heartbeat_sent_at < response_timeout_s) return;
         machine.controller = (machine.controller + 1) % cluster_.controllers();
-        machine.next_heartbeat = now + next_controller_s;
-    } else if (const auto& reply = **machine.answer; reply.status == 200) {
-        accept_answer(machine, json::parse(reply.body));
+        machine.next_heartbeat_at = now + next_controller_delay_s;
+    } else if (const auto& reply = **machine.heartbeat_response; reply.status == 200) {
+        apply_response(machine, json::parse(reply.body));
     } else {
         follow_redirect(machine, reply);
     }
-    machine.answer.reset();
-    machine.sent_at = -1;
+    machine.heartbeat_response.reset();
+    machine.heartbeat_sent_at = -1;
 }
 
-void WorkerSimulator::accept_answer(SimulatedMachine& machine, const wire::Json& answer) {
-    const auto fencing_token = answer.at("Baton").to_number<std::uint64_t>();
+void WorkerSimulator::apply_response(SimulatedMachine& machine, const wire::Json& response) {
+    const auto fencing_token = response.at("Baton").to_number<std::uint64_t>();
     if (fencing_token < machine.fencing_token) return;
-    machine.changed |= fencing_token > machine.fencing_token;
+    machine.has_unreported_change |= fencing_token > machine.fencing_token;
     machine.fencing_token = fencing_token;
-    machine.lease_from = std::max(machine.lease_from, machine.sent_at);
-    execute(machine, answer);
+    machine.lease_renewed_at = std::max(machine.lease_renewed_at, machine.heartbeat_sent_at);
+    execute(machine, response);
 }
 
 // To the next controller; at once, if the refusal names the leader.
 void WorkerSimulator::follow_redirect(SimulatedMachine& machine, const net::Reply& reply) const {
     machine.controller = (machine.controller + 1) % cluster_.controllers();
-    machine.next_heartbeat = cluster_.now() + next_controller_s;
+    machine.next_heartbeat_at = cluster_.now() + next_controller_delay_s;
     if (reply.status != 421) return;
-    const auto refusal = json::parse(reply.body);
-    const auto* named = refusal.as_object().if_contains("Foreman");
-    if (!named) return;
-    const int leader = named->as_string().back() - '0';
+    const auto error_body = json::parse(reply.body);
+    const auto* leader_name = error_body.as_object().if_contains("Foreman");
+    if (!leader_name) return;
+    const int leader = leader_name->as_string().back() - '0';
     if (leader == machine.controller) return;
     machine.controller = leader;
-    machine.next_heartbeat = cluster_.now();
+    machine.next_heartbeat_at = cluster_.now();
 }
 
 // --- commands ----------------------------------------------------------------------------------------------
 
-void WorkerSimulator::execute(SimulatedMachine& machine, const wire::Json& answer) {
-    for (const auto& order : answer.at("Orders").as_array()) {
-        const std::string verb(order.at("Verb").as_string());
-        const auto id = task_id(std::string(order.at("Piece").as_string()));
-        const auto attempt = order.at("Try").to_number<std::uint64_t>();
+void WorkerSimulator::execute(SimulatedMachine& machine, const wire::Json& message) {
+    for (const auto& command : message.at("Orders").as_array()) {
+        const std::string verb(command.at("Verb").as_string());
+        const auto id = task_id(std::string(command.at("Piece").as_string()));
+        const auto attempt = command.at("Try").to_number<std::uint64_t>();
         const auto task =
             std::find_if(machine.tasks.begin(), machine.tasks.end(),
                          [&](const SimulatedTask& t) { return t.id == id && t.attempt == attempt; });
-        const bool known = task != machine.tasks.end();
-        if ((verb == "start") == known) continue;
+        const bool exists = task != machine.tasks.end();
+        if ((verb == "start") == exists) continue;
         if (verb == "start") {
             execute_start(machine, id, attempt);
         } else if (verb == "reap") {
             if (task->state == TaskState::exited) machine.tasks.erase(task);
         } else if (task->state != TaskState::exited) {
-            const auto* grace = order.as_object().if_contains("LeewayS");
+            const auto* grace = command.as_object().if_contains("LeewayS");
             execute_stop(*task, grace ? grace->to_number<double>() : 0);
         }
-        machine.changed = true;
+        machine.has_unreported_change = true;
     }
 }
 
 void WorkerSimulator::execute_start(SimulatedMachine& machine, const model::TaskId& id,
                                     std::uint64_t attempt) {
     ++starts;
-    starts_after_confirmed_cancellation += invariants.cancellation_confirmed(id.job);
+    starts_after_confirmed_cancellation += invariants.is_cancellation_confirmed(id.job);
     SimulatedTask task;
     task.id = id;
     task.attempt = attempt;
-    task.fetched_at = cluster_.now() + fetch_s;
+    task.image_fetched_at = cluster_.now() + image_fetch_s;
     machine.tasks.push_back(std::move(task));
 }
 
@@ -256,21 +258,21 @@
     ++stops;
     if (task.state == TaskState::running && grace_s > 0) {
         task.state = TaskState::checkpointing;
-        task.saves_until = cluster_.now() + checkpoint_interval_s;
+        task.checkpoint_complete_at = cluster_.now() + checkpoint_duration_s;
     } else if (task.state != TaskState::checkpointing || grace_s <= 0) {
         task.state = TaskState::exited;
         task.cause = ExitCause::stopped;
     }
 }
 
-std::optional<net::Reply> WorkerSimulator::direct_command(int from, const std::string& id,
-                                                          const std::string& body) {
-    const auto at = machines.find(id);
-    if (at == machines.end()) return std::nullopt;
-    auto& machine = at->second;
-    if (machine.fault.inbound_partition || !reaches(machine, from)) return std::nullopt;
+std::optional<net::Reply> WorkerSimulator::handle_direct_command(int controller, const std::string& id,
+                                                                 const std::string& body) {
+    const auto found = machines.find(id);
+    if (found == machines.end()) return std::nullopt;
+    auto& machine = found->second;
+    if (machine.fault.inbound_partition || !can_communicate(machine, controller)) return std::nullopt;
     if (machine.fault.hung) {
-        machine.held_commands.emplace_back(from, body);
+        machine.queued_direct_commands.emplace_back(controller, body);
         return std::nullopt;
     }
     const auto command = json::parse(body);
@@ -290,7 +292,7 @@
                                                  const std::string& body) {
     if (method == "GET") return list_machines();
     const auto request = json::parse(body);
-    return target == wire::release_path ? release(request) : provision(request);
+    return target == wire::release_path ? release_machines(request) : provision_machines(request);
 }
 
 net::Reply WorkerSimulator::list_machines() const {
@@ -306,24 +308,24 @@
     return {200, json::serialize(json::object{{"Hosts", hosts}, {"Truncated", false}})};
 }
 
-net::Reply WorkerSimulator::release(const wire::Json& request) {
+net::Reply WorkerSimulator::release_machines(const wire::Json& request) {
     for (const auto& id : request.at("Hosts").as_array()) machines.erase(std::string(id.as_string()));
     return {200, "{}"};
 }
 
 // The same request gets the same answer.
-net::Reply WorkerSimulator::provision(const wire::Json& request) {
-    auto& names = provisioned_[std::string(request.at("Hire").as_string())];
-    const bool again = !names.empty();
-    for (auto left = request.at("Count").to_number<int>();
-         !again && left > 0 && machines.size() < cloud_capacity; --left) {
-        const auto id = "m-" + std::to_string(++last_machine_);
+net::Reply WorkerSimulator::provision_machines(const wire::Json& request) {
+    auto& machine_ids = machines_by_request_[std::string(request.at("Hire").as_string())];
+    const bool is_repeat = !machine_ids.empty();
+    for (auto remaining = request.at("Count").to_number<int>();
+         !is_repeat && remaining > 0 && machines.size() < cloud_capacity; --remaining) {
+        const auto id = "m-" + std::to_string(++last_machine_number_);
         add_machine(id, std::string(request.at("Yard").as_string()),
                     std::string(request.at("Breed").as_string()), request.at("Loaners").as_bool());
-        names.emplace_back(id);
+        machine_ids.emplace_back(id);
     }
-    if (names.empty()) return {503, R"({"error":"no capacity"})"};
-    return {200, json::serialize(json::object{{"Hosts", names}})};
+    if (machine_ids.empty()) return {503, R"({"error":"no capacity"})"};
+    return {200, json::serialize(json::object{{"Hosts", machine_ids}})};
 }
 
 }  // namespace pineroad::test
--- a/tests/worker_simulator.hpp
+++ b/tests/worker_simulator.hpp
@@ -25,23 +25,24 @@
     /// What happens on all machines within so many seconds.
     void step(double seconds);
     /// A controller's direct command (/do); nothing from a machine that hangs or can't be reached.
-    std::optional<net::Reply> direct_command(int from, const std::string& machine, const std::string& body);
+    std::optional<net::Reply> handle_direct_command(int controller, const std::string& machine,
+                                                    const std::string& body);
     net::Reply answer_cloud_request(const std::string& method, const std::string& target,
                                     const std::string& body);
 
     /// Something of the job is on a machine and has not ended.
-    [[nodiscard]] bool runs(const std::string& job) const;
-    [[nodiscard]] std::size_t running_tasks() const;
+    [[nodiscard]] bool has_live_task_of(const std::string& job) const;
+    [[nodiscard]] std::size_t executing_task_count() const;
     /// One that has a task of the job, in whatever state; throws std::logic_error if there is none.
-    [[nodiscard]] SimulatedMachine& machine_with(const std::string& job);
+    [[nodiscard]] SimulatedMachine& machine_with_task_of(const std::string& job);
 
     SimulatedMachines machines;
     InvariantChecker invariants{machines};
     std::size_t cloud_capacity = 0;            ///< machines that the cloud has; they are up at once
     std::map<std::string, double> task_run_s;  ///< by task (JOB/INDEX); otherwise default_task_run_s
-    double default_task_run_s = 1000, fetch_s = 2;
+    double default_task_run_s = 1000, image_fetch_s = 2;
     double heartbeat_period_s = 3, worker_lease_s = 36;
-    int killed_by_lease = 0, starts = 0, stops = 0;
+    int tasks_killed_by_lease_expiry = 0, starts = 0, stops = 0;
     int starts_after_confirmed_cancellation = 0;
     /// A copy of every heartbeat arrives so much later; 0: none.
     double duplicate_heartbeats_after_s = 0;
@@ -53,7 +54,7 @@
 
    private:
     struct DelayedHeartbeat {
-        double at = 0;
+        double deliver_at = 0;
         int controller = 0;
         std::string body;
     };
@@ -62,23 +63,23 @@
     void expire_lease(SimulatedMachine& machine);
     void deliver_delayed_heartbeats();
     void send_heartbeat(SimulatedMachine& machine);
-    void receive_answer(SimulatedMachine& machine);
-    void accept_answer(SimulatedMachine& machine, const wire::Json& answer);
+    void receive_response(SimulatedMachine& machine);
+    void apply_response(SimulatedMachine& machine, const wire::Json& response);
     void follow_redirect(SimulatedMachine& machine, const net::Reply& reply) const;
-    void execute(SimulatedMachine& machine, const wire::Json& answer);
+    void execute(SimulatedMachine& machine, const wire::Json& message);
     void execute_start(SimulatedMachine& machine, const model::TaskId& id, std::uint64_t attempt);
     void execute_stop(SimulatedTask& task, double grace_s);
     [[nodiscard]] double run_time_of(const model::TaskId& task) const;
-    [[nodiscard]] bool reaches(const SimulatedMachine& machine, int controller) const;
+    [[nodiscard]] bool can_communicate(const SimulatedMachine& machine, int controller) const;
     [[nodiscard]] static std::string heartbeat_body(const SimulatedMachine& machine);
     [[nodiscard]] net::Reply list_machines() const;
-    net::Reply release(const wire::Json& request);
-    net::Reply provision(const wire::Json& request);
+    net::Reply release_machines(const wire::Json& request);
+    net::Reply provision_machines(const wire::Json& request);
 
     ClusterSimulator& cluster_;
     std::deque<DelayedHeartbeat> delayed_heartbeats_;
-    std::map<std::string, boost::json::array> provisioned_;  // by the request's name
-    int last_machine_ = 0;
+    std::map<std::string, boost::json::array> machines_by_request_;  // by the request's name
+    int last_machine_number_ = 0;
 };
 
 }  // namespace pineroad::test
