--- a/tests/cluster_simulator.cpp
+++ b/tests/cluster_simulator.cpp
@@ -15,16 +15,17 @@
 
 namespace {
 
-constexpr double start_time_s = 1000;         // the simulated clock when a test begins
-constexpr double step_s = 0.005;              // of simulated time
-constexpr double store_latency_s = 0.005;     // of the store
-constexpr double never_answered_s = 1000000;  // of a request that is never answered
+constexpr double start_time_s = 1000;         // simulated clock at the start of a test
+constexpr double step_s = 0.005;              // resolution of the simulated clock
+constexpr double store_latency_s = 0.005;     // without store_delay_s
+constexpr double never_answered_s = 1000000;  // longer than any test
 
 }  // namespace
 
-// --- links -------------------------------------------------------------------------------------------------
+// --- connections -------------------------------------------------------------------------------------------
 
-// A controller's connection to somebody else. That of a process that has ended leads nowhere.
+// A controller's connection to the store, a peer, the cloud or a worker. After its process has ended,
+// requests never complete.
 class SimulatedClient : public net::Client {
    public:
     SimulatedClient(ClusterSimulator& cluster, std::shared_ptr<bool> alive, int controller,
@@ -59,7 +60,7 @@
     config::Endpoint endpoint_;
 };
 
-// A watch that is open waits as long as this holds.
+// Open watches wait while this returns true.
 bool ClusterSimulator::is_store_unreachable(int controller) const {
     return store_outage || rejected_by_store.contains(controller) ||
            partitioned_from_store.contains(controller);
@@ -78,7 +79,8 @@
         co_return std::nullopt;
     }
     co_await net::sleep_for(std::min(store_latency_s + store_delay_s, timeout_s));
-    const bool timed_out = store_latency_s + store_delay_s > timeout_s;  // executed all the same
+    // The store executes the request even if the client has timed out.
+    const bool timed_out = store_latency_s + store_delay_s > timeout_s;
     if (store_outage || rejected_by_store.contains(controller))
         co_return Reply{503, R"({"error":"trouble"})"};
     if (is_commit && write_delay_s > 0) {
@@ -127,8 +129,8 @@
     : trace_(trace), adjust_settings_on_upgrade_(options.adjust_settings_on_upgrade) {
     spdlog::set_level(spdlog::level::off);
     net::Clock::simulated = net::Clock::time_point(net::seconds(start_time_s));
-    // Loops of a controller never end and refer to it. All are kept until the program ends, unused but still
-    // reachable.
+    // The loops of a controller never end and refer to it, so all processes are kept until the program ends.
+    // They stay reachable, so the leak checker does not report them.
     static auto& all_processes = *new std::vector<std::shared_ptr<Processes>>();
     processes_ = std::make_shared<Processes>();
     all_processes.push_back(processes_);
@@ -217,7 +219,7 @@
         delayed_writes_.pop_front();
     }
     workers.step(step_s);
-    // A new leader is worth a line whenever it comes.
+    // Every new term is noted in the trace.
     if (const auto fencing_token = store.fencing_token(); fencing_token != last_noted_token_) {
         last_noted_token_ = fencing_token;
         note("term    " + std::to_string(fencing_token) + " is won by " + store.leader());
@@ -241,7 +243,7 @@
                                                                      const std::string& body) {
     auto& simulated_process = process(controller);
     auto reply = std::make_shared<std::optional<Reply>>();
-    if (!simulated_process.controller) return reply;  // nobody answers
+    if (!simulated_process.controller) return reply;  // the process is not running
     net::Request request{method, target, body};
     net::asio::co_spawn(
         *simulated_process.io,
--- a/tests/cluster_simulator.hpp
+++ b/tests/cluster_simulator.hpp
@@ -1,6 +1,6 @@
-/// Whole controllers in simulated time: the loops of control::Node against a simulated store, workers and
-/// cloud, with outages, partitions, pauses and late copies. No sockets and no real clock, so that a test runs
-/// the same every time.
+/// Runs whole controllers (`controller::Controller`) in simulated time against a simulated store, workers and
+/// cloud, with outages, partitions, paused processes and delayed or duplicated messages. It uses neither
+/// sockets nor the real clock, so every run of a test is identical.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,17 +22,17 @@
 
 namespace pineroad::test {
 
-/// How a cluster's controllers begin.
+/// Initial state of a cluster's controllers.
 struct ClusterOptions {
-    std::uint64_t record_format = wire::records::format;     ///< that they read
-    std::function<void(config::Settings&)> adjust_settings;  ///< of each
-    std::function<void(config::Settings&)>
-        adjust_settings_on_upgrade;  ///< of each that is replaced by the present version
+    std::uint64_t record_format = wire::records::format;     ///< newest format that they read
+    std::function<void(config::Settings&)> adjust_settings;  ///< applied to each controller
+    /// Applied to each controller that is upgraded to the current version.
+    std::function<void(config::Settings&)> adjust_settings_on_upgrade;
 };
 
 class ClusterSimulator {
    public:
-    /// Controllers c-0, c-1 and so on, which begin at once; `trace` names the kept trace.
+    /// Starts the controllers c-0, c-1 and so on; `trace` names the expected trace.
     ClusterSimulator(const std::string& trace, int controllers, const ClusterOptions& options = {});
     ~ClusterSimulator();
     ClusterSimulator(const ClusterSimulator&) = delete;
@@ -40,22 +40,24 @@
 
     // --- time ---
     void run(double seconds);
-    /// Until so many tasks run, and then until the first of them ends; not without end.
+    /// Runs until `tasks` tasks execute, then until the first of them ends; stops waiting 30 s and 60 s after
+    /// the start of the test.
     void run_until_first_task_ends(std::size_t tasks);
-    [[nodiscard]] double now() const;  ///< seconds
-    /// A line of the trace.
+    [[nodiscard]] double now() const;  ///< simulated time in seconds
+    /// Adds a line to the trace.
     void note(const std::string& line);
 
-    // --- requests; nothing is returned for one that gets no answer within some seconds ---
+    // --- requests; these return nothing if there is no response within 6 s ---
     std::optional<net::Reply> request(int controller, const std::string& method, const std::string& target,
                                       const std::string& body = {});
-    /// A job of one task; what else it asks for replaces the fields of the same name.
+    /// Submits a job of one task; `overrides` replaces fields of the default submission.
     std::optional<net::Reply> submit(int controller, const std::string& id,
                                      const boost::json::object& overrides = {});
     std::optional<net::Reply> poll(int controller, const std::string& id);
     std::optional<net::Reply> cancel(int controller, const std::string& id);
     std::optional<net::Reply> send_heartbeat(int controller, const model::Heartbeat& heartbeat);
-    /// A request whose answer is looked at later: a paused process gives none.
+    /// Sends a request without waiting. The result is filled in when the response arrives; a paused process
+    /// sends none.
     std::shared_ptr<std::optional<net::Reply>> send_request(int controller, const std::string& method,
                                                             const std::string& target,
                                                             const std::string& body = {});
@@ -63,34 +65,35 @@
 
     // --- processes ---
     void kill(int controller);
-    void restart(int controller);  ///< the process ends, and a new one begins at once
-    void upgrade(int controller);  ///< the same, and the new one is of the present version
+    void restart(int controller);  ///< ends the process and starts a new one at once
+    void upgrade(int controller);  ///< restarts the process with the current version
     [[nodiscard]] int controllers() const { return static_cast<int>(processes_->controllers.size()); }
-    [[nodiscard]] int leader() const;  ///< by the store; -1: none
+    [[nodiscard]] int leader() const;  ///< the leader recorded in the store, or -1
 
     StoreSimulator store;
     WorkerSimulator workers{*this};
 
     // --- faults ---
     bool store_outage = false;
-    double store_delay_s = 0;  ///< every answer of the store takes so much longer
+    double store_delay_s = 0;  ///< added to the latency of every store response
     std::set<int> partitioned_from_store, partitioned_from_peers;
-    /// By the store: 503 at once; open watches wait as in an outage.
+    /// Controllers to which the store responds 503 at once; their open watches wait as in an outage.
     std::set<int> rejected_by_store;
-    /// Transactions get no answer and are carried out so much later, after newer ones.
+    /// Delay after which transactions are applied, possibly after newer ones; they get no response. 0: off.
     double write_delay_s = 0;
-    /// Answers to these controllers' transactions are lost; they are carried out at once.
+    /// Controllers whose transactions are applied at once but whose responses are lost.
     std::set<int> lost_commit_responses;
-    /// Processes that stand still while the clocks run on. What they had begun goes on when they do.
+    /// Controllers whose processes are suspended while the clock advances. Their pending work continues when
+    /// they resume.
     std::set<int> paused;
     struct HeldRequest {
         std::string method, target, body;
     };
-    /// Commits of these controllers are held back, in order; the controllers get no answer.
+    /// Controllers whose commits are held back, in order, in `held_commits` and get no response.
     std::set<int> controllers_with_held_commits;
     std::map<int, std::vector<HeldRequest>> held_commits;
 
-    std::map<std::string, int> store_request_counts;  ///< by their first path element
+    std::map<std::string, int> store_request_counts;  ///< by first path element
 
    private:
     friend class SimulatedClient;
--- a/tests/leader_simulator.cpp
+++ b/tests/leader_simulator.cpp
@@ -83,7 +83,7 @@
     leader_state_->job_added(spec, store.revision, now);
 }
 
-// What the leader's process learns of a job's end.
+// Updates the leader's watch cache with a job's outcome.
 void LeaderSimulator::record_job_outcome(const std::string& id, const model::JobOutcome& outcome) {
     watch_cache_->apply_drop(records::job_key(id));
     watch_cache_->record_outcome(id, outcome, store.revision);
@@ -312,7 +312,7 @@
 }
 
 // --- invariants of every start -----------------------------------------------------------------------------
-// By what all simulated workers hold, which no leader can see at once.
+// These checks use the tasks of all simulated workers, which no leader can see at once.
 
 void LeaderSimulator::check_start(const Worker& worker, const model::TaskId& task) const {
     for (const auto& [id, other] : workers)
--- a/tests/leader_simulator.hpp
+++ b/tests/leader_simulator.hpp
@@ -1,6 +1,6 @@
-/// One leader's state, driven step by step against a simulated clock, store, cloud and workers that behave
-/// as the protocol says, with its lateness. What happens is written to a kept trace; every start is checked
-/// against the protocol's rules, whatever the trace says.
+/// Drives one leader's cluster state step by step against a simulated clock, store, cloud and workers that
+/// follow the protocol; a test decides which messages are late or lost. Events are compared with an expected
+/// trace, and every task start is also checked against the protocol's invariants.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
 
 namespace pineroad::test {
 
-/// The keys of the consensus-backed store and their revisions.
+/// The rows of the consensus-backed store, with their revisions.
 class SimulatedStore {
    public:
     struct Row {
@@ -27,8 +27,8 @@
         std::uint64_t mod_revision = 0;
     };
     std::map<std::string, Row> rows;
-    std::uint64_t revision = 0;  ///< the store's revision
-    /// The new revision of the store, or nothing: a condition failed.
+    std::uint64_t revision = 0;  ///< of the last change
+    /// Applies a transaction and returns the store's new revision, or nothing if a condition failed.
     std::optional<std::uint64_t> commit(const wire::Transaction& transaction);
     void put(const std::string& key, wire::Json value);
 };
@@ -37,7 +37,7 @@
    public:
     explicit LeaderSimulator(const std::string& trace);
 
-    /// A machine's worker, and what runs on it.
+    /// A machine's worker and its tasks.
     struct Worker {
         std::string id, type = "g4", zone = "a";
         bool spot = false, hung = false;
@@ -50,58 +50,65 @@
     double now = 1000;  ///< seconds
     void advance(double seconds) { now += seconds; }
     [[nodiscard]] std::int64_t wall_ms() const { return static_cast<std::int64_t>(now * 1000); }
-    /// A line of the trace.
+    /// Adds a line to the trace.
     void note(const std::string& line) { trace_.note(now - 1000, line); }
 
     // --- users ---
     void submit(model::JobSpec spec);
-    /// The leader learns of an accepted job, without a line in the trace.
+    /// Tells the leader of an accepted job, without a line in the trace.
     void add_accepted_job(const model::JobSpec& spec);
-    /// Whether the cancellation was committed. The leader learns of it now, or never.
+    /// Cancels a job and returns whether the cancellation was committed. Without `notify_leader` this leader
+    /// never learns of it.
     bool cancel(const std::string& id, bool notify_leader = true);
-    /// "accepted", "done", "withdrawn" or "unknown", by the store's records.
+    /// Returns "accepted", "done", "withdrawn" or "unknown", according to the store's records.
     [[nodiscard]] std::string job_status(const std::string& id) const;
 
     // --- the leader ---
-    /// A new term: a fresh leader reads its state from the store.
+    /// Begins a new term: a new leader loads its state from the store.
     void begin_term();
     void plan();
-    /// Everything not yet written, to the store. False: a transaction was refused.
+    /// Writes all pending changes to the store. Returns false if a condition of a transaction failed.
     bool commit_all();
-    /// A plan and its commits; then, if a machine is named, a heartbeat of it that takes the commands.
+    /// Plans and commits; then, if `machine` is given, sends its heartbeat, whose response carries the
+    /// commands.
     void plan_and_commit(const std::string& machine = {});
-    /// The next write batch, which is not applied yet.
+    /// Returns the next write batch without applying it, or nothing if there is nothing to write.
     std::optional<cluster::WriteBatch> next_write_batch(std::size_t operations = SIZE_MAX);
-    /// By the store; then the leader gets the answer. False: a condition failed.
+    /// Commits a batch to the store and tells the leader. Returns false, without telling the leader, if a
+    /// condition failed.
     bool apply_batch(const cluster::WriteBatch& batch);
     cluster::ClusterState& leader_state() { return *leader_state_; }
 
     // --- workers ---
     Worker& add_worker(const std::string& id, const std::string& type = "g4", const std::string& zone = "a",
                        bool spot = false);
-    /// Workers of the default type in zone a that have proven to run nothing.
+    /// Adds workers of the default type in zone a and synchronizes them, so that they are ready for
+    /// placements.
     void add_ready_workers(const std::vector<std::string>& ids);
+    /// Returns the worker's next heartbeat without sending it.
     model::Heartbeat next_heartbeat(Worker& worker);
-    /// One heartbeat, its answer executed; with lost_response the worker never gets it.
+    /// Sends a heartbeat and returns the commands of the response. The worker executes them unless
+    /// `lost_response` is set.
     std::vector<model::Command> send_heartbeat(const std::string& id, bool lost_response = false);
     void send_heartbeats(const std::vector<std::string>& ids);
-    /// By a worker: commands under an older fencing token are ignored.
+    /// Lets a worker execute commands; it ignores those under an older fencing token than its own.
     void execute(Worker& worker, const std::vector<model::Command>& commands, std::uint64_t fencing_token);
     void deliver_direct_commands();
     void set_task_state(const std::string& task_name, model::TaskState state,
                         model::ExitCause cause = model::ExitCause::none, bool saved = false);
-    /// The worker's lease expires: its tasks have ended, and a new agent epoch begins.
+    /// Expires the worker's lease, which ends its tasks and begins a new agent epoch.
     void expire_worker_lease(const std::string& id);
-    /// Two heartbeats: the first shows the worker the token, the second proves what it runs.
+    /// Sends two heartbeats: the worker learns the fencing token from the response to the first, and the
+    /// second reports its tasks under that token.
     void synchronize_worker(const std::string& id);
-    /// Placements are written, and a heartbeat of the machine takes its starts; the tasks run, and the next
-    /// heartbeat shows it.
+    /// Plans and commits, starts the tasks placed on the machine, and reports them as running in a second
+    /// heartbeat.
     void run_placed_tasks(const std::string& machine);
-    /// The same for a job that is submitted now.
+    /// Submits a job, then calls run_placed_tasks().
     void run_job(const model::JobSpec& spec, const std::string& machine);
 
     // --- cloud ---
-    /// Open provisioning requests, which are answered in full.
+    /// Fulfils the open provisioning requests, adds their machines as workers and returns the requests.
     std::vector<model::ProvisioningRequest> provision_machines();
     void release_machines();
 
@@ -109,8 +116,8 @@
     SimulatedStore store;
     config::Settings config = settings();
     config::Tuning tuning;
-    int starts = 0;                 ///< that workers have executed
-    bool sharding_allowed = false;  ///< every controller reads the present record format
+    int starts = 0;                 ///< start commands that workers have executed
+    bool sharding_allowed = false;  ///< every controller reads the current record format
     std::map<std::string, model::JobSpec> specs;
     std::map<std::string, double> cancelled_at;
 
@@ -126,10 +133,10 @@
     std::unique_ptr<cluster::ClusterState> leader_state_;
     std::uint64_t fencing_token_ = 0;
     int last_machine_number_ = 0;
-    std::map<std::string, std::vector<std::string>> machines_by_request_;  // by the request's name
+    std::map<std::string, std::vector<std::string>> machines_by_request_;  // by request name
 };
 
-/// A simulator in its first term, with workers that are ready for placements: what most tests begin with.
+/// A simulator in its first term, with workers that are ready for placements.
 class StartedLeader : public LeaderSimulator {
    public:
     explicit StartedLeader(const std::string& trace, const std::vector<std::string>& ready_workers = {});
--- a/tests/named_case.hpp
+++ b/tests/named_case.hpp
@@ -1,4 +1,4 @@
-/// Names of the cases of parameterised tests.
+/// Names for the cases of parameterised tests.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -8,13 +8,13 @@
 
 namespace pineroad::test {
 
-/// For INSTANTIATE_TEST_SUITE_P: the case's own name, which has letters and digits only.
+/// Returns the name of a case for INSTANTIATE_TEST_SUITE_P; it may contain only letters and digits.
 template <class Case>
 std::string case_name(const ::testing::TestParamInfo<Case>& info) {
     return info.param.name;
 }
 
-/// A case without more than its name and a value.
+/// A test case that consists of a name and a value.
 template <class Value>
 struct NamedCase {
     std::string name;
--- a/tests/simulated_machine.hpp
+++ b/tests/simulated_machine.hpp
@@ -1,4 +1,4 @@
-/// A machine of a simulated cluster: its worker, the tasks on it, and what may be wrong with it.
+/// A machine of a simulated cluster: its worker, its tasks and its injected faults.
 #pragma once
 
 #include <cstdint>
@@ -15,9 +15,9 @@
 namespace pineroad::test {
 
 struct MachineFault {
-    bool hung = false;                ///< executes nothing, and may go on at any moment
-    bool inbound_partition = false;   ///< heartbeats arrive; answers and direct commands are lost
-    bool outbound_partition = false;  ///< reaches no controller, while direct commands reach it
+    bool hung = false;                ///< executes nothing, but may resume at any time
+    bool inbound_partition = false;   ///< heartbeats arrive; responses and direct commands are lost
+    bool outbound_partition = false;  ///< reaches no controller, but receives direct commands
 };
 
 struct SimulatedTask {
@@ -28,7 +28,7 @@
     bool checkpoint_saved = false;
     double image_fetched_at = 0, run_time_s = 0, checkpoint_complete_at = 0;
 
-    /// It occupies its machine's resources: it has its image and has not ended.
+    /// Returns whether the task occupies its machine's resources: its image is fetched and it has not ended.
     [[nodiscard]] bool is_executing() const {
         return state == model::TaskState::running || state == model::TaskState::checkpointing;
     }
@@ -41,12 +41,13 @@
     double provisioned_at = 0;
     std::uint64_t agent_epoch = 1, sequence = 0, fencing_token = 0;
     std::vector<SimulatedTask> tasks;
-    int controller = 0;  ///< that its heartbeats go to
+    int controller = 0;  ///< to which it sends heartbeats
     double lease_renewed_at = 0, next_heartbeat_at = 0;
-    double heartbeat_sent_at = -1;       ///< of the heartbeat that waits for its answer; negative: none does
+    double heartbeat_sent_at = -1;       ///< negative: no heartbeat awaits its response
     bool has_unreported_change = false;  ///< since the last heartbeat
     std::shared_ptr<std::optional<net::Reply>> heartbeat_response;
-    std::vector<std::pair<int, std::string>> queued_direct_commands;  ///< direct ones, while it hangs
+    /// Direct commands received while hung: the sending controller and the request body.
+    std::vector<std::pair<int, std::string>> queued_direct_commands;
 
     [[nodiscard]] bool has_task_of(const std::string& job) const;
     [[nodiscard]] std::size_t executing_task_count() const;
@@ -54,9 +55,9 @@
 
 using SimulatedMachines = std::map<std::string, SimulatedMachine>;
 
-/// "fetching", "waiting", "running", "saving" or "ended", as the protocol writes it.
+/// Returns the protocol's name of a task state: "fetching", "waiting", "running", "saving" or "ended".
 const char* name_of(model::TaskState state);
-/// JOB/INDEX
+/// Returns JOB/INDEX.
 std::string name_of(const model::TaskId& id);
 
 }  // namespace pineroad::test
--- a/tests/store_simulator.cpp
+++ b/tests/store_simulator.cpp
@@ -179,7 +179,7 @@
     return row == rows_.end() ? 0 : *records::parse_term(row->second.value);
 }
 
-// --- writes of the tests -----------------------------------------------------------------------------------
+// --- direct writes by tests --------------------------------------------------------------------------------
 
 void StoreSimulator::put(const std::string& key, wire::Json value) {
     rows_[key] = {value, ++revision_, 0};
--- a/tests/store_simulator.hpp
+++ b/tests/store_simulator.hpp
@@ -1,5 +1,5 @@
-/// The consensus-backed key-value store by its protocol: keys and revisions, compare-and-swap transactions,
-/// leases and watches.
+/// Simulates the consensus-backed key-value store as its protocol specifies it: keys and revisions,
+/// compare-and-swap transactions, leases and watches.
 #pragma once
 
 #include <boost/json/object.hpp>
@@ -22,31 +22,32 @@
         std::uint64_t mod_revision = 0, lease = 0;
     };
 
+    /// Executes a request and returns the response.
     net::Reply answer(const std::string& method, const std::string& target, const std::string& body,
                       double now);
-    /// The parameter of a request's target; empty if it is missing.
+    /// Returns a query parameter of a request target, or an empty string if it is missing.
     static std::string query_parameter(const std::string& target, const std::string& name);
     [[nodiscard]] bool has_changes_since(std::uint64_t revision) const { return revision_ > revision; }
-    /// Leases that ran out end, and their keys are dropped.
+    /// Ends the leases that have expired and deletes their keys.
     void expire_leases(double now);
-    /// After an outage: every lease counts anew.
+    /// Restarts the time to live of every lease, as the store does after an outage.
     void extend_leases(double now);
 
-    /// The leading controller's name; empty: there is none.
+    /// Returns the leader's name, or an empty string if there is no leader.
     [[nodiscard]] std::string leader() const;
-    /// The fencing token of the newest term.
+    /// Returns the fencing token of the latest term.
     [[nodiscard]] std::uint64_t fencing_token() const;
     [[nodiscard]] const std::map<std::string, Row>& rows() const { return rows_; }
     [[nodiscard]] std::size_t count_rows_with_prefix(std::string_view prefix) const;
     [[nodiscard]] std::size_t live_job_count() const;
 
-    /// An accepted job, without a controller that accepts it.
+    /// Stores the record of an accepted job directly, without a controller.
     void put_job(model::JobSpec spec, double now);
     void put(const std::string& key, wire::Json value);
 
-    /// Limits of a transaction; beyond, it is answered 400.
+    /// Limits of a transaction; one that exceeds them is rejected with status 400.
     std::size_t max_value_bytes = SIZE_MAX, max_transaction_changes = SIZE_MAX;
-    int oversized_commits = 0;  ///< for these limits
+    int oversized_commits = 0;  ///< transactions rejected because of these limits
 
    private:
     struct Lease {
@@ -67,7 +68,7 @@
 
     std::map<std::string, Row> rows_;
     std::map<std::uint64_t, Lease> leases_;
-    std::vector<boost::json::object> change_log_;  // every change, with its revision
+    std::vector<boost::json::object> change_log_;  // changes in order, with their revisions
     std::uint64_t revision_ = 0, next_lease_ = 1;
 };
 
--- a/tests/trace.cpp
+++ b/tests/trace.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// The names of the traces that the tests of this run have written.
+/// Names of the traces that tests of this run have written.
 std::set<std::string>& used_trace_names() {
     static std::set<std::string> names;
     return names;
@@ -24,7 +24,7 @@
     return run.test_to_run_count() == run.total_test_count();
 }
 
-/// A kept trace that no test writes guards nothing: a run of all tests fails for each.
+/// Fails a full test run for each file in tests/traces that no test writes: such a file checks nothing.
 class UnusedTraceCheck : public ::testing::Environment {
     void SetUp() override { used_trace_names().clear(); }
     void TearDown() override {
@@ -54,14 +54,14 @@
     EXPECT_TRUE(used_trace_names().insert(name_).second) << "two tests write the trace " << name_;
 }
 
-// PINEROAD_KEEP_TRACES=1 writes the file anew instead, after a change that was meant.
+// With PINEROAD_KEEP_TRACES=1 the expected trace is overwritten instead; use it after an intended change.
 Trace::~Trace() {
     if (std::getenv("PINEROAD_KEEP_TRACES")) {
         std::ofstream(trace_path(name_)) << lines_.str();
         return;
     }
     EXPECT_EQ(read_expected_trace(name_), lines_.str())
-        << "trace of " << name_ << " differs from the kept one";
+        << "trace of " << name_ << " differs from the expected one";
 }
 
 void Trace::note(double at_s, const std::string& line) {
--- a/tests/trace.hpp
+++ b/tests/trace.hpp
@@ -1,4 +1,4 @@
-/// Kept traces: what happened in a test, line by line, compared with the file kept in tests/traces.
+/// Compares the events of a test, line by line, with the expected trace in tests/traces.
 #pragma once
 
 #include <sstream>
@@ -6,16 +6,16 @@
 
 namespace pineroad::test {
 
-/// The lines of one test. The simulators write to it; on its end it is compared with the kept file.
+/// The trace of one test. The simulators write to it; its destructor compares it with the expected trace.
 class Trace {
    public:
-    /// `name` is that of the kept file, without its directory and ending; each name belongs to one test.
+    /// `name` is the name of the file without directory and extension. No two tests may use the same name.
     explicit Trace(std::string name);
     ~Trace();
     Trace(const Trace&) = delete;
     Trace& operator=(const Trace&) = delete;
 
-    /// A line, at so many seconds since the beginning of the test.
+    /// Adds a line with its time in seconds since the start of the test.
     void note(double at_s, const std::string& line);
 
    private:
--- a/tests/worker_simulator.cpp
+++ b/tests/worker_simulator.cpp
@@ -18,7 +18,7 @@
 constexpr double response_timeout_s = 4;
 constexpr double next_controller_delay_s = 1;
 constexpr double min_heartbeat_interval_s = 0.5;
-constexpr double checkpoint_duration_s = 2;  // to write one
+constexpr double checkpoint_duration_s = 2;
 
 model::TaskId task_id(const std::string& name) {
     const auto slash = name.find('/');
@@ -113,7 +113,7 @@
     }
 }
 
-// The worker ends its tasks itself, and a new agent epoch begins.
+// The worker itself ends its tasks and begins a new agent epoch.
 void WorkerSimulator::expire_lease(SimulatedMachine& machine) {
     tasks_killed_by_lease_expiry += static_cast<int>(machine.executing_task_count());
     machine.tasks.clear();
@@ -129,7 +129,7 @@
     for (auto& heartbeat : std::exchange(delayed_heartbeats_, {})) {
         if (heartbeat.deliver_at > cluster_.now() || hold_heartbeats)
             delayed_heartbeats_.push_back(std::move(heartbeat));
-        else  // nobody waits for the answer
+        else  // the response is ignored
             cluster_.send_request(heartbeat.controller, "POST", "/checkin", heartbeat.body);
     }
 }
@@ -205,7 +205,7 @@
     execute(machine, response);
 }
 
-// To the next controller; at once, if the refusal names the leader.
+// Switches to the next controller after a delay, or to the leader at once if the response names it.
 void WorkerSimulator::follow_redirect(SimulatedMachine& machine, const net::Reply& reply) const {
     machine.controller = (machine.controller + 1) % cluster_.controllers();
     machine.next_heartbeat_at = cluster_.now() + next_controller_delay_s;
@@ -313,7 +313,7 @@
     return {200, "{}"};
 }
 
-// The same request gets the same answer.
+// Idempotent: a repeated request returns the machines of the first one.
 net::Reply WorkerSimulator::provision_machines(const wire::Json& request) {
     auto& machine_ids = machines_by_request_[std::string(request.at("Hire").as_string())];
     const bool is_repeat = !machine_ids.empty();
--- a/tests/worker_simulator.hpp
+++ b/tests/worker_simulator.hpp
@@ -1,6 +1,6 @@
-/// The machines of a simulated cluster, each with a worker that behaves as the protocol says: it sends
-/// heartbeats by itself, follows redirects, keeps its lease, fetches and runs tasks. The cloud that provides
-/// the machines is simulated here too.
+/// Simulates the machines of a cluster. The worker on each follows the protocol: it sends heartbeats, follows
+/// redirects, keeps its lease, and fetches and runs tasks. Also simulates the cloud that provides the
+/// machines.
 #pragma once
 
 #include <boost/json/array.hpp>
@@ -22,33 +22,36 @@
     explicit WorkerSimulator(ClusterSimulator& cluster) : cluster_(cluster) {}
 
     void add_machine(const std::string& id, const std::string& zone, const std::string& type, bool spot);
-    /// What happens on all machines within so many seconds.
+    /// Advances all machines by `seconds`.
     void step(double seconds);
-    /// A controller's direct command (/do); nothing from a machine that hangs or can't be reached.
+    /// Delivers direct commands (/do) of a controller. Returns nothing if the machine is unreachable or hung;
+    /// a hung machine executes them when it resumes.
     std::optional<net::Reply> handle_direct_command(int controller, const std::string& machine,
                                                     const std::string& body);
     net::Reply answer_cloud_request(const std::string& method, const std::string& target,
                                     const std::string& body);
 
-    /// Something of the job is on a machine and has not ended.
+    /// Returns whether a task of the job is on a machine and has not ended.
     [[nodiscard]] bool has_live_task_of(const std::string& job) const;
     [[nodiscard]] std::size_t executing_task_count() const;
-    /// One that has a task of the job, in whatever state; throws std::logic_error if there is none.
+    /// Returns a machine that has a task of the job in any state; throws std::logic_error if there is none.
     [[nodiscard]] SimulatedMachine& machine_with_task_of(const std::string& job);
 
     SimulatedMachines machines;
     InvariantChecker invariants{machines};
-    std::size_t cloud_capacity = 0;            ///< machines that the cloud has; they are up at once
-    std::map<std::string, double> task_run_s;  ///< by task (JOB/INDEX); otherwise default_task_run_s
+    std::size_t cloud_capacity = 0;            ///< limit of machines; provisioned ones are up at once
+    std::map<std::string, double> task_run_s;  ///< by task (JOB/INDEX); default: default_task_run_s
     double default_task_run_s = 1000, image_fetch_s = 2;
     double heartbeat_period_s = 3, worker_lease_s = 36;
+    /// Tasks killed, and start and stop commands executed.
     int tasks_killed_by_lease_expiry = 0, starts = 0, stops = 0;
     int starts_after_confirmed_cancellation = 0;
-    /// A copy of every heartbeat arrives so much later; 0: none.
+    /// Delay after which a duplicate of every heartbeat arrives; 0: no duplicates.
     double duplicate_heartbeats_after_s = 0;
-    /// Heartbeats are held back on the way to the controllers and arrive when this is reset.
+    /// While set, heartbeats are held back in transit; they are delivered once this is reset.
     bool hold_heartbeats = false;
-    /// Machines of this zone reach that controller only, and no others reach it.
+    /// Machines of this zone can communicate only with partitioned_zone_controller, and all others only with
+    /// the other controllers. Empty: no partition.
     std::string partitioned_zone;
     int partitioned_zone_controller = -1;
 
@@ -78,7 +81,7 @@
 
     ClusterSimulator& cluster_;
     std::deque<DelayedHeartbeat> delayed_heartbeats_;
-    std::map<std::string, boost::json::array> machines_by_request_;  // by the request's name
+    std::map<std::string, boost::json::array> machines_by_request_;  // by request name
     int last_machine_number_ = 0;
 };
 
