--- a/tests/cluster_simulator.cpp
+++ b/tests/cluster_simulator.cpp
@@ -46,7 +46,7 @@
         else if (endpoint_.host == "cloud" && target == wire::machine_types_path)
             reply = Reply{200, json::serialize(wire::machine_types_json(machine_types()))};
         else if (endpoint_.host == "cloud")
-            reply = cluster_.workers.answer_cloud_request(method, target, body);
+            reply = cluster_.workers.handle_cloud_request(method, target, body);
         else if (!(reply = cluster_.workers.handle_direct_command(controller_, endpoint_.host, body)))
             co_await net::sleep_for(timeout_s);
         if (!*alive_) co_await net::sleep_for(never_answered_s);
@@ -293,9 +293,10 @@
         return reply;
     }
     line += std::to_string(reply->status);
-    if (const auto answer = wire::parse_json(reply->body); answer && answer->as_object().contains("Status")) {
-        const std::string status(answer->at("Status").as_string());
-        workers.invariants.record_confirmed_status(std::string(answer->at("NameId").as_string()), status,
+    if (const auto parsed_body = wire::parse_json(reply->body);
+        parsed_body && parsed_body->as_object().contains("Status")) {
+        const std::string status(parsed_body->at("Status").as_string());
+        workers.invariants.record_confirmed_status(std::string(parsed_body->at("NameId").as_string()), status,
                                                    now());
         line += " " + status;
     }
--- a/tests/leader_simulator.cpp
+++ b/tests/leader_simulator.cpp
@@ -38,7 +38,7 @@
 
 // --- the store ---------------------------------------------------------------------------------------------
 
-std::optional<std::uint64_t> SimulatedStore::commit(const wire::Transaction& transaction) {
+std::optional<std::uint64_t> InMemoryStore::commit(const wire::Transaction& transaction) {
     for (const auto& condition : transaction.conditions) {
         const auto row = rows.find(condition.key);
         if ((row == rows.end() ? 0 : row->second.mod_revision) != condition.mod_revision) return std::nullopt;
@@ -53,7 +53,7 @@
     return revision;
 }
 
-void SimulatedStore::put(const std::string& key, wire::Json value) {
+void InMemoryStore::put(const std::string& key, wire::Json value) {
     rows[key] = {std::move(value), ++revision};
 }
 
--- a/tests/leader_simulator.hpp
+++ b/tests/leader_simulator.hpp
@@ -20,7 +20,7 @@
 namespace pineroad::test {
 
 /// The rows of the consensus-backed store, with their revisions.
-class SimulatedStore {
+class InMemoryStore {
    public:
     struct Row {
         wire::Json value;
@@ -113,7 +113,7 @@
     void release_machines();
 
     std::map<std::string, Worker> workers;
-    SimulatedStore store;
+    InMemoryStore store;
     config::Settings config = settings();
     config::Tuning tuning;
     int starts = 0;                 ///< start commands that workers have executed
--- a/tests/store_simulator.cpp
+++ b/tests/store_simulator.cpp
@@ -44,8 +44,8 @@
 
 Reply StoreSimulator::grant_lease(const std::string& body, double now) {
     const double ttl_s = json::parse(body).at("TtlMs").to_number<double>() / 1000;
-    leases_[next_lease_] = {now + ttl_s, ttl_s};
-    return reply(200, {{"Permit", next_lease_++}});
+    leases_[next_lease_id_] = {now + ttl_s, ttl_s};
+    return reply(200, {{"Permit", next_lease_id_++}});
 }
 
 Reply StoreSimulator::renew_or_end_lease(const std::string& method, std::uint64_t id, double now) {
--- a/tests/store_simulator.hpp
+++ b/tests/store_simulator.hpp
@@ -69,7 +69,7 @@
     std::map<std::string, Row> rows_;
     std::map<std::uint64_t, Lease> leases_;
     std::vector<boost::json::object> change_log_;  // changes in order, with their revisions
-    std::uint64_t revision_ = 0, next_lease_ = 1;
+    std::uint64_t revision_ = 0, next_lease_id_ = 1;
 };
 
 }  // namespace pineroad::test
--- a/tests/worker_simulator.cpp
+++ b/tests/worker_simulator.cpp
@@ -288,7 +288,7 @@
 
 // --- the cloud ---------------------------------------------------------------------------------------------
 
-net::Reply WorkerSimulator::answer_cloud_request(const std::string& method, const std::string& target,
+net::Reply WorkerSimulator::handle_cloud_request(const std::string& method, const std::string& target,
                                                  const std::string& body) {
     if (method == "GET") return list_machines();
     const auto request = json::parse(body);
--- a/tests/worker_simulator.hpp
+++ b/tests/worker_simulator.hpp
@@ -28,7 +28,7 @@
     /// a hung machine executes them when it resumes.
     std::optional<net::Reply> handle_direct_command(int controller, const std::string& machine,
                                                     const std::string& body);
-    net::Reply answer_cloud_request(const std::string& method, const std::string& target,
+    net::Reply handle_cloud_request(const std::string& method, const std::string& target,
                                     const std::string& body);
 
     /// Returns whether a task of the job is on a machine and has not ended.
