--- a/tests/simulated_machine.hpp
+++ b/tests/simulated_machine.hpp
@@ -1,4 +1,4 @@
-/// A machine of a simulated cluster: its worker, the tasks on it, and what may be wrong with it.
+/// A machine of a simulated cluster: its worker, its tasks and its injected faults.
 #pragma once
 
 #include <cstdint>
@@ -15,9 +15,9 @@
 namespace pineroad::test {
 
 struct MachineFault {
-    bool hung = false;                ///< executes nothing, and may go on at any moment
-    bool inbound_partition = false;   ///< heartbeats arrive; answers and direct commands are lost
-    bool outbound_partition = false;  ///< reaches no controller, while direct commands reach it
+    bool hung = false;                ///< executes nothing, but may resume at any time
+    bool inbound_partition = false;   ///< heartbeats arrive; responses and direct commands are lost
+    bool outbound_partition = false;  ///< reaches no controller, but receives direct commands
 };
 
 struct SimulatedTask {
@@ -25,11 +25,11 @@
     std::uint64_t attempt = 0;
     model::TaskState state = model::TaskState::fetching;
     model::ExitCause cause = model::ExitCause::none;
-    bool saved = false;
-    double fetched_at = 0, checkpointed_run_s = 0, saves_until = 0;
+    bool checkpoint_saved = false;
+    double image_fetched_at = 0, run_time_s = 0, checkpoint_complete_at = 0;
 
-    /// It occupies its machine's resources: it has its image and has not ended.
-    [[nodiscard]] bool executes() const {
+    /// Returns whether the task occupies its machine's resources: its image is fetched and it has not ended.
+    [[nodiscard]] bool is_executing() const {
         return state == model::TaskState::running || state == model::TaskState::checkpointing;
     }
 };
@@ -41,22 +41,23 @@
     double provisioned_at = 0;
     std::uint64_t agent_epoch = 1, sequence = 0, fencing_token = 0;
     std::vector<SimulatedTask> tasks;
-    int controller = 0;  ///< that its heartbeats go to
-    double lease_from = 0, next_heartbeat = 0;
-    double sent_at = -1;   ///< of the heartbeat that waits for its answer; negative: none does
-    bool changed = false;  ///< since the last heartbeat
-    std::shared_ptr<std::optional<net::Reply>> answer;
-    std::vector<std::pair<int, std::string>> held_commands;  ///< direct ones, while it hangs
+    int controller = 0;  ///< to which it sends heartbeats
+    double lease_renewed_at = 0, next_heartbeat_at = 0;
+    double heartbeat_sent_at = -1;       ///< negative: no heartbeat awaits its response
+    bool has_unreported_change = false;  ///< since the last heartbeat
+    std::shared_ptr<std::optional<net::Reply>> heartbeat_response;
+    /// Direct commands received while hung: the sending controller and the request body.
+    std::vector<std::pair<int, std::string>> queued_direct_commands;
 
     [[nodiscard]] bool has_task_of(const std::string& job) const;
-    [[nodiscard]] std::size_t executing_tasks() const;
+    [[nodiscard]] std::size_t executing_task_count() const;
 };
 
 using SimulatedMachines = std::map<std::string, SimulatedMachine>;
 
-/// "fetching", "waiting", "running", "saving" or "ended", as the protocol writes it.
+/// Returns the protocol's name of a task state: "fetching", "waiting", "running", "saving" or "ended".
 const char* name_of(model::TaskState state);
-/// JOB/INDEX
+/// Returns JOB/INDEX.
 std::string name_of(const model::TaskId& id);
 
 }  // namespace pineroad::test
