--- a/src/api/job_writer.cpp
+++ b/src/api/job_writer.cpp
@@ -29,7 +29,7 @@
 std::optional<wire::Transaction> acceptance_transaction(const model::JobSpec& spec,
                                                         const config::Settings& settings) {
     const auto value_bytes = static_cast<std::size_t>(settings.value_kb * 1024 * c::value_fill_ratio);
-    auto job_records = records::job_records(spec, value_bytes, c::dependency_records);
+    auto job_records = records::job_records(spec, value_bytes, c::max_dependency_records);
     if (!job_records) return std::nullopt;
     auto transaction = transaction_for_new_job(spec.id);
     transaction.changes = {{records::job_key(spec.id), std::move(job_records->job), std::nullopt}};
