--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -70,9 +70,9 @@
     return command_delivery_.has_pending_commands(machine);
 }
 
-std::vector<model::Command> ClusterState::commands_for(const std::string& machine, bool may_start,
+std::vector<model::Command> ClusterState::commands_for(const std::string& machine, bool may_start_tasks,
                                                        double now) {
-    return command_delivery_.commands_for(machine, may_start, now);
+    return command_delivery_.commands_for(machine, may_start_tasks, now);
 }
 
 std::vector<DirectCommands> ClusterState::take_direct_commands() {
@@ -128,7 +128,7 @@
 void ClusterState::machines_provisioned(const std::string& name, const std::vector<std::string>& machines,
                                         double now) {
     context_.now_s = now;
-    if (const auto request = provisioning_requests_.record_answer(name, machines.size(), now))
+    if (const auto request = provisioning_requests_.record_response(name, machines.size(), now))
         machine_lifecycle_.add_provisioned(*request, machines);
 }
 
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -78,8 +78,8 @@
     // Returns whether there is a command to send to the machine: a durable start, or a stop.
     [[nodiscard]] bool has_pending_commands(const std::string& machine) const;
     // Returns the commands for the response to the machine's latest heartbeat; includes starts only if
-    // `may_start`, that is, if the leader may start tasks.
-    std::vector<model::Command> commands_for(const std::string& machine, bool may_start, double now);
+    // `may_start_tasks`, that is, if the leader may start tasks.
+    std::vector<model::Command> commands_for(const std::string& machine, bool may_start_tasks, double now);
     // Removes and returns the stops to be sent immediately, grouped by machine.
     std::vector<DirectCommands> take_direct_commands();
 
@@ -118,8 +118,8 @@
     // Records that the cloud had no capacity for the request of this name.
     void provisioning_refused(const std::string& name, double now);
     // Records that no response came to the request of this name, so that it is sent again.
-    void provisioning_unanswered(const std::string& name) {
-        provisioning_requests_.record_missing_answer(name);
+    void provisioning_response_missing(const std::string& name) {
+        provisioning_requests_.record_missing_response(name);
     }
     // Returns the machines to release next, at most as many as one request may name.
     [[nodiscard]] std::vector<std::string> machines_to_release(double now) const;
@@ -136,7 +136,7 @@
     // Returns all machines by name.
     [[nodiscard]] const std::map<std::string, Machine>& machines() const { return machines_.all(); }
     // Returns when the latest heartbeat was applied, or the start of the term if there was none.
-    [[nodiscard]] double last_heartbeat() const { return heartbeat_reconciler_.last_heartbeat_s(); }
+    [[nodiscard]] double last_heartbeat_s() const { return heartbeat_reconciler_.last_heartbeat_s(); }
 
    private:
     TermContext context_;
--- a/src/cluster/command_delivery.cpp
+++ b/src/cluster/command_delivery.cpp
@@ -30,7 +30,7 @@
     });
 }
 
-std::vector<Command> CommandDelivery::commands_for(const std::string& id, bool may_start, double now) {
+std::vector<Command> CommandDelivery::commands_for(const std::string& id, bool may_start_tasks, double now) {
     std::vector<Command> commands;
     Machine* machine = machines_.find(id);
     if (!machine) return commands;
@@ -38,7 +38,7 @@
     if (!add_forgets(*machine, commands)) return commands;
     for (const auto& task : machine->unknown_tasks)
         commands.push_back({Command::Kind::stop, task.task, task.attempt, 0});
-    add_starts_and_stops(*machine, may_start && machines_.is_schedulable(*machine, now), commands);
+    add_starts_and_stops(*machine, may_start_tasks && machines_.is_schedulable(*machine, now), commands);
     return commands;
 }
 
@@ -69,7 +69,7 @@
     return true;
 }
 
-void CommandDelivery::add_starts_and_stops(Machine& machine, bool may_start,
+void CommandDelivery::add_starts_and_stops(Machine& machine, bool may_start_tasks,
                                            std::vector<Command>& commands) const {
     for (const auto& task : machine.tasks) {
         if (commands.size() >= c::max_commands_per_response) break;
@@ -79,7 +79,7 @@
             if (!placement.is_unsent())
                 commands.push_back(
                     {Command::Kind::stop, {job.id, task.index}, placement.attempt, placement.stop->grace_s});
-        } else if (!placement.is_confirmed() && may_start && jobs_.may_run(job) &&
+        } else if (!placement.is_confirmed() && may_start_tasks && jobs_.may_run(job) &&
                    is_durable(job, placement)) {
             commands.push_back({Command::Kind::start, {job.id, task.index}, placement.attempt, 0});
             placement.mark_start_sent();
--- a/src/cluster/command_delivery.hpp
+++ b/src/cluster/command_delivery.hpp
@@ -33,9 +33,9 @@
     // Returns whether there is a command to send to the machine: a durable start, or a stop.
     [[nodiscard]] bool has_pending_commands(const std::string& machine) const;
     // Returns the commands for the response to the machine's latest heartbeat; includes starts only if
-    // `may_start`, that is, if the leader may start tasks. The returned starts and forget commands are marked
-    // as sent.
-    std::vector<model::Command> commands_for(const std::string& machine, bool may_start, double now);
+    // `may_start_tasks`, that is, if the leader may start tasks. The returned starts and forget commands are
+    // marked as sent.
+    std::vector<model::Command> commands_for(const std::string& machine, bool may_start_tasks, double now);
     // Returns the stops not yet sent as direct commands, grouped by machine, and marks them as sent.
     std::vector<DirectCommands> take_direct_commands();
 
@@ -46,7 +46,8 @@
     // Adds commands to forget exited tasks. Returns false if no more commands fit.
     bool add_forgets(Machine& machine, std::vector<model::Command>& commands) const;
     // Adds durable starts, and stops.
-    void add_starts_and_stops(Machine& machine, bool may_start, std::vector<model::Command>& commands) const;
+    void add_starts_and_stops(Machine& machine, bool may_start_tasks,
+                              std::vector<model::Command>& commands) const;
     // Returns the placement to stop, or nullptr if no direct command is needed any more.
     [[nodiscard]] TaskPlacement* find_unsent_stop(const UnsentStop& stop);
 
--- a/src/cluster/failure_detector.cpp
+++ b/src/cluster/failure_detector.cpp
@@ -160,7 +160,7 @@
         for (const auto& task : std::vector(machine.tasks)) {
             const TaskPlacement& placement = task.placement();
             if (!placement.is_unsent() || (is_schedulable && !placement.is_stopping())) continue;
-            tasks_.mark_lost(*task.job, task.index, LossReason::withdrawn);
+            task_lifecycle_.mark_lost(*task.job, task.index, LossReason::withdrawn);
         }
     }
 }
--- a/src/cluster/failure_detector.hpp
+++ b/src/cluster/failure_detector.hpp
@@ -32,8 +32,11 @@
 class FailureDetector {
    public:
     // All arguments must outlive this object.
-    FailureDetector(const TermContext& context, MachineTable& machines, TaskLifecycle& tasks)
-        : context_(context), machines_(machines), tasks_(tasks), silence_start_s_(context.started_at_s) {}
+    FailureDetector(const TermContext& context, MachineTable& machines, TaskLifecycle& task_lifecycle)
+        : context_(context),
+          machines_(machines),
+          task_lifecycle_(task_lifecycle),
+          silence_start_s_(context.started_at_s) {}
 
     // Releases lost machines, and withdraws unsent starts from machines that are no longer schedulable.
     void detect();
@@ -84,7 +87,7 @@
 
     const TermContext& context_;
     MachineTable& machines_;
-    TaskLifecycle& tasks_;
+    TaskLifecycle& task_lifecycle_;
     double silence_start_s_;
     bool commands_reach_most_machines_ = true;
 };
--- a/src/cluster/machine_lifecycle.cpp
+++ b/src/cluster/machine_lifecycle.cpp
@@ -35,7 +35,7 @@
         const Machine* machine = machines_.find(id);
         if (!machine) continue;
         for (const auto& task : std::vector(machine->tasks))
-            tasks_.mark_lost(*task.job, task.index, LossReason::machine_released);
+            task_lifecycle_.mark_lost(*task.job, task.index, LossReason::machine_released);
         machines_.remove(id);
     }
 }
--- a/src/cluster/machine_lifecycle.hpp
+++ b/src/cluster/machine_lifecycle.hpp
@@ -16,8 +16,8 @@
 class MachineLifecycle {
    public:
     // All arguments must outlive this object.
-    MachineLifecycle(const TermContext& context, MachineTable& machines, TaskLifecycle& tasks)
-        : context_(context), machines_(machines), tasks_(tasks) {}
+    MachineLifecycle(const TermContext& context, MachineTable& machines, TaskLifecycle& task_lifecycle)
+        : context_(context), machines_(machines), task_lifecycle_(task_lifecycle) {}
 
     // Adds the machines that the cloud provisioned for the request.
     void add_provisioned(const model::ProvisioningRequest& request, const std::vector<std::string>& ids);
@@ -36,7 +36,7 @@
 
     const TermContext& context_;
     MachineTable& machines_;
-    TaskLifecycle& tasks_;
+    TaskLifecycle& task_lifecycle_;
 };
 
 }  // namespace pineroad::cluster
--- a/src/cluster/machine_types.cpp
+++ b/src/cluster/machine_types.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 // Prices change often, and a change of prices alone is not written.
-bool equal_except_price(const model::MachineType& first, const model::MachineType& second) {
+bool same_capacity_and_zones(const model::MachineType& first, const model::MachineType& second) {
     return first.name == second.name && first.capacity.cpus == second.capacity.cpus &&
            first.capacity.gpus == second.capacity.gpus &&
            first.capacity.memory_gb == second.capacity.memory_gb && first.zones == second.zones;
@@ -22,7 +22,7 @@
 bool MachineTypes::set(const std::vector<model::MachineType>& types) {
     const bool was_written = mod_revision_ != 0;
     const bool unchanged = was_written && std::equal(types.begin(), types.end(), types_.begin(), types_.end(),
-                                                     equal_except_price);
+                                                     same_capacity_and_zones);
     types_ = types;
     if (!unchanged) needs_write_ = true;
     return !unchanged;
--- a/src/cluster/provisioning_requests.cpp
+++ b/src/cluster/provisioning_requests.cpp
@@ -15,9 +15,9 @@
 void ProvisioningRequests::load(const store::WatchCache& watch_cache) {
     mod_revision_ = watch_cache.open_provisioning_requests.mod_revision;
     for (const auto& request : watch_cache.open_provisioning_requests.value)
-        requests_[request.name] = {request, 0, Phase::unanswered};
+        requests_[request.name] = {request, 0, Phase::no_response};
     for (const auto& [name, single] : watch_cache.provisioning_records)
-        requests_[name] = {single.value, single.mod_revision, Phase::unanswered};
+        requests_[name] = {single.value, single.mod_revision, Phase::no_response};
 }
 
 void ProvisioningRequests::scale_out(const scheduling::ScaleOut& decision) {
@@ -105,9 +105,9 @@
     return std::nullopt;
 }
 
-std::optional<model::ProvisioningRequest> ProvisioningRequests::record_answer(const std::string& name,
-                                                                              std::size_t machines,
-                                                                              double now) {
+std::optional<model::ProvisioningRequest> ProvisioningRequests::record_response(const std::string& name,
+                                                                                std::size_t machines,
+                                                                                double now) {
     const auto it = requests_.find(name);
     if (it == requests_.end()) return std::nullopt;
     it->second.close();
@@ -137,9 +137,9 @@
                  request.zone, request.spot ? ", spot" : "", fencing_token_);
 }
 
-void ProvisioningRequests::record_missing_answer(const std::string& name) {
+void ProvisioningRequests::record_missing_response(const std::string& name) {
     const auto it = requests_.find(name);
-    if (it != requests_.end() && it->second.phase == Phase::in_flight) it->second.phase = Phase::unanswered;
+    if (it != requests_.end() && it->second.phase == Phase::in_flight) it->second.phase = Phase::no_response;
 }
 
 // Lets the planner choose another pool for what this pool, which has just run out, was to provide. A request
--- a/src/cluster/provisioning_requests.hpp
+++ b/src/cluster/provisioning_requests.hpp
@@ -56,12 +56,12 @@
     std::optional<model::ProvisioningRequest> take_next();
     // Records that the cloud provisioned this many machines. Returns the request, or nothing if the name is
     // not known.
-    std::optional<model::ProvisioningRequest> record_answer(const std::string& name, std::size_t machines,
-                                                            double now);
+    std::optional<model::ProvisioningRequest> record_response(const std::string& name, std::size_t machines,
+                                                              double now);
     // Records that the cloud had no capacity for the request.
     void record_refusal(const std::string& name, double now);
     // Records that no answer arrived; the request is sent again under its name.
-    void record_missing_answer(const std::string& name);
+    void record_missing_response(const std::string& name);
 
    private:
     // State of a request.
@@ -70,12 +70,12 @@
     // A request that was never sent may be withdrawn. From `durable` it becomes `closed` at once. From
     // `pending` it becomes `withdrawn`, and then `closed` if a commit that contains it still succeeds.
     enum class Phase {
-        pending,     // not in the record yet
-        durable,     // in the record, never sent to the cloud
-        in_flight,   // a call to the cloud is in flight
-        unanswered,  // may have been sent, in this term or an earlier one, but has no answer
-        withdrawn,   // no longer wanted, and not in the record
-        closed,      // answered or no longer wanted, and still in the record
+        pending,      // not in the record yet
+        durable,      // in the record, never sent to the cloud
+        in_flight,    // a call to the cloud is in flight
+        no_response,  // may have been sent, in this term or an earlier one, but has no answer
+        withdrawn,    // no longer wanted, and not in the record
+        closed,       // answered or no longer wanted, and still in the record
     };
     // A request of this term or of an earlier one.
     struct Request {
@@ -92,7 +92,7 @@
         [[nodiscard]] bool is_unsent() const { return phase == Phase::pending || phase == Phase::durable; }
         // Returns whether the request is durable and still wanted, and no call is in flight.
         [[nodiscard]] bool is_sendable() const {
-            return phase == Phase::durable || phase == Phase::unanswered;
+            return phase == Phase::durable || phase == Phase::no_response;
         }
         // Applies a commit that wrote the request into the record.
         void mark_durable() {
--- a/src/cluster/run_time_estimates.hpp
+++ b/src/cluster/run_time_estimates.hpp
@@ -22,7 +22,7 @@
     }
     // Returns the expected run time of a task of the job in seconds: the estimate times the ratio of its job
     // class, at least 1.
-    [[nodiscard]] double expected_s(const model::JobSpec& spec) const {
+    [[nodiscard]] double expected_run_s(const model::JobSpec& spec) const {
         const auto bias = bias_by_class_.find(spec.job_class);
         return std::max(1.0, spec.estimate_s * (bias == bias_by_class_.end() ? 1.0 : bias->second));
     }
--- a/src/cluster/snapshot_builder.cpp
+++ b/src/cluster/snapshot_builder.cpp
@@ -122,7 +122,7 @@
     const bool never_succeeded = job.failures.count > 0 && job.progress.done.empty();
     pending.xfactor = never_succeeded ? 1.0 : scheduling::xfactor(waited_s, spec.estimate_s);
     pending.slack_s = slack_s(job);
-    pending.expected_s = estimates_.expected_s(spec);
+    pending.expected_run_s = estimates_.expected_run_s(spec);
     pending.in_pipeline = jobs_.dependencies().in_pipeline(spec);
     pending.excluded_machines = job.failures.machines;
     if (job.failures.retry_at_s <= context_.now_s) add_pending_tasks(pending, job, unknown_tasks);
@@ -176,7 +176,7 @@
 double SnapshotBuilder::slack_s(const Job& job) const {
     const auto& spec = *job.spec;
     const double age = age_s(job);
-    const double expected = estimates_.expected_s(spec);
+    const double expected = estimates_.expected_run_s(spec);
     double slack = 1e9;
     // Deadlines of the job and of its dependents count from submission, not from when the job became ready.
     if (const auto due_ms = jobs_.dependencies().deadline_ms(spec))
--- a/src/cluster/state_loader.cpp
+++ b/src/cluster/state_loader.cpp
@@ -16,7 +16,8 @@
     state_.segments.load(watch_cache);
     state_.provisioning.load(watch_cache);
     for (const auto& [id, job] : std::as_const(state_.jobs).all()) reconcile_job(state_.jobs.at(id));
-    for (const auto& id : watch_cache.dependencies().cancelled()) state_.tasks.cancel_job_by_dependency(id);
+    for (const auto& id : watch_cache.dependencies().cancelled())
+        state_.task_lifecycle.cancel_job_by_dependency(id);
 }
 
 void StateLoader::load_progress(const store::WatchCache& watch_cache, const wire::records::EntryName& name,
@@ -47,14 +48,14 @@
         placement.attempt = stored.attempt;
         placement.machine = stored.machine;
         placement.presence = Presence::inherited;
-        state_.tasks.place(job, std::move(placement));
+        state_.task_lifecycle.place(job, std::move(placement));
         job.latest_attempt = std::max(job.latest_attempt, stored.attempt);
     }
 }
 
 void StateLoader::reconcile_job(Job& job) {
     if (!job.spec) {
-        state_.tasks.cancel_job(job.id);
+        state_.task_lifecycle.cancel_job(job.id);
     } else if (job.complete_if_all_tasks_done()) {
         state_.jobs.mark_changed(job);
     } else {
--- a/src/cluster/state_loader.hpp
+++ b/src/cluster/state_loader.hpp
@@ -15,7 +15,7 @@
 struct LoadedState {
     JobTable& jobs;
     MachineTable& machines;
-    TaskLifecycle& tasks;
+    TaskLifecycle& task_lifecycle;
     SegmentStore& segments;
     ProvisioningRequests& provisioning;
     SlowdownAverages& averages;
--- a/src/controller/leader_loops.cpp
+++ b/src/controller/leader_loops.cpp
@@ -86,7 +86,7 @@
 }
 
 double LeaderLoops::last_heartbeat() const {
-    return active_term_->cluster_state.last_heartbeat();
+    return active_term_->cluster_state.last_heartbeat_s();
 }
 
 void LeaderLoops::end_term() {
--- a/src/controller/provisioning_loops.cpp
+++ b/src/controller/provisioning_loops.cpp
@@ -99,7 +99,7 @@
         } else {
             // No response, 429 or an outage: retry under the same name, for which the cloud provides machines
             // only once.
-            cluster_state.provisioning_unanswered(request->name);
+            cluster_state.provisioning_response_missing(request->name);
             co_await sleep_for(retry_delay_s);
         }
         term.plan_due.notify();
--- a/src/model/dependency_graph.cpp
+++ b/src/model/dependency_graph.cpp
@@ -27,7 +27,7 @@
     LiveJob& job = entry->second;
     unresolved_.erase(spec.id);
     job.dependencies = spec.dependencies;
-    job.pending = spec.dependencies.size();
+    job.pending_dependencies = spec.dependencies.size();
     job.own_priority = job.priority = spec.priority;
     job.duration_ms = milliseconds(spec.estimate_s + constants::dependency_overhead_s);
     if (spec.deadline_s) job.own_deadline_ms = spec.accepted_ms + milliseconds(*spec.deadline_s);
@@ -59,7 +59,7 @@
         dependent.cancelled = true;
         return;
     }
-    --dependent.pending;
+    --dependent.pending_dependencies;
     dependent.ready_since_ms = std::max(dependent.ready_since_ms, outcome.ended_at_ms);
 }
 
@@ -75,7 +75,7 @@
     for (const auto& dependent : dependents->second) {
         LiveJob& job = live_.at(dependent);
         apply_outcome(job, outcome);
-        if (job.pending == 0 && !job.cancelled) change.ready.push_back(dependent);
+        if (job.pending_dependencies == 0 && !job.cancelled) change.ready.push_back(dependent);
     }
     return change;
 }
@@ -177,7 +177,7 @@
 
 bool DependencyGraph::is_ready(const std::string& id) const {
     const LiveJob* job = find(id);
-    return job && job->pending == 0 && !job->cancelled;
+    return job && job->pending_dependencies == 0 && !job->cancelled;
 }
 
 bool DependencyGraph::is_cancelled(const std::string& id) const {
@@ -194,7 +194,7 @@
 
 std::optional<std::int64_t> DependencyGraph::ready_since_ms(const std::string& id) const {
     const LiveJob* job = find(id);
-    if (!job || job->dependencies.empty() || job->pending > 0) return std::nullopt;
+    if (!job || job->dependencies.empty() || job->pending_dependencies > 0) return std::nullopt;
     return job->ready_since_ms;
 }
 
--- a/src/model/dependency_graph.hpp
+++ b/src/model/dependency_graph.hpp
@@ -71,9 +71,9 @@
     // A live job and the state derived from its ancestors and dependents.
     struct LiveJob {
         std::vector<std::string> dependencies;
-        std::size_t pending = 0;          // number of dependencies that are not known to be done
-        std::int64_t ready_since_ms = 0;  // end of the dependency that was done last
-        bool cancelled = false;           // an ancestor was cancelled
+        std::size_t pending_dependencies = 0;  // number of dependencies that are not known to be done
+        std::int64_t ready_since_ms = 0;       // end of the dependency that was done last
+        bool cancelled = false;                // an ancestor was cancelled
         Priority own_priority = Priority::low;
         Priority priority = Priority::low;  // its own or a higher, inherited one
         std::optional<std::int64_t> own_deadline_ms;
--- a/src/scheduling/autoscaling.cpp
+++ b/src/scheduling/autoscaling.cpp
@@ -78,7 +78,8 @@
 
     Snapshot snapshot_;
     AutoscalingPlan plan_;
-    std::vector<ExpectedMachine> expected_;  // booting machines, followed by those that this round requests
+    std::vector<ExpectedMachine>
+        expected_machines_;  // booting machines, followed by those that this round requests
     std::vector<PendingJob*> queue_;
     std::map<std::string, ClassQueue> class_queues_;
     double longest_boot_s_ = 0;
@@ -107,8 +108,8 @@
     for (const auto& machine : snapshot_.machines) {
         if (!machine.booting) continue;
         const auto found = reserved.find(machine.id);
-        expected_.push_back({machine.type, machine.zone, machine.spot, machine.free,
-                             found == reserved.end() ? INT_MAX : found->second});
+        expected_machines_.push_back({machine.type, machine.zone, machine.spot, machine.free,
+                                      found == reserved.end() ? INT_MAX : found->second});
     }
 }
 
@@ -123,7 +124,7 @@
 void AutoscalingRound::measure_queues() {
     for (const auto* job : queue_)
         class_queues_[job->spec->job_class].work_s +=
-            static_cast<double>(job->pending_tasks.size()) * job->expected_s;
+            static_cast<double>(job->pending_tasks.size()) * job->expected_run_s;
     for (const auto& [job_class, demand] : snapshot_.demand)
         class_queues_[job_class].servers = demand.running_tasks;
     for (const auto& pool : snapshot_.pools) longest_boot_s_ = std::max(longest_boot_s_, pool.type->boot_s);
@@ -144,13 +145,13 @@
     const double horizon_s =
         std::max(tuning.queue_slack_share * job.slack_s, tuning.drain_boot_times * longest_boot_s_);
     const auto waiting_tasks = static_cast<double>(job.pending_tasks.size());
-    double work_s = waiting_tasks * job.expected_s;
+    double work_s = waiting_tasks * job.expected_run_s;
     auto& counted_s = served_by_running_s_[{job.spec->job_class, zone}];
     const double served_s = std::clamp(running_tasks * horizon_s - counted_s, 0.0, work_s);
     counted_s += served_s;
     work_s -= served_s;
     // The 0.01 avoids an additional task due to rounding errors.
-    const double needed = std::ceil(work_s / std::max(horizon_s, job.expected_s) - 0.01);
+    const double needed = std::ceil(work_s / std::max(horizon_s, job.expected_run_s) - 0.01);
     job.pending_tasks.resize(static_cast<std::size_t>(std::clamp(needed, 0.0, waiting_tasks)));
 }
 
@@ -158,8 +159,9 @@
     const auto& spec = *job.spec;
     std::size_t placed = 0;
     const int eligible_pools = eligible_pool_count(snapshot_, spec);
-    for (std::size_t i = first_machine; i < expected_.size() && placed < job.pending_tasks.size(); ++i) {
-        auto& machine = expected_[i];
+    for (std::size_t i = first_machine; i < expected_machines_.size() && placed < job.pending_tasks.size();
+         ++i) {
+        auto& machine = expected_machines_[i];
         if (!spec.task_resources.fits_in(machine.free) || eligible_pools > machine.reserved_for_pool_count ||
             !allowed_on(spec, machine.type, machine.zone, machine.spot) || !zone_allowed(job, machine.zone))
             continue;
@@ -198,7 +200,7 @@
         if (!pool || queue_is_short(job, *pool)) break;
         request(*pool);
         const auto pending_before = job.pending_tasks.size();
-        place_on_expected(job, expected_.size() - 1);
+        place_on_expected(job, expected_machines_.size() - 1);
         if (job.pending_tasks.size() == pending_before) break;
         class_tasks -= static_cast<double>(pending_before - job.pending_tasks.size());
     }
@@ -256,7 +258,7 @@
 }
 
 void AutoscalingRound::request(const MachinePool& pool) {
-    expected_.push_back({pool.type->name, pool.zone, pool.spot, pool.type->capacity});
+    expected_machines_.push_back({pool.type->name, pool.zone, pool.spot, pool.type->capacity});
     for (auto& scale_out : plan_.scale_out)
         if (scale_out.type == pool.type->name && scale_out.zone == pool.zone && scale_out.spot == pool.spot) {
             ++scale_out.count;
@@ -289,7 +291,7 @@
 
 // Claims room for one task on each expected machine that has it. Returns how many are still missing.
 int AutoscalingRound::claim_expected_machines(const model::JobSpec& sample, int missing) {
-    for (auto& machine : expected_) {
+    for (auto& machine : expected_machines_) {
         if (missing <= 0) break;
         if (!allowed_on(sample, machine.type, machine.zone, machine.spot) ||
             !sample.task_resources.fits_in(machine.free))
@@ -307,7 +309,7 @@
         const auto* pool = cheapest_pool(arrival, 1);
         if (!pool) break;
         request(*pool);
-        expected_.back().free -= sample.task_resources;
+        expected_machines_.back().free -= sample.task_resources;
     }
 }
 
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -93,7 +93,7 @@
         int reserved_for_pool_count;  // jobs with more eligible pools may not use it
         bool reserved_for_gang;       // reserved for the holder of the reservation
     };
-    // A machine that the current job may use: its cost in seconds, and its index in `open_`.
+    // A machine that the current job may use: its cost in seconds, and its index in `open_machines_`.
     using Candidate = std::pair<double, std::size_t>;
     // Whether a job may use any machine or only those that have its image.
     enum class ImageRule { any_machine, image_present };
@@ -133,7 +133,7 @@
 
     Snapshot& snapshot_;
     Reservation reservation_;
-    std::vector<OpenMachine> open_;
+    std::vector<OpenMachine> open_machines_;
     std::vector<Candidate> candidates_;  // a min-heap by cost
     std::vector<PlacementDecision> decisions_;
 };
@@ -157,8 +157,8 @@
         auto& machine = snapshot_.machines[i];
         if (!machine.ready || pools[i] == snapshot_.pools.size() || !smallest.fits_in(machine.free)) continue;
         const auto found = reserved.find(machine.id);
-        open_.push_back({&machine, pools[i], found == reserved.end() ? INT_MAX : found->second,
-                         reservation_.machines.contains(machine.id)});
+        open_machines_.push_back({&machine, pools[i], found == reserved.end() ? INT_MAX : found->second,
+                                  reservation_.machines.contains(machine.id)});
     }
 }
 
@@ -253,9 +253,10 @@
 void PlacementRound::collect_candidates(const PendingJob& job, const PoolEvaluation& evaluation,
                                         const std::string* zone, ImageRule rule) {
     candidates_.clear();
-    for (std::size_t i = 0; i < open_.size(); ++i)
-        if (is_candidate(open_[i], job, evaluation, zone, rule))
-            candidates_.emplace_back(placement_cost_s(evaluation, job, *open_[i].machine, open_[i].pool), i);
+    for (std::size_t i = 0; i < open_machines_.size(); ++i)
+        if (is_candidate(open_machines_[i], job, evaluation, zone, rule))
+            candidates_.emplace_back(
+                placement_cost_s(evaluation, job, *open_machines_[i].machine, open_machines_[i].pool), i);
     std::make_heap(candidates_.begin(), candidates_.end(), std::greater<>());
 }
 
@@ -275,7 +276,7 @@
 PlacementRound::OpenMachine* PlacementRound::pop_candidate(const PendingJob& job) {
     while (!candidates_.empty()) {
         std::pop_heap(candidates_.begin(), candidates_.end(), std::greater<>());
-        auto& open = open_[candidates_.back().second];
+        auto& open = open_machines_[candidates_.back().second];
         candidates_.pop_back();
         if (zone_allowed(job, open.machine->zone)) return &open;
     }
@@ -286,7 +287,7 @@
                                     const OpenMachine& open) {
     if (!job.spec->task_resources.fits_in(open.machine->free)) return;
     candidates_.emplace_back(placement_cost_s(evaluation, job, *open.machine, open.pool),
-                             static_cast<std::size_t>(&open - open_.data()));
+                             static_cast<std::size_t>(&open - open_machines_.data()));
     std::push_heap(candidates_.begin(), candidates_.end(), std::greater<>());
 }
 
--- a/src/scheduling/snapshot.hpp
+++ b/src/scheduling/snapshot.hpp
@@ -43,7 +43,7 @@
     double xfactor = 1;                                  // see xfactor.hpp
     double waited_s = 0;  // since acceptance or since it last ran; determines which gang gets a reservation
     // Expected run time of a task: the user's estimate, corrected by the actual run times of its class.
-    double expected_s = 1;
+    double expected_run_s = 1;
     double slack_s = 0;                       // time until it must start to meet its service-level objective
     std::set<std::string> excluded_machines;  // machines on which it failed or which its gang has just left
     bool in_pipeline = false;                 // a lost task delays all dependent jobs
--- a/tests/sched_test.cpp
+++ b/tests/sched_test.cpp
@@ -41,7 +41,7 @@
         v.spec = specs.back().get();
         v.priority = v.spec->priority;
         for (std::uint32_t i = 0; i < v.spec->task_count; ++i) v.pending_tasks.push_back(i);
-        v.xfactor = xfactor, v.slack_s = slack, v.expected_s = v.spec->estimate_s;
+        v.xfactor = xfactor, v.slack_s = slack, v.expected_run_s = v.spec->estimate_s;
         p.jobs.push_back(v);
         return p.jobs.back();
     }
