--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -52,8 +52,9 @@
     ClusterState(const config::Settings& settings, const config::Tuning& tuning, std::uint64_t fencing_token,
                  std::uint64_t leader_revision, double now);
 
-    // --- failover --- Loads the records; no earlier term can add to them any more. The watch cache must
-    // outlive the state, since it holds the dependencies between jobs.
+    // --- failover ---
+    // Loads the records, to which no earlier term can add any more. The watch cache must outlive the state,
+    // since it holds the dependencies between jobs.
     void load(const store::WatchCache& watch_cache, double now, std::int64_t wall_ms = 0);
 
     // --- events of the store ---
@@ -78,7 +79,7 @@
     // Returns whether there is a command to send to the machine: a durable start, or a stop.
     [[nodiscard]] bool has_pending_commands(const std::string& machine) const;
     // Returns the commands for the response to the machine's latest heartbeat; includes starts only if
-    // `may_start_tasks`, that is, if the leader may start tasks.
+    // `may_start_tasks`.
     std::vector<model::Command> commands_for(const std::string& machine, bool may_start_tasks, double now);
     // Removes and returns the stops to be sent immediately, grouped by machine.
     std::vector<DirectCommands> take_direct_commands();
@@ -91,8 +92,9 @@
     // Places tasks, preempts jobs and scales the cluster, given the demand of each job class.
     void plan(double now, std::int64_t wall_ms, const DemandByClass& demand);
 
-    // --- durable writes --- Returns the next batch of at most `changes` changes, the most urgent first, or
-    // nothing if nothing must be written.
+    // --- durable writes ---
+    // Returns the next batch of at most `changes` changes, the most urgent first, or nothing if nothing must
+    // be written.
     std::optional<WriteBatch> next_write_batch(std::size_t changes = SIZE_MAX);
     // Records that the batch was committed at this revision.
     void apply_commit(const WriteBatch& batch, std::uint64_t revision, double now, std::int64_t wall_ms);
@@ -117,7 +119,7 @@
     void machines_provisioned(const std::string& name, const std::vector<std::string>& machines, double now);
     // Records that the cloud had no capacity for the request of this name.
     void provisioning_refused(const std::string& name, double now);
-    // Records that no response came to the request of this name, so that it is sent again.
+    // Records that no response to the request of this name was received, so that it is sent again.
     void provisioning_response_missing(const std::string& name) {
         provisioning_requests_.record_missing_response(name);
     }
@@ -131,9 +133,9 @@
     // --- queries ---
     // Returns the term's fencing token.
     [[nodiscard]] std::uint64_t fencing_token() const { return context_.fencing_token; }
-    // Returns all jobs by name.
+    // Returns all jobs, by id.
     [[nodiscard]] const std::map<std::string, Job>& jobs() const { return jobs_.all(); }
-    // Returns all machines by name.
+    // Returns all machines, by name.
     [[nodiscard]] const std::map<std::string, Machine>& machines() const { return machines_.all(); }
     // Returns when the latest heartbeat was applied, or the start of the term if there was none.
     [[nodiscard]] double last_heartbeat_s() const { return heartbeat_reconciler_.last_heartbeat_s(); }
--- a/src/cluster/command_delivery.hpp
+++ b/src/cluster/command_delivery.hpp
@@ -33,8 +33,7 @@
     // Returns whether there is a command to send to the machine: a durable start, or a stop.
     [[nodiscard]] bool has_pending_commands(const std::string& machine) const;
     // Returns the commands for the response to the machine's latest heartbeat; includes starts only if
-    // `may_start_tasks`, that is, if the leader may start tasks. The returned starts and forget commands are
-    // marked as sent.
+    // `may_start_tasks`. Marks the returned starts and forget commands as sent.
     std::vector<model::Command> commands_for(const std::string& machine, bool may_start_tasks, double now);
     // Returns the stops not yet sent as direct commands, grouped by machine, and marks them as sent.
     std::vector<DirectCommands> take_direct_commands();
--- a/src/cluster/durable_writes.hpp
+++ b/src/cluster/durable_writes.hpp
@@ -22,7 +22,7 @@
     [[nodiscard]] bool is_due() const;
     // Returns the next batch of at most this many changes, or nothing if there is nothing to write.
     std::optional<WriteBatch> next_batch(std::size_t changes);
-    // Applies the commit of the batch at this revision and wall-clock time.
+    // Applies the commit of the batch at this revision and time of day.
     void apply_commit(const WriteBatch& batch, std::uint64_t revision, std::int64_t wall_ms);
     // Records that the store rejected a batch as malformed: its limits are lower than announced, and later
     // batches are smaller. Returns false if too many batches were rejected.
--- a/src/cluster/failure_detector.hpp
+++ b/src/cluster/failure_detector.hpp
@@ -69,15 +69,15 @@
     // Returns why a machine must be released, or nothing. `others_report`: most machines are in contact.
     [[nodiscard]] std::optional<ReleaseReason> release_reason(const Machine& machine,
                                                               bool others_report) const;
-    // Handles a machine that has reported in this term. `silent_s`: time without a heartbeat.
+    // Returns the same for a machine that has reported in this term. `silent_s`: time without a heartbeat.
     [[nodiscard]] std::optional<ReleaseReason> release_reason_reporting(const Machine& machine,
                                                                         bool others_report,
                                                                         double silent_s) const;
-    // Handles a machine that has not reported in this term.
+    // Returns the same for a machine that has not reported in this term.
     [[nodiscard]] std::optional<ReleaseReason> release_reason_unreported(const Machine& machine,
                                                                          bool others_report,
                                                                          double silent_s) const;
-    // Handles a machine that has tasks of an earlier term and has not reported in this one.
+    // Returns the same for a machine that has tasks of an earlier term and has not reported in this one.
     [[nodiscard]] std::optional<ReleaseReason> release_reason_with_inherited_tasks(const Machine& machine,
                                                                                    bool others_report,
                                                                                    double silent_s) const;
--- a/src/cluster/job_shards.hpp
+++ b/src/cluster/job_shards.hpp
@@ -22,7 +22,7 @@
 [[nodiscard]] std::uint32_t shard_of(const Job& job, std::uint32_t task);
 // Returns the placements whose tasks belong to the shard.
 [[nodiscard]] PlacementRange placements_in_shard(const Job& job, std::uint32_t shard);
-// Returns the shards after the first that have a done or placed task. Computed from task numbers, so it also
+// Returns the shards after the first that have a done or placed task. Computed from task indexes, so it also
 // applies to a job that is not sharded yet.
 [[nodiscard]] std::set<std::uint32_t> shards_beyond_first(const Job& job);
 // Returns the progress to be written in the shard's entry.
--- a/src/cluster/job_table.hpp
+++ b/src/cluster/job_table.hpp
@@ -24,7 +24,7 @@
     JobTable(const JobTable&) = delete;
     JobTable& operator=(const JobTable&) = delete;
 
-    // Returns all jobs by name.
+    // Returns all jobs, by id.
     [[nodiscard]] const std::map<std::string, Job>& all() const { return jobs_; }
     // Returns the job, or nullptr if it is unknown.
     [[nodiscard]] Job* find(const std::string& id);
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -98,7 +98,7 @@
     // Cloud state: written by the MachineLifecycle, except `releasing`, which only the FailureDetector
     // writes.
     double provisioned_at_s = 0;
-    std::optional<model::MachineStatus> listed_status;  // in the latest listing; empty: never listed
+    std::optional<model::MachineStatus> listed_status;  // in the latest listing; not set: never listed
     std::optional<double> unlisted_since_s;             // since when the list has lacked it
     bool releasing = false;
 
--- a/src/cluster/machine_types.cpp
+++ b/src/cluster/machine_types.cpp
@@ -5,7 +5,8 @@
 namespace pineroad::cluster {
 
 namespace {
-// Prices change often, and a change of prices alone is not written.
+// Returns whether the types have the same name, capacity and zones. Prices are not compared, because they
+// change often and a change of prices alone is not written; nor are cache size, fetch rate and boot time.
 bool same_capacity_and_zones(const model::MachineType& first, const model::MachineType& second) {
     return first.name == second.name && first.capacity.cpus == second.capacity.cpus &&
            first.capacity.gpus == second.capacity.gpus &&
--- a/src/cluster/machine_types.hpp
+++ b/src/cluster/machine_types.hpp
@@ -15,8 +15,8 @@
    public:
     // Loads the record that an earlier term wrote, if any.
     void load(const store::WatchCache& watch_cache);
-    // Replaces the list by the cloud's current one. Returns whether it must be written, because more than
-    // prices changed or no record exists.
+    // Replaces the list by the cloud's current one. Returns whether it must be written: no record exists, or
+    // types were added, removed, reordered, or changed in capacity or zones.
     bool set(const std::vector<model::MachineType>& types);
     // Returns all types in the cloud's order.
     [[nodiscard]] const std::vector<model::MachineType>& all() const { return types_; }
--- a/src/cluster/pending_changes.hpp
+++ b/src/cluster/pending_changes.hpp
@@ -18,7 +18,7 @@
     }
     // Removes the job from the changed jobs: all its changes are durable, or the job was removed.
     void clear(const std::string& job) { jobs_.erase(job); }
-    // Returns the names of the changed jobs.
+    // Returns the ids of the changed jobs.
     [[nodiscard]] const std::set<std::string>& jobs() const { return jobs_; }
 
     // Requests a commit without the usual deferral.
--- a/src/cluster/provisioning_requests.cpp
+++ b/src/cluster/provisioning_requests.cpp
@@ -49,8 +49,8 @@
                        [](const auto& entry) { return entry.second.is_sendable(); });
 }
 
-// All open requests share one record. With one record each, a request took two changes, and a burst of
-// refusals by one pool after the other used half of all changes that the store accepts.
+// All open requests share one record. With one record each, a request took two changes, and a burst in which
+// one pool after the other was refused used half of all changes that the store accepts.
 std::optional<ProvisioningRequests::Record> ProvisioningRequests::pending_record(double bytes) const {
     Record record;
     record.mod_revision = mod_revision_;
@@ -82,7 +82,7 @@
             changed |= !in_record;
         }
     // More requests may be open than fit after the limit was lowered; the stored record then stays until
-    // enough of them are answered.
+    // enough of them have a response.
     if (!changed || record_bytes > bytes) return std::nullopt;
     record.value = records::provisioning_requests_json(open);
     record.bytes = static_cast<std::size_t>(record_bytes);
@@ -142,8 +142,9 @@
     if (it != requests_.end() && it->second.phase == Phase::in_flight) it->second.phase = Phase::no_response;
 }
 
-// Lets the planner choose another pool for what this pool, which has just run out, was to provide. A request
-// that was never sent can be dropped safely, because the cloud does not know its name.
+// Closes the unsent requests to a pool that has just run out of capacity, so that the planner can choose
+// another pool. A request that was never sent can be dropped safely, because the cloud does not know its
+// name.
 void ProvisioningRequests::withdraw_unsent(const model::ProvisioningRequest& refused) {
     for (auto& [name, request] : requests_)
         if (request.is_unsent() && pool_of(request.request) == pool_of(refused)) request.close();
--- a/src/cluster/provisioning_requests.hpp
+++ b/src/cluster/provisioning_requests.hpp
@@ -17,7 +17,8 @@
 
 namespace pineroad::cluster {
 
-// Owns the provisioning requests of one term, from the decision to scale out until their answers are durable.
+// Owns the provisioning requests of one term, from the decision to scale out until their responses are
+// durable.
 class ProvisioningRequests {
    public:
     // Creates the requests of the term with this fencing token, which makes their names unique.
@@ -28,7 +29,7 @@
 
     // Adds requests for the machines of the decision.
     void scale_out(const scheduling::ScaleOut& decision);
-    // Returns the requests without an answer: their capacity may still arrive.
+    // Returns the requests without a response that are still wanted: their machines may still be provisioned.
     [[nodiscard]] std::vector<model::ProvisioningRequest> open_requests() const;
     // Returns whether the cloud recently had no capacity in the pool.
     [[nodiscard]] bool lacks_capacity(const scheduling::MachinePool& pool, double now) const;
@@ -40,8 +41,8 @@
         std::size_t bytes = 0;
         std::vector<std::string> open;    // names in the record
         std::vector<std::string> closed;  // names no longer in the record
-        // Records of version 0.2, with a single request each, that are removed because it was answered: key
-        // and revision.
+        // Records of version 0.2, which hold a single request each and are removed once that request is
+        // closed: key and revision.
         std::vector<std::pair<std::string, std::uint64_t>> single_request_records;
     };
     // Returns the record to be written, with as many requests as fit into `bytes`. Returns nothing if the
@@ -60,29 +61,29 @@
                                                               double now);
     // Records that the cloud had no capacity for the request.
     void record_refusal(const std::string& name, double now);
-    // Records that no answer arrived; the request is sent again under its name.
+    // Records that no response was received; the request is sent again under its name.
     void record_missing_response(const std::string& name);
 
    private:
     // State of a request.
     //   pending -> durable -> in_flight -> closed
-    //   in_flight -> unanswered -> in_flight, repeated until an answer arrives
+    //   in_flight -> no_response -> in_flight, repeated until a response arrives
     // A request that was never sent may be withdrawn. From `durable` it becomes `closed` at once. From
     // `pending` it becomes `withdrawn`, and then `closed` if a commit that contains it still succeeds.
     enum class Phase {
         pending,      // not in the record yet
         durable,      // in the record, never sent to the cloud
         in_flight,    // a call to the cloud is in flight
-        no_response,  // may have been sent, in this term or an earlier one, but has no answer
+        no_response,  // may have been sent, in this term or an earlier one, but has no response
         withdrawn,    // no longer wanted, and not in the record
-        closed,       // answered or no longer wanted, and still in the record
+        closed,       // has its response or is no longer wanted, and is still in the record
     };
     // A request of this term or of an earlier one.
     struct Request {
         model::ProvisioningRequest request;
-        std::uint64_t own_record_revision = 0;  // of its separate record; 0: none
+        std::uint64_t own_record_revision = 0;  // of its own record, of version 0.2; 0: it has none
         Phase phase = Phase::pending;
-        // Returns whether the request has no answer and is still wanted.
+        // Returns whether the request has no response and is still wanted.
         [[nodiscard]] bool is_open() const { return phase != Phase::withdrawn && phase != Phase::closed; }
         // Returns whether the record in the store contains the request.
         [[nodiscard]] bool is_in_record() const {
@@ -99,7 +100,7 @@
             if (phase == Phase::pending) phase = Phase::durable;
             if (phase == Phase::withdrawn) phase = Phase::closed;
         }
-        // Closes the request, because it was answered or is no longer wanted.
+        // Closes the request, because it has its response or is no longer wanted.
         void close() { phase = is_in_record() ? Phase::closed : Phase::withdrawn; }
     };
     // Backoff of a pool without capacity.
--- a/src/cluster/segment_store.hpp
+++ b/src/cluster/segment_store.hpp
@@ -49,7 +49,7 @@
     // Requests tombstones for the entries of a job that is over and has no tasks left.
     void add_tombstones(const std::string& job);
     // Schedules the entries of the oldest segment to be written again if there are too many segments.
-    // Otherwise long jobs would keep sparse segments in use for ever.
+    // Otherwise long jobs would keep sparse segments in use forever.
     void compact();
 
    private:
@@ -61,7 +61,7 @@
     };
     // Returns whether none of the entries of the segment is needed.
     [[nodiscard]] bool is_reusable(const std::string& name) const;
-    // Returns whether the segment is needed because of this one of its entries.
+    // Returns whether the segment is needed because of this entry, which it holds.
     [[nodiscard]] bool is_needed_for(const EntryName& entry, const std::string& segment) const;
     // Returns whether there are too many segments for the number of entries of all jobs.
     [[nodiscard]] bool has_too_many_segments() const;
--- a/src/cluster/stop_requests.hpp
+++ b/src/cluster/stop_requests.hpp
@@ -16,8 +16,7 @@
     std::uint32_t task = 0;
 };
 
-// Owns the queue of stops not yet sent as direct commands. Heartbeat responses carry every stop in any
-// case.
+// Owns the queue of stops not yet sent as direct commands. Heartbeat responses carry every stop in any case.
 class StopRequests {
    public:
     // Requests that the task stop, with `grace_s` seconds to save its progress. Of several requests the one
--- a/src/cluster/task_lifecycle.cpp
+++ b/src/cluster/task_lifecycle.cpp
@@ -161,7 +161,7 @@
     if (job.placements.empty()) {
         job.end_gang_attempt(context_.now_s);
     } else if (job.gang_has_run) {
-        // The other members would notice the loss within gang_peer_s; a stop is faster.
+        // The other members would notice the loss within gang_failure_detection_s; a stop is faster.
         const bool saving = std::any_of(job.placements.begin(), job.placements.end(),
                                         [](const auto& entry) { return entry.second.is_saving(); });
         if (!saving) stop_requests_.request_all(job, 0);
--- a/src/cluster/write_batch.hpp
+++ b/src/cluster/write_batch.hpp
@@ -15,7 +15,7 @@
 // A version of a job that a commit makes durable: of one shard, or of the whole job.
 struct WrittenShard {
     std::string job;
-    std::optional<std::uint32_t> shard;  // empty: every shard
+    std::optional<std::uint32_t> shard;  // not set: every shard
     std::uint64_t version = 0;
 };
 
--- a/src/cluster/write_batch_builder.hpp
+++ b/src/cluster/write_batch_builder.hpp
@@ -35,7 +35,7 @@
 struct BatchLimits {
     std::size_t changes = 0;
     double value_bytes = 0;           // of a segment, less a margin for growing numbers
-    bool current_limits_hold = true;  // no batch was rejected: the old limits are still in force
+    bool current_limits_hold = true;  // no batch was rejected: the announced limits do not apply yet
 
     // Returns the limits for a write of at most `changes` changes, after this many batches of this term were
     // rejected as malformed. The first rejection shows that the announced limits are in force. Each later one
--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -35,7 +35,8 @@
 inline constexpr double no_heartbeat_step_down_s = 10.0;
 
 // --- store ------------------------------------------------------------------------------------------------
-// Timeout of a store request. The store usually answers within 10 ms, occasionally within a few hundred.
+// Timeout of a store request. The store usually responds within 10 ms, occasionally within a few
+// hundred.
 inline constexpr double store_timeout_s = 1.5;
 // Timeout of a transaction.
 inline constexpr double commit_timeout_s = 2.0;
@@ -76,17 +77,25 @@
 inline constexpr std::size_t machine_types_overhead_bytes = 100;
 inline constexpr std::size_t provisioning_overhead_bytes = 200;
 inline constexpr std::size_t segment_overhead_bytes = 200;
-inline constexpr std::size_t segment_reserve_bytes = 400;  // left free before an entry is added to a segment
-inline constexpr std::size_t segment_entry_overhead_bytes = 10;  // per segment entry, without its name
-inline constexpr std::size_t tombstone_reserve_bytes =
-    40;  // left free beside a tombstone's name in a segment
-inline constexpr std::size_t removal_overhead_bytes =
-    40;  // per deletion, without its key, which occurs twice
-inline constexpr std::size_t outcome_reserve_bytes = 600;     // a job's final record and its deletions
-inline constexpr std::size_t dependency_removal_bytes = 100;  // deletion of one dependency record
-inline constexpr std::size_t outcome_bytes = 100;             // a final record
-inline constexpr std::size_t progress_removal_bytes = 200;    // deletion of a progress record of version 0.1
-inline constexpr std::size_t category_averages_bytes = 2000;  // averages of all categories
+// Left free in the transaction beside a segment to which an entry is added.
+inline constexpr std::size_t segment_reserve_bytes = 400;
+// Per segment entry, without its name.
+inline constexpr std::size_t segment_entry_overhead_bytes = 10;
+// Left free beside a tombstone's name in a segment.
+inline constexpr std::size_t tombstone_reserve_bytes = 40;
+// Per deletion, without its key, which occurs twice.
+inline constexpr std::size_t removal_overhead_bytes = 40;
+// The sizes from here to category_averages_bytes include the values. A job's final record and the deletions
+// that go with it, without those of dependency records.
+inline constexpr std::size_t outcome_reserve_bytes = 600;
+// Deletion of one dependency record.
+inline constexpr std::size_t dependency_removal_bytes = 100;
+// A final record.
+inline constexpr std::size_t outcome_bytes = 100;
+// Deletion of a progress record of version 0.1.
+inline constexpr std::size_t progress_removal_bytes = 200;
+// The averages of all categories.
+inline constexpr std::size_t category_averages_bytes = 2000;
 
 // --- users ------------------------------------------------------------------------------------------------
 // Protocol: maximum size of a request body.
@@ -152,20 +161,21 @@
 // older than this many heartbeat periods plus the margin. This allows for two heartbeats that are a quarter
 // of a period late and one that hit a dead connection (4 s) and was retried at another controller (1 s).
 inline constexpr double failure_detection_periods = 2.5, failure_detection_margin_s = 6.5;
-// Consecutive heartbeats without an acknowledgement of the commands sent, after which the machine counts as
-// behind an inbound partition: it receives nothing.
+// Number of consecutive heartbeats that ignore the commands sent, after which the machine counts as cut off
+// by a one-way partition: its heartbeats arrive, but it receives nothing.
 inline constexpr int max_unacknowledged_heartbeats = 2;
-// With more machines than this, and more than a fifth of all, behind an inbound partition, the fault may be
-// on the controller's side.
+// If more machines than this, and more than a fifth of those that report, receive no commands, the fault may
+// be on the controllers' side.
 inline constexpr std::size_t max_partitioned_machines = 5;
-// Part of cancel_s that is kept in reserve when heartbeats are answered without contact to the store.
+// Part of cancel_s that is kept in reserve while heartbeats are responded to without contact to the store.
 inline constexpr double cancellation_margin_s = 4.0;
-// Minimum time for which heartbeats are answered without the store if cancel_s minus lease_s leaves less: two
-// watches and their retries.
+// Minimum time for which heartbeats are responded to without contact to the store, if cancel_s minus lease_s
+// leaves less: two watches and their retries.
 inline constexpr double min_disconnected_grace_s = 6.0;
-// A machine is quarantined after consecutive failures of tasks of this many different jobs.
+// A machine is quarantined after this many failures in a row, without a task that succeeds in between, if
+// they are of different jobs, or if the last one is of a job that has completed tasks.
 inline constexpr int max_consecutive_machine_failures = 2;
-// A job whose tasks fail on this many machines is itself considered faulty.
+// A job without completed tasks that fails on this many machines is itself considered faulty.
 inline constexpr int max_failed_machines_per_job = 3;
 // Initial wait before a failed task is retried; it doubles with every failure up to the maximum.
 inline constexpr double task_retry_backoff_s = 4.0;
@@ -206,7 +216,7 @@
 inline constexpr double pipeline_empty_cost_s = 45.0;
 // Minimum time between planning rounds: heartbeats that arrive in between are planned for together.
 inline constexpr double min_plan_interval_s = 0.2;
-// Time between rounds of autoscaling: the cloud takes a few hundred ms to answer.
+// Time between rounds of autoscaling: the cloud takes a few hundred ms to respond.
 inline constexpr double autoscaling_period_s = 1.0;
 // Maximum number of pending tasks of one job that a planning round considers.
 inline constexpr std::size_t pending_task_window = 512;
@@ -273,7 +283,7 @@
 inline constexpr double peer_message_period_s = 1.0;
 // Timeout of a peer message: less than the period, so that only one is in flight at a time.
 inline constexpr double peer_message_timeout_s = 0.9;
-// Timeout of a forwarded cancellation: a user waits for it, and peers answer within milliseconds.
+// Timeout of a forwarded cancellation: a user waits for it, and peers respond within milliseconds.
 inline constexpr double forward_cancellation_timeout_s = 0.3;
 // Maximum number of cancellations in one message, of about 15 bytes each. Covers a controller that has no
 // contact with the store during some minutes of a burst (four jobs a second, half of them cancelled).
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -71,11 +71,16 @@
     std::vector<Team> teams;         // params.teams
     std::vector<Objective> objectives;  // params.objectives
 
-    double heartbeat_period_s = 3;     // params.workers.report_s: time between heartbeats of one machine
-    double worker_lease_s = 30;        // params.workers.lease_s: without a response, a worker ends its tasks
-    double gang_start_timeout_s = 30;  // params.workers.gang_wait_s: a started task waits for its gang
-    double gang_failure_detection_s = 5;  // params.workers.gang_peer_s: until a gang notices a lost task
-    double cancellation_timeout_s = 60;   // params.workers.cancel_s: within which a cancelled job must end
+    // params.workers.report_s: time between heartbeats of one machine.
+    double heartbeat_period_s = 3;
+    // params.workers.lease_s: a worker that gets no response for this long ends its tasks.
+    double worker_lease_s = 30;
+    // params.workers.gang_wait_s: how long a started task waits for its gang.
+    double gang_start_timeout_s = 30;
+    // params.workers.gang_peer_s: time within which the tasks of a gang notice the loss of one.
+    double gang_failure_detection_s = 5;
+    // params.workers.cancel_s: time within which a cancelled job must have ended.
+    double cancellation_timeout_s = 60;
 
     // Limits of the store: the smaller of the current ones (params.state) and the announced ones
     // (params.state.next), because the change takes effect without notice.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -17,7 +17,7 @@
 
 namespace config = pineroad::config;
 
-// Exit status of the process. An invalid command line exits with a status of the command line parser instead.
+// Exit status of the process. After an invalid command line, it is that of the command line parser instead.
 enum ExitStatus : int { exit_success = 0, exit_failure = 1, exit_invalid_settings = 2 };
 
 // Paths of the configuration files, from the command line.
@@ -44,6 +44,7 @@
     spdlog::set_level(log_level());
 }
 
+// Returns the tuning from its file, or the defaults if no file was given.
 config::Tuning load_tuning(const ConfigFiles& files) {
     return files.tuning.empty() ? config::Tuning{} : config::load_tuning(files.tuning);
 }
--- a/src/model/dependency_graph.hpp
+++ b/src/model/dependency_graph.hpp
@@ -20,8 +20,9 @@
 
 namespace pineroad::model {
 
-// The directed graph of live jobs and their dependencies. A job may occur as a dependency before it is added
-// itself. "Ancestors" are the direct and transitive dependencies of a job. Times of day are Unix time in
+// The directed graph of live jobs and their dependencies. A job is live from its acceptance until its record
+// is deleted, when it is done or cancelled. A job may occur as a dependency before it is added itself.
+// "Ancestors" are the direct and transitive dependencies of a job. Times of day are Unix time in
 // milliseconds.
 class DependencyGraph {
    public:
--- a/src/model/job.hpp
+++ b/src/model/job.hpp
@@ -31,8 +31,8 @@
     std::uint32_t task_count = 1;
     Resources task_resources;                                       // of each task
     double image_gb = 0;                                            // size of the image
-    std::optional<std::vector<std::string>> allowed_machine_types;  // empty: any
-    std::optional<std::string> zone;                                // the only zone allowed; empty: any
+    std::optional<std::vector<std::string>> allowed_machine_types;  // not set: any
+    std::optional<std::string> zone;                                // the only zone allowed; not set: any
     bool same_zone = false;                                         // all tasks must be in the same zone
     bool spread = false;               // at most half of the tasks, rounded up, may be in one zone
     bool allows_spot = false;          // may use spot machines
--- a/src/model/progress.hpp
+++ b/src/model/progress.hpp
@@ -25,10 +25,11 @@
     TaskSet done;                       // completed tasks
     std::vector<Placement> placements;  // tasks that are assigned to a machine
     std::uint64_t next_attempt = 1;     // greater than every attempt number of the job
-    double checkpointed_run_s = 0;  // run time saved in checkpoints by stopped tasks; other time is waiting
-    Resources task_resources;       // repeated here because a cancelled job has no other record
-    std::string team;               // repeated for the same reason
-    bool is_shard = false;          // covers only the tasks of one shard of the job
+    // Run time saved in checkpoints by stopped tasks; all other time counts as waiting.
+    double checkpointed_run_s = 0;
+    Resources task_resources;  // repeated here because a cancelled job has no other record
+    std::string team;          // repeated for the same reason
+    bool is_shard = false;     // covers only the tasks of one shard of the job
     // Returns the number of completed tasks.
     [[nodiscard]] std::uint32_t done_count() const { return static_cast<std::uint32_t>(done.size()); }
 };
--- a/src/scheduling/autoscaling.cpp
+++ b/src/scheduling/autoscaling.cpp
@@ -78,8 +78,8 @@
 
     Snapshot snapshot_;
     AutoscalingPlan plan_;
-    std::vector<ExpectedMachine>
-        expected_machines_;  // booting machines, followed by those that this round requests
+    // Booting machines, followed by those that this round requests.
+    std::vector<ExpectedMachine> expected_machines_;
     std::vector<PendingJob*> queue_;
     std::map<std::string, ClassQueue> class_queues_;
     double longest_boot_s_ = 0;
--- a/src/scheduling/reservation.hpp
+++ b/src/scheduling/reservation.hpp
@@ -22,9 +22,9 @@
 // never one that would exceed its team's quota (docs/design.md, "Kept at size").
 Reservation reserve_machines(const Snapshot& snapshot);
 
-// Returns the number of tasks for which spare machines are kept if the class's objective for the
-// start time is shorter than the boot time: the expected arrivals during the difference, times
-// Tuning::headroom_factor. 0 for a class without such an objective.
+// Returns the number of tasks for which spare machines are kept if the class's objective for the start time
+// is shorter than the boot time: the expected arrivals during the difference, times Tuning::headroom_factor.
+// 0 for a class without such an objective.
 int headroom_task_count(const Snapshot& snapshot, const ClassDemand& demand);
 
 // Reserves machines for constrained job classes (docs/design.md, exceptions): for every class, as many
--- a/src/scheduling/snapshot.hpp
+++ b/src/scheduling/snapshot.hpp
@@ -24,7 +24,7 @@
     // Machine name, machine type, zone.
     std::string id, type, zone;
     bool spot = false;      // a spot instance: the cloud may reclaim it
-    bool ready = false;     // heartbeats arrive in this term; not drained, quarantined or going away
+    bool ready = false;     // in contact in this term; not quarantined, being released or to be interrupted
     bool booting = false;   // requested but not up yet: future capacity, gets no tasks
     model::Resources free;  // capacity minus the resources that its tasks use
     std::vector<std::string> images;    // cached or being fetched
@@ -41,12 +41,14 @@
     std::vector<std::uint32_t> pending_tasks;         // indexes of the tasks that can be placed, ascending
     std::map<std::string, std::uint32_t> tasks_by_zone;  // placed tasks by zone, including unknown tasks
     double xfactor = 1;                                  // see xfactor.hpp
-    double waited_s = 0;  // since acceptance or since it last ran; determines which gang gets a reservation
+    // Time since it could first start, or since it last ran; determines which gang gets a reservation.
+    double waited_s = 0;
     // Expected run time of a task: the user's estimate, corrected by the actual run times of its class.
     double expected_run_s = 1;
-    double slack_s = 0;                       // time until it must start to meet its service-level objective
-    std::set<std::string> excluded_machines;  // machines on which it failed or which its gang has just left
-    bool in_pipeline = false;                 // a lost task delays all dependent jobs
+    // Time until it must start to meet its service-level objectives and deadlines.
+    double slack_s = 0;
+    std::set<std::string> excluded_machines;    // machines on which it failed or which its gang has just left
+    bool in_pipeline = false;                   // a lost task delays all dependent jobs
     std::uint32_t max_placements = UINT32_MAX;  // tasks that may be placed now, limited by the record size
 };
 
