--- a/src/cluster/failure_detector.cpp
+++ b/src/cluster/failure_detector.cpp
@@ -70,7 +70,8 @@
 }
 
 bool FailureDetector::ContactCounts::commands_reach_most() const {
-    return not_receiving_commands <= std::max<std::size_t>(c::max_partitioned_machines, reporting / 5);
+    return not_receiving_commands <=
+           std::max<std::size_t>(c::max_machines_not_receiving_commands, reporting / 5);
 }
 
 FailureDetector::ContactCounts FailureDetector::count_contacts() const {
--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -166,7 +166,7 @@
 inline constexpr int max_unacknowledged_heartbeats = 2;
 // If more machines than this, and more than a fifth of those that report, receive no commands, the fault may
 // be on the controllers' side.
-inline constexpr std::size_t max_partitioned_machines = 5;
+inline constexpr std::size_t max_machines_not_receiving_commands = 5;
 // Part of cancel_s that is kept in reserve while heartbeats are responded to without contact to the store.
 inline constexpr double cancellation_margin_s = 4.0;
 // Minimum time for which heartbeats are responded to without contact to the store, if cancel_s minus lease_s
