--- a/src/scheduling/autoscaling.cpp
+++ b/src/scheduling/autoscaling.cpp
@@ -62,7 +62,7 @@
     [[nodiscard]] bool queue_is_short(const PendingJob& job, const MachinePool& pool) const;
 
     [[nodiscard]] double running_tasks_for(const PendingJob& job, const std::string& zone) const;
-    [[nodiscard]] double waiting_tasks_of(const std::string& job_class) const;
+    [[nodiscard]] double pending_tasks_of_class(const std::string& job_class) const;
     [[nodiscard]] const MachinePool* cheapest_pool(const PendingJob& job, double tasks) const;
     void request(const MachinePool& pool);
 
@@ -144,15 +144,15 @@
     const double running_tasks = running_tasks_for(job, zone);
     const double horizon_s =
         std::max(tuning.queue_slack_share * job.slack_s, tuning.drain_boot_times * longest_boot_s_);
-    const auto waiting_tasks = static_cast<double>(job.pending_tasks.size());
-    double work_s = waiting_tasks * job.expected_run_s;
+    const auto pending_task_count = static_cast<double>(job.pending_tasks.size());
+    double work_s = pending_task_count * job.expected_run_s;
     auto& counted_s = served_by_running_s_[{job.spec->job_class, zone}];
     const double served_s = std::clamp(running_tasks * horizon_s - counted_s, 0.0, work_s);
     counted_s += served_s;
     work_s -= served_s;
     // The 0.01 avoids an additional task due to rounding errors.
     const double needed = std::ceil(work_s / std::max(horizon_s, job.expected_run_s) - 0.01);
-    job.pending_tasks.resize(static_cast<std::size_t>(std::clamp(needed, 0.0, waiting_tasks)));
+    job.pending_tasks.resize(static_cast<std::size_t>(std::clamp(needed, 0.0, pending_task_count)));
 }
 
 bool AutoscalingRound::place_on_expected(PendingJob& job, std::size_t first_machine) {
@@ -193,7 +193,7 @@
 }
 
 void AutoscalingRound::request_machines_for(PendingJob& job) {
-    double class_tasks = waiting_tasks_of(job.spec->job_class);
+    double class_tasks = pending_tasks_of_class(job.spec->job_class);
     while (!job.pending_tasks.empty()) {
         if (!within_team_quota(snapshot_, *job.spec, 1)) break;
         const auto* pool = cheapest_pool(job, class_tasks);
@@ -232,7 +232,7 @@
     return std::min(of_class, in_zone);
 }
 
-double AutoscalingRound::waiting_tasks_of(const std::string& job_class) const {
+double AutoscalingRound::pending_tasks_of_class(const std::string& job_class) const {
     double tasks = 0;
     for (const auto* job : queue_)
         if (job->spec->job_class == job_class) tasks += static_cast<double>(job->pending_tasks.size());
--- a/src/scheduling/reservation.cpp
+++ b/src/scheduling/reservation.cpp
@@ -112,13 +112,13 @@
 std::map<std::string, int> constrained_class_reservations(const Snapshot& snapshot) {
     std::map<std::string, int> reserved;
     if (snapshot.demand.empty()) return reserved;
-    std::map<std::string_view, double> waiting_tasks;
+    std::map<std::string_view, double> pending_tasks_by_class;
     for (const auto& job : snapshot.jobs)
-        waiting_tasks[job.spec->job_class] += static_cast<double>(job.pending_tasks.size());
+        pending_tasks_by_class[job.spec->job_class] += static_cast<double>(job.pending_tasks.size());
     const auto pool_by_machine = pool_indices(snapshot);
     for (const auto& [job_class, demand] : snapshot.demand) {
         double missing = headroom_task_count(snapshot, demand);
-        if (const auto found = waiting_tasks.find(job_class); found != waiting_tasks.end())
+        if (const auto found = pending_tasks_by_class.find(job_class); found != pending_tasks_by_class.end())
             missing += found->second;
         if (missing <= 0) continue;
         const auto pools = eligible_pools(snapshot, demand.sample);
