--- a/src/cluster/heartbeat_reconciler.hpp
+++ b/src/cluster/heartbeat_reconciler.hpp
@@ -40,7 +40,8 @@
     struct CommandAcknowledgement {
         bool acknowledged = false, ignored = false;
     };
-    // Updates the machine's type, zone, address, heartbeat sequence and interruption notice.
+    // Updates the machine's type, zone, address, heartbeat sequence and interruption notice. Releases it if
+    // its lease expired because responses do not reach it.
     void update_identity(Machine& machine, const model::Heartbeat& heartbeat);
     // Applies the tasks of a heartbeat with this term's token, which lists all tasks on the machine.
     void apply_tasks(Machine& machine, const model::Heartbeat& heartbeat);
--- a/src/cluster/job.hpp
+++ b/src/cluster/job.hpp
@@ -63,7 +63,7 @@
     bool gang_has_run = false;                    // whether a task has run in the current attempt
     std::set<std::string> gang_vacated_machines;  // machines that a member of the current attempt has left
     FailureHistory failures;
-    double waiting_since_s = 0;  // when it was added, or when the last attempt of its gang ended
+    double waiting_since_s = 0;  // when it was added in this term, or when the last attempt of its gang ended
 
     // Returns whether its final state is durable. No task of a final job may start.
     [[nodiscard]] bool is_final() const { return phase == JobPhase::done || phase == JobPhase::cancelled; }
--- a/src/cluster/planner.hpp
+++ b/src/cluster/planner.hpp
@@ -56,7 +56,7 @@
     void place_tasks(scheduling::Snapshot& snapshot);
     // Applies one placement. `xfactor` is the job's expansion factor at the time of the decision.
     void place_task(const scheduling::PlacementDecision& decision, double xfactor);
-    // Stops the victims for at most one waiting job, once per preemption period of the tuning.
+    // Stops the victims of at most one pending job, once per preemption period of the tuning.
     void preempt(const scheduling::Snapshot& snapshot);
     // Requests machines and releases idle ones.
     void autoscale(scheduling::Snapshot snapshot);
--- a/src/cluster/snapshot_builder.cpp
+++ b/src/cluster/snapshot_builder.cpp
@@ -113,8 +113,8 @@
     pending.spec = &spec;
     pending.priority = jobs_.dependencies().priority(spec);
     const double waited_s = std::max(0.0, age_s(job) - job.progress.checkpointed_run_s);
-    // Lost run time counts as waiting time for the expansion factor, but `waited_s` of a job that was placed
-    // before counts only from when its last task ended: a gang that ran recently was not starved.
+    // Lost run time counts as waiting time for the expansion factor, but `waited_s` of a gang that was placed
+    // before counts only from the end of its last attempt: a gang that ran recently was not starved.
     const bool was_placed_before = job.progress.next_attempt > 1;
     pending.waited_s =
         was_placed_before ? std::min(waited_s, context_.now_s - job.waiting_since_s) : waited_s;
--- a/src/scheduling/snapshot.hpp
+++ b/src/scheduling/snapshot.hpp
@@ -41,7 +41,8 @@
     std::vector<std::uint32_t> pending_tasks;         // indexes of the tasks that can be placed, ascending
     std::map<std::string, std::uint32_t> tasks_by_zone;  // placed tasks by zone, including unknown tasks
     double xfactor = 1;                                  // see xfactor.hpp
-    // Time since it could first start, or since it last ran; determines which gang gets a reservation.
+    // Time since it could first start or, for a gang, since it last ran; determines which gang gets a
+    // reservation.
     double waited_s = 0;
     // Expected run time of a task: the user's estimate, corrected by the actual run times of its class.
     double expected_run_s = 1;
