--- a/src/cluster/failure_detector.cpp
+++ b/src/cluster/failure_detector.cpp
@@ -70,7 +70,8 @@
 }
 
 bool FailureDetector::ContactCounts::commands_reach_most() const {
-    return not_receiving_commands <= std::max<std::size_t>(c::max_partitioned_machines, reporting / 5);
+    return not_receiving_commands <=
+           std::max<std::size_t>(c::max_machines_not_receiving_commands, reporting / 5);
 }
 
 FailureDetector::ContactCounts FailureDetector::count_contacts() const {
@@ -160,7 +161,7 @@
         for (const auto& task : std::vector(machine.tasks)) {
             const TaskPlacement& placement = task.placement();
             if (!placement.is_unsent() || (is_schedulable && !placement.is_stopping())) continue;
-            tasks_.mark_lost(*task.job, task.index, LossReason::withdrawn);
+            task_lifecycle_.mark_lost(*task.job, task.index, LossReason::withdrawn);
         }
     }
 }
--- a/src/cluster/failure_detector.hpp
+++ b/src/cluster/failure_detector.hpp
@@ -32,8 +32,11 @@
 class FailureDetector {
    public:
     // All arguments must outlive this object.
-    FailureDetector(const TermContext& context, MachineTable& machines, TaskLifecycle& tasks)
-        : context_(context), machines_(machines), tasks_(tasks), silence_start_s_(context.started_at_s) {}
+    FailureDetector(const TermContext& context, MachineTable& machines, TaskLifecycle& task_lifecycle)
+        : context_(context),
+          machines_(machines),
+          task_lifecycle_(task_lifecycle),
+          silence_start_s_(context.started_at_s) {}
 
     // Releases lost machines, and withdraws unsent starts from machines that are no longer schedulable.
     void detect();
@@ -66,15 +69,15 @@
     // Returns why a machine must be released, or nothing. `others_report`: most machines are in contact.
     [[nodiscard]] std::optional<ReleaseReason> release_reason(const Machine& machine,
                                                               bool others_report) const;
-    // Handles a machine that has reported in this term. `silent_s`: time without a heartbeat.
+    // Returns the same for a machine that has reported in this term. `silent_s`: time without a heartbeat.
     [[nodiscard]] std::optional<ReleaseReason> release_reason_reporting(const Machine& machine,
                                                                         bool others_report,
                                                                         double silent_s) const;
-    // Handles a machine that has not reported in this term.
+    // Returns the same for a machine that has not reported in this term.
     [[nodiscard]] std::optional<ReleaseReason> release_reason_unreported(const Machine& machine,
                                                                          bool others_report,
                                                                          double silent_s) const;
-    // Handles a machine that has tasks of an earlier term and has not reported in this one.
+    // Returns the same for a machine that has tasks of an earlier term and has not reported in this one.
     [[nodiscard]] std::optional<ReleaseReason> release_reason_with_inherited_tasks(const Machine& machine,
                                                                                    bool others_report,
                                                                                    double silent_s) const;
@@ -84,7 +87,7 @@
 
     const TermContext& context_;
     MachineTable& machines_;
-    TaskLifecycle& tasks_;
+    TaskLifecycle& task_lifecycle_;
     double silence_start_s_;
     bool commands_reach_most_machines_ = true;
 };
--- a/src/cluster/provisioning_requests.cpp
+++ b/src/cluster/provisioning_requests.cpp
@@ -15,9 +15,9 @@
 void ProvisioningRequests::load(const store::WatchCache& watch_cache) {
     mod_revision_ = watch_cache.open_provisioning_requests.mod_revision;
     for (const auto& request : watch_cache.open_provisioning_requests.value)
-        requests_[request.name] = {request, 0, Phase::unanswered};
+        requests_[request.name] = {request, 0, Phase::no_response};
     for (const auto& [name, single] : watch_cache.provisioning_records)
-        requests_[name] = {single.value, single.mod_revision, Phase::unanswered};
+        requests_[name] = {single.value, single.mod_revision, Phase::no_response};
 }
 
 void ProvisioningRequests::scale_out(const scheduling::ScaleOut& decision) {
@@ -49,8 +49,8 @@
                        [](const auto& entry) { return entry.second.is_sendable(); });
 }
 
-// All open requests share one record. With one record each, a request took two changes, and a burst of
-// refusals by one pool after the other used half of all changes that the store accepts.
+// All open requests share one record. With one record each, a request took two changes, and a burst in which
+// one pool after the other was refused used half of all changes that the store accepts.
 std::optional<ProvisioningRequests::Record> ProvisioningRequests::pending_record(double bytes) const {
     Record record;
     record.mod_revision = mod_revision_;
@@ -82,7 +82,7 @@
             changed |= !in_record;
         }
     // More requests may be open than fit after the limit was lowered; the stored record then stays until
-    // enough of them are answered.
+    // enough of them have a response.
     if (!changed || record_bytes > bytes) return std::nullopt;
     record.value = records::provisioning_requests_json(open);
     record.bytes = static_cast<std::size_t>(record_bytes);
@@ -105,9 +105,9 @@
     return std::nullopt;
 }
 
-std::optional<model::ProvisioningRequest> ProvisioningRequests::record_answer(const std::string& name,
-                                                                              std::size_t machines,
-                                                                              double now) {
+std::optional<model::ProvisioningRequest> ProvisioningRequests::record_response(const std::string& name,
+                                                                                std::size_t machines,
+                                                                                double now) {
     const auto it = requests_.find(name);
     if (it == requests_.end()) return std::nullopt;
     it->second.close();
@@ -137,13 +137,14 @@
                  request.zone, request.spot ? ", spot" : "", fencing_token_);
 }
 
-void ProvisioningRequests::record_missing_answer(const std::string& name) {
+void ProvisioningRequests::record_missing_response(const std::string& name) {
     const auto it = requests_.find(name);
-    if (it != requests_.end() && it->second.phase == Phase::in_flight) it->second.phase = Phase::unanswered;
+    if (it != requests_.end() && it->second.phase == Phase::in_flight) it->second.phase = Phase::no_response;
 }
 
-// Lets the planner choose another pool for what this pool, which has just run out, was to provide. A request
-// that was never sent can be dropped safely, because the cloud does not know its name.
+// Closes the unsent requests to a pool that has just run out of capacity, so that the planner can choose
+// another pool. A request that was never sent can be dropped safely, because the cloud does not know its
+// name.
 void ProvisioningRequests::withdraw_unsent(const model::ProvisioningRequest& refused) {
     for (auto& [name, request] : requests_)
         if (request.is_unsent() && pool_of(request.request) == pool_of(refused)) request.close();
--- a/src/model/dependency_graph.hpp
+++ b/src/model/dependency_graph.hpp
@@ -20,8 +20,9 @@
 
 namespace pineroad::model {
 
-// The directed graph of live jobs and their dependencies. A job may occur as a dependency before it is added
-// itself. "Ancestors" are the direct and transitive dependencies of a job. Times of day are Unix time in
+// The directed graph of live jobs and their dependencies. A job is live from its acceptance until its record
+// is deleted, when it is done or cancelled. A job may occur as a dependency before it is added itself.
+// "Ancestors" are the direct and transitive dependencies of a job. Times of day are Unix time in
 // milliseconds.
 class DependencyGraph {
    public:
@@ -71,9 +72,9 @@
     // A live job and the state derived from its ancestors and dependents.
     struct LiveJob {
         std::vector<std::string> dependencies;
-        std::size_t pending = 0;          // number of dependencies that are not known to be done
-        std::int64_t ready_since_ms = 0;  // end of the dependency that was done last
-        bool cancelled = false;           // an ancestor was cancelled
+        std::size_t pending_dependencies = 0;  // number of dependencies that are not known to be done
+        std::int64_t ready_since_ms = 0;       // end of the dependency that was done last
+        bool cancelled = false;                // an ancestor was cancelled
         Priority own_priority = Priority::low;
         Priority priority = Priority::low;  // its own or a higher, inherited one
         std::optional<std::int64_t> own_deadline_ms;
