--- a/src/controller/commit_loop.cpp
+++ b/src/controller/commit_loop.cpp
@@ -70,7 +70,7 @@
         const auto result = co_await store_.commit(body, c::commit_timeout_s);
         leader->write_limiter.record_writes(batch.txn.changes.size());
         if (leader->term->ended()) break;
-        if (result.status == CommitStatus::unanswered) uncertain = true;
+        if (result.status == CommitStatus::no_response) uncertain = true;
         if (co_await handle_result(*leader, batch, result, uncertain) == RetryDecision::done) break;
         co_await sleep_for(c::store_retry_s);  // a refused connection fails immediately
     }
@@ -96,7 +96,7 @@
             leader.write_limiter.record_rate_limited();
             co_return RetryDecision::retry;
         case CommitStatus::unavailable:
-        case CommitStatus::unanswered:  // send it again: at most one copy can be applied
+        case CommitStatus::no_response:  // send it again: at most one copy can be applied
             break;
     }
     co_return RetryDecision::retry;
@@ -109,7 +109,7 @@
     const auto failed_conditions = wire::parse_failed_conditions(response_body);
     if (std::find(failed_conditions.begin(), failed_conditions.end(), records::leader_key) !=
         failed_conditions.end()) {
-        leader.term->end(EndReason::leader_key_removed);
+        leader.term->end(EndReason::leader_record_lost);
         co_return RetryDecision::done;
     }
     if (!uncertain) {
@@ -155,7 +155,7 @@
                                   bool uncertain) {
     spdlog::error("the store rejected a commit as malformed: {}", response_body);
     if (uncertain || !leader.cluster_state.record_write_rejection())
-        leader.term->end(EndReason::commit_refused);
+        leader.term->end(EndReason::commit_rejected);
 }
 
 // Records the outcomes of ended jobs immediately instead of waiting for the watch, because other jobs may
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -48,9 +48,9 @@
     net::HttpServer::Limits limits;
     limits.connections = sockets.public_api;
     limits.max_ordinary_connections = sockets.users;
-    limits.first_request_s = c::first_request_s;
-    limits.ordinary_idle_s = c::user_idle_timeout_s;
-    limits.prioritized_idle_s =
+    limits.first_request_timeout_s = c::first_request_s;
+    limits.ordinary_idle_timeout_s = c::user_idle_timeout_s;
+    limits.prioritized_idle_timeout_s =
         c::idle_timeout_heartbeat_periods * settings.heartbeat_period_s + c::heartbeat_response_timeout_s;
     limits.is_prioritized = [](const std::string& target) {
         const auto endpoint = api::parse_route(target).endpoint;
@@ -63,7 +63,7 @@
 net::HttpServer::Limits peer_server_limits(const net::SocketBudget& sockets) {
     net::HttpServer::Limits limits;
     limits.connections = sockets.peer_api;
-    limits.first_request_s = limits.prioritized_idle_s = c::first_request_s;
+    limits.first_request_timeout_s = limits.prioritized_idle_timeout_s = c::first_request_s;
     return limits;
 }
 
@@ -72,14 +72,14 @@
 // Each component depends only on those declared before it.
 struct Controller::Components {
     Components(net::asio::io_context& executor_context, const config::Settings& platform_settings,
-               const config::Tuning& operators_tuning, net::ClientFactory connect_to, std::uint64_t seed,
-               std::uint64_t own_record_format);
+               const config::Tuning& operators_tuning, net::ClientFactory http_client_factory,
+               std::uint64_t seed, std::uint64_t own_record_format);
 
     net::asio::io_context& io;
     const config::Settings settings;
     const config::Tuning tuning;
     const net::SocketBudget sockets;
-    const net::ClientFactory connect;
+    const net::ClientFactory client_factory;
     const double started_at = store::steady_now_s();
     std::mt19937_64 random;
 
@@ -114,16 +114,18 @@
 
 Controller::Components::Components(net::asio::io_context& executor_context,
                                    const config::Settings& platform_settings,
-                                   const config::Tuning& operators_tuning, net::ClientFactory connect_to,
-                                   std::uint64_t seed, std::uint64_t own_record_format)
+                                   const config::Tuning& operators_tuning,
+                                   net::ClientFactory http_client_factory, std::uint64_t seed,
+                                   std::uint64_t own_record_format)
     : io(executor_context),
       settings(platform_settings),
       tuning(operators_tuning),
       sockets(net::allocate_sockets(settings)),
-      connect(std::move(connect_to)),
+      client_factory(std::move(http_client_factory)),
       random(seed),
-      store(connect(settings.store_endpoint), settings.store_requests_per_s, settings.peers.size() + 1),
-      cloud(connect(settings.cloud_endpoint), settings.cloud_requests_per_s),
+      store(client_factory(settings.store_endpoint), settings.store_requests_per_s,
+            settings.peers.size() + 1),
+      cloud(client_factory(settings.cloud_endpoint), settings.cloud_requests_per_s),
       lease_guard(settings.cancellation_timeout_s, settings.worker_lease_s),
       leadership(lease_guard),
       linearizable_read(store, watch_cache, leadership),
@@ -131,8 +133,9 @@
       peer_directory(settings),
       record_format(settings, watch_cache, peer_directory, own_record_format, started_at),
       peer_exchange(settings.name, started_at,
-                    {store, watch_cache, lease_guard, leadership, peer_directory, record_format}, connect),
-      leader_loops({io, settings, tuning, connect, sockets.direct_commands, store, watch_cache,
+                    {store, watch_cache, lease_guard, leadership, peer_directory, record_format},
+                    client_factory),
+      leader_loops({io, settings, tuning, client_factory, sockets.direct_commands, store, watch_cache,
                     linearizable_read, cloud, record_format, event_loop_lag}),
       election(settings.name, {store, watch_cache, linearizable_read, lease_guard, leadership, peer_directory,
                                leader_loops, random}),
@@ -152,10 +155,10 @@
                   [this](net::Request request) { return peer_exchange.handle(std::move(request)); }) {}
 
 Controller::Controller(net::asio::io_context& io, const config::Settings& settings,
-                       const config::Tuning& tuning, net::ClientFactory connect, std::uint64_t seed,
+                       const config::Tuning& tuning, net::ClientFactory client_factory, std::uint64_t seed,
                        std::uint64_t record_format)
-    : components_(
-          std::make_unique<Components>(io, settings, tuning, std::move(connect), seed, record_format)) {}
+    : components_(std::make_unique<Components>(io, settings, tuning, std::move(client_factory), seed,
+                                               record_format)) {}
 
 Controller::~Controller() = default;
 
@@ -190,11 +193,11 @@
     net::asio::io_context io(1);
     const auto max_body_bytes =
         static_cast<std::size_t>(settings.memory_mb * 1024 * 1024 * c::response_memory_share);
-    const auto connect = [&io,
-                          max_body_bytes](const config::Endpoint& endpoint) -> std::unique_ptr<net::Client> {
+    const auto client_factory =
+        [&io, max_body_bytes](const config::Endpoint& endpoint) -> std::unique_ptr<net::Client> {
         return std::make_unique<net::HttpClient>(io.get_executor(), endpoint, max_body_bytes);
     };
-    Controller controller(io, settings, tuning, connect, std::random_device{}());
+    Controller controller(io, settings, tuning, client_factory, std::random_device{}());
     controller.start();
     io.run();
 }
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -16,10 +16,10 @@
 // A controller of the cluster.
 class Controller {
    public:
-    // `connect` creates the HTTP clients, `seed` determines every random choice, and `record_format` is the
-    // latest format of stored records that this process reads.
+    // `client_factory` creates the HTTP clients, `seed` determines every random choice, and `record_format`
+    // is the latest format of stored records that this process reads.
     Controller(net::asio::io_context& io, const config::Settings& settings, const config::Tuning& tuning,
-               net::ClientFactory connect, std::uint64_t seed,
+               net::ClientFactory client_factory, std::uint64_t seed,
                std::uint64_t record_format = wire::records::record_format);
     ~Controller();
     Controller(const Controller&) = delete;
--- a/src/controller/direct_command_dispatcher.cpp
+++ b/src/controller/direct_command_dispatcher.cpp
@@ -80,7 +80,7 @@
 }
 
 net::awaitable<void> DirectCommandDispatcher::send_to_worker(const cluster::DirectCommands& commands) {
-    const auto worker = dependencies_.connect(config::parse_endpoint(commands.address));
+    const auto worker = dependencies_.client_factory(config::parse_endpoint(commands.address));
     const auto reply = co_await worker->request(
         "POST", std::string(wire::direct_command_path),
         wire::direct_command_request(term_->fencing_token(), commands.agent_epoch, commands.commands),
--- a/src/controller/direct_command_dispatcher.hpp
+++ b/src/controller/direct_command_dispatcher.hpp
@@ -23,7 +23,7 @@
     // References and limits that the dispatcher uses. All references must outlive it.
     struct Dependencies {
         net::asio::io_context& io;
-        const net::ClientFactory& connect;
+        const net::ClientFactory& client_factory;
         const config::Settings& settings;
         std::size_t max_in_flight;  // concurrent requests, one per machine
     };
--- a/src/controller/leader_loops.cpp
+++ b/src/controller/leader_loops.cpp
@@ -56,11 +56,11 @@
         leader.write_limiter.record_writes_of_others(1);
         leader.term->plan_due.notify();
     };
-    watch_cache.on_job_cancelled = [&leader](const std::string& id, bool fresh) {
+    watch_cache.on_job_cancelled = [&leader](const std::string& id, bool is_new) {
         // A job that this term ended itself is no longer in the cluster state.
         const bool by_user = leader.cluster_state.jobs().contains(id);
         leader.cluster_state.job_cancelled(id, steady_now_s());
-        if (fresh && by_user) leader.write_limiter.record_writes_of_others(2);
+        if (is_new && by_user) leader.write_limiter.record_writes_of_others(2);
         leader.term->plan_due.notify();
     };
     watch_cache.on_dependency_change = [&leader](const model::DependencyGraph::Change& change) {
@@ -74,8 +74,9 @@
     const auto& leader = active_term_;
     auto& io = dependencies_.io;
     auto dispatcher = std::make_shared<DirectCommandDispatcher>(
-        leader->term, DirectCommandDispatcher::Dependencies{io, dependencies_.connect, dependencies_.settings,
-                                                            dependencies_.max_direct_commands_in_flight});
+        leader->term,
+        DirectCommandDispatcher::Dependencies{io, dependencies_.client_factory, dependencies_.settings,
+                                              dependencies_.max_direct_commands_in_flight});
     spawn(io, commit_loop_.run(leader));
     spawn(io, planning_loop_.run(leader, std::move(dispatcher)));
     spawn(io, provisioning_loops_.poll_machine_list(leader));
--- a/src/controller/leader_loops.hpp
+++ b/src/controller/leader_loops.hpp
@@ -35,7 +35,7 @@
         net::asio::io_context& io;
         const config::Settings& settings;
         const config::Tuning& tuning;
-        const net::ClientFactory& connect;
+        const net::ClientFactory& client_factory;
         std::size_t max_direct_commands_in_flight;
         store::StoreClient& store;
         store::WatchCache& watch_cache;
--- a/src/leadership/lease_guard.cpp
+++ b/src/leadership/lease_guard.cpp
@@ -29,7 +29,7 @@
     if (peers.empty() || cancellations_known_until_ < 0) return;
     double oldest_request = peers.front().requested_at;
     for (const auto& peer : peers) {
-        const double started_by = peer.answered_at - peer.uptime_s * (1 - c::max_clock_drift);
+        const double started_by = peer.received_at - peer.uptime_s * (1 - c::max_clock_drift);
         if (peer.requested_at < 0 || !peer.confirms_cancellations || started_by >= cancellations_known_until_)
             return;
         oldest_request = std::min(oldest_request, peer.requested_at);
@@ -58,15 +58,15 @@
 bool LeaseGuard::should_step_down(double now, const store::StoreOutage& own_outage,
                                   const std::vector<PeerStoreContact>& peers) const {
     if (peers.empty() || now < lease_valid_until_) return false;
-    bool any_peer_answers = false;
+    bool any_peer_responds = false;
     for (const auto& peer : peers) {
         const double served_at = peer.contacted_at - peer.store_contact_age_s;
         if (store_serves_peer(now, own_outage, peer) &&
             served_at > lease_valid_until_ + c::lease_expiry_margin_s)
             return true;
-        any_peer_answers |= peer.contacted_at >= 0 && peer.contacted_at >= now - c::recent_peer_contact_s;
+        any_peer_responds |= peer.contacted_at >= 0 && peer.contacted_at >= now - c::recent_peer_contact_s;
     }
-    return !any_peer_answers && now > lease_valid_until_ + c::isolated_leader_grace_s;
+    return !any_peer_responds && now > lease_valid_until_ + c::isolated_leader_grace_s;
 }
 
 // A valid lease is not sufficient: a leader whose watches hang while its lease renewals succeed would never
--- a/src/leadership/lease_guard.hpp
+++ b/src/leadership/lease_guard.hpp
@@ -10,7 +10,7 @@
 
 // A peer's response to a message that was sent at `requested_at`.
 struct PeerConfirmation {
-    double requested_at = -1, answered_at = -1;
+    double requested_at = -1, received_at = -1;
     double uptime_s = 0;  // of the peer's process when it answered
     // Whether the peer reported every cancellation that it knows and this controller's watch cache lacked.
     bool confirms_cancellations = false;
--- a/src/leadership/term.cpp
+++ b/src/leadership/term.cpp
@@ -22,9 +22,9 @@
             return "workers reach a peer but not this controller";
         case EndReason::commit_unreadable:
             return "the response to a commit could not be parsed";
-        case EndReason::leader_key_removed:
+        case EndReason::leader_record_lost:
             return "its leader record is gone";
-        case EndReason::commit_refused:
+        case EndReason::commit_rejected:
             return "the store rejected a commit as malformed";
     }
     return "unknown";
--- a/src/leadership/term.hpp
+++ b/src/leadership/term.hpp
@@ -20,8 +20,8 @@
     isolated,            // the store refuses only this controller
     no_heartbeats,       // workers reach a peer but not this controller
     commit_unreadable,   // a transaction was committed at an unknown revision
-    leader_key_removed,  // the leader record is gone or belongs to another term
-    commit_refused       // a transaction was rejected as malformed, whatever its size
+    leader_record_lost,  // the leader record is gone or belongs to another term
+    commit_rejected      // a transaction was rejected as malformed, whatever its size
 };
 
 // Returns the text of a reason for the log.
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -65,7 +65,9 @@
 class ConnectionClass {
    public:
     ConnectionClass(const HttpServer::Limits& limits, std::size_t& ordinary_connections)
-        : limits_(limits), ordinary_connections_(ordinary_connections), idle_s_(limits.first_request_s) {}
+        : limits_(limits),
+          ordinary_connections_(ordinary_connections),
+          idle_timeout_s_(limits.first_request_timeout_s) {}
 
     // Assigns the connection to the class of its latest request. Returns false if the limit of ordinary
     // connections is reached.
@@ -77,17 +79,18 @@
             admitted = ordinary_connections_ < limits_.max_ordinary_connections;
             if (admitted) ordinary_slot_.emplace(ordinary_connections_);
         }
-        idle_s_ = ordinary_slot_ ? limits_.ordinary_idle_s : limits_.prioritized_idle_s;
+        idle_timeout_s_ =
+            ordinary_slot_ ? limits_.ordinary_idle_timeout_s : limits_.prioritized_idle_timeout_s;
         return admitted;
     }
     // Returns how long the connection may wait for its next request, in seconds.
-    [[nodiscard]] double idle_s() const { return idle_s_; }
+    [[nodiscard]] double idle_timeout_s() const { return idle_timeout_s_; }
 
    private:
     const HttpServer::Limits& limits_;
     std::size_t& ordinary_connections_;
     std::optional<ScopedCount> ordinary_slot_;  // set while the connection is ordinary
-    double idle_s_;
+    double idle_timeout_s_;
 };
 
 // Serves one connection. The idle timeout covers the wait for a request and its header; the body has a
@@ -102,7 +105,7 @@
     for (;;) {
         http::request_parser<http::string_body> parser;
         parser.body_limit(constants::max_request_body_bytes);
-        stream.expires_after(seconds(connection_class.idle_s()));
+        stream.expires_after(seconds(connection_class.idle_timeout_s()));
         auto [head_error, head_size] =
             co_await http::async_read_header(stream, buffer, parser, use_nothrow_awaitable);
         if (head_error) {
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -26,7 +26,7 @@
         std::size_t max_ordinary_connections = SIZE_MAX;  // maximum of the ordinary ones among these
         // Longest time to wait for the first request of a connection, and for the next one by class. The
         // connection is closed afterwards.
-        double first_request_s = 0, prioritized_idle_s = 0, ordinary_idle_s = 0;
+        double first_request_timeout_s = 0, prioritized_idle_timeout_s = 0, ordinary_idle_timeout_s = 0;
         // Returns whether requests with this target are prioritized.
         std::function<bool(const std::string& target)> is_prioritized = [](const std::string&) {
             return true;
--- a/src/peers/peer_directory.cpp
+++ b/src/peers/peer_directory.cpp
@@ -17,7 +17,7 @@
 
 // A peer counts as reachable by workers if it received a heartbeat within this time and has been running for
 // longer than this.
-constexpr std::uint64_t heartbeat_fresh_ms = 4000;
+constexpr std::uint64_t recent_heartbeat_ms = 4000;
 
 leadership::PeerStoreContact store_contact(const PeerContact& peer) {
     return {peer.contacted_at, static_cast<double>(peer.last_response.store_contact_age_ms) / 1000.0};
@@ -58,11 +58,11 @@
     return confirmations;
 }
 
-bool PeerDirectory::store_down_for_all(const store::StoreOutage& own) const {
+bool PeerDirectory::store_down_for_all(const store::StoreOutage& own_outage) const {
     const double now = steady_now_s();
     return std::all_of(contacts_.begin(), contacts_.end(), [&](const PeerContact& peer) {
         return peer.contacted_at >= now - c::recent_peer_contact_s &&
-               !leadership::LeaseGuard::store_serves_peer(now, own, store_contact(peer));
+               !leadership::LeaseGuard::store_serves_peer(now, own_outage, store_contact(peer));
     });
 }
 
@@ -73,11 +73,11 @@
 }
 
 bool PeerDirectory::heartbeats_reach_peer() const {
-    const double oldest_fresh_contact = steady_now_s() - c::recent_peer_contact_s;
+    const double oldest_recent_contact = steady_now_s() - c::recent_peer_contact_s;
     return std::any_of(contacts_.begin(), contacts_.end(), [&](const PeerContact& peer) {
-        return peer.contacted_at > oldest_fresh_contact &&
-               peer.last_response.heartbeat_age_ms < heartbeat_fresh_ms &&
-               peer.last_response.uptime_ms > heartbeat_fresh_ms;
+        return peer.contacted_at > oldest_recent_contact &&
+               peer.last_response.heartbeat_age_ms < recent_heartbeat_ms &&
+               peer.last_response.uptime_ms > recent_heartbeat_ms;
     });
 }
 
--- a/src/peers/peer_directory.hpp
+++ b/src/peers/peer_directory.hpp
@@ -51,8 +51,8 @@
     // Returns the latest response of each peer in the form that the lease guard evaluates.
     [[nodiscard]] std::vector<leadership::PeerConfirmation> confirmations() const;
     // Returns whether every peer responds and the store has served none of them since it began to refuse this
-    // controller; `own` describes that refusal.
-    [[nodiscard]] bool store_down_for_all(const store::StoreOutage& own) const;
+    // controller; `own_outage` describes that refusal.
+    [[nodiscard]] bool store_down_for_all(const store::StoreOutage& own_outage) const;
 
     // --- leadership::PeerView ---
     // Returns the store contact of each peer, one entry per peer.
--- a/src/peers/peer_exchange.cpp
+++ b/src/peers/peer_exchange.cpp
@@ -13,7 +13,7 @@
 using store::steady_now_s;
 
 PeerExchange::PeerExchange(std::string name, double started_at, const Dependencies& dependencies,
-                           const net::ClientFactory& connect)
+                           const net::ClientFactory& client_factory)
     : name_(std::move(name)),
       started_at_(started_at),
       store_(dependencies.store),
@@ -23,7 +23,7 @@
       directory_(dependencies.directory),
       record_format_(dependencies.record_format) {
     for (std::size_t i = 0; i < directory_.size(); ++i)
-        clients_.push_back(connect(directory_.peer(i).endpoint));
+        clients_.push_back(client_factory(directory_.peer(i).endpoint));
 }
 
 void PeerExchange::record_heartbeat() {
@@ -61,9 +61,9 @@
     if (message->dependencies_requested) record_format_.record_dependency_request();
     directory_.record_request(*message);
     auto response = own_message();
-    if (auto known = watch_cache_.cancellations().entries_after(message->revision)) {
+    if (auto cancellations = watch_cache_.cancellations().entries_after(message->revision)) {
         response.confirms_cancellations = true;
-        response.cancelled = std::move(*known);
+        response.cancelled = std::move(*cancellations);
     }
     co_return Reply{200, wire::encode_peer_message(response)};
 }
--- a/src/peers/peer_exchange.hpp
+++ b/src/peers/peer_exchange.hpp
@@ -34,7 +34,7 @@
     // `name` is this controller's name in the settings, `started_at` is when the process started (seconds,
     // steady clock).
     PeerExchange(std::string name, double started_at, const Dependencies& dependencies,
-                 const net::ClientFactory& connect);
+                 const net::ClientFactory& client_factory);
 
     // Handles a peer's request and returns the response.
     net::awaitable<net::Reply> handle(net::Request request);
--- a/src/store/linearizable_read.cpp
+++ b/src/store/linearizable_read.cpp
@@ -31,13 +31,13 @@
         last_check_sent_s_ + store_.pacing_interval_s(c::linearizable_read_share) - steady_now_s();
     if (delay_s > 0) co_await net::sleep_for(delay_s);  // callers that arrive during the wait share the check
     const auto check_number = ++checks_started_;
-    const double sent = last_check_sent_s_ = steady_now_s();
+    const double sent_at = last_check_sent_s_ = steady_now_s();
     const auto events = co_await store_.events_since(watch_cache_.revision);
     // The watch cache may have been invalidated during the check.
     last_check_succeeded_ = watch_cache_.ready && events.has_value();
     if (last_check_succeeded_) {
         watch_cache_.apply(*events, steady_now_s());
-        observer_.on_cache_current(sent);
+        observer_.on_cache_current(sent_at);
         if (watch_cache_.leader) observer_.on_leader_seen(watch_cache_.leader->value);
     }
     checks_done_ = check_number;
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -13,23 +13,23 @@
 
 net::awaitable<std::optional<net::Reply>> StoreClient::request(std::string method, std::string target,
                                                                std::string body, double timeout_s) {
-    const double sent = steady_now_s();
+    const double sent_at = steady_now_s();
     auto reply = co_await client_->request(std::move(method), std::move(target), std::move(body), timeout_s);
     // A 503 is an outage, which may affect every controller or only this one. Any other status shows that the
     // store serves this controller.
     if (reply && reply->status != 503) {
-        last_contact_s_ = std::max(last_contact_s_, sent);
-        if (sent > outage_.since) outage_ = {};
+        last_contact_s_ = std::max(last_contact_s_, sent_at);
+        if (sent_at > outage_.since) outage_ = {};
     } else {
         if (outage_.since < 0) outage_.since = steady_now_s();
-        outage_.last_sent = std::max(outage_.last_sent, sent);
+        outage_.last_sent = std::max(outage_.last_sent, sent_at);
     }
     co_return reply;
 }
 
 net::awaitable<CommitResult> StoreClient::commit(std::string body, double timeout_s) {
     auto reply = co_await request("POST", std::string(wire::commit_path), std::move(body), timeout_s);
-    if (!reply) co_return CommitResult{CommitStatus::unanswered, 0, {}};
+    if (!reply) co_return CommitResult{CommitStatus::no_response, 0, {}};
     switch (reply->status) {
         case 200: {
             const auto revision = wire::parse_revision(reply->body);
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -28,12 +28,12 @@
     malformed,     // the same transaction will never be accepted
     rate_limited,  // not executed
     unavailable,   // not executed
-    unanswered     // may have been executed, or may still be
+    no_response    // may have been executed, or may still be
 };
 
 // Response to a compare-and-swap transaction.
 struct CommitResult {
-    CommitStatus status = CommitStatus::unanswered;
+    CommitStatus status = CommitStatus::no_response;
     std::uint64_t revision = 0;  // when committed
     std::string body;            // of the response, when not committed
 };
--- a/src/store/watch_cache_observer.hpp
+++ b/src/store/watch_cache_observer.hpp
@@ -10,9 +10,9 @@
    public:
     virtual ~WatchCacheObserver() = default;
 
-    // The cache holds everything that was committed before a request sent at `sent` (seconds on the steady
+    // The cache holds everything that was committed before a request sent at `sent_at` (seconds on the steady
     // clock).
-    virtual void on_cache_current(double sent) = 0;
+    virtual void on_cache_current(double sent_at) = 0;
     // The cache was loaded and is ready for use.
     virtual void on_cache_loaded() = 0;
     // The cache can no longer be kept current and will be loaded again.
--- a/src/store/watch_loop.cpp
+++ b/src/store/watch_loop.cpp
@@ -55,19 +55,19 @@
     // Records may change while the pages are read, so the events since the revision of the first page are
     // applied.
     watch_cache_.revision = *first_revision;
-    const double sent = steady_now_s();
+    const double sent_at = steady_now_s();
     const auto events = co_await store_.events_since(*first_revision);
     if (!events) co_return false;
     watch_cache_.apply(*events, steady_now_s());
     watch_cache_.mark_ready();
-    observer_.on_cache_current(sent);
+    observer_.on_cache_current(sent_at);
     spdlog::info("watch cache ready: {} jobs at revision {}", watch_cache_.jobs.size(),
                  watch_cache_.revision);
     co_return true;
 }
 
 net::awaitable<void> WatchLoop::watch_once() {
-    const double sent = steady_now_s();
+    const double sent_at = steady_now_s();
     const auto target = wire::watch_target(records::all_prefix, watch_cache_.revision,
                                            static_cast<int>(c::watch_block_s * 1000));
     const auto reply = co_await store_.request("GET", target, {}, c::watch_block_s + c::store_timeout_s);
@@ -86,7 +86,7 @@
     }
     const bool had_leader = watch_cache_.leader.has_value();
     watch_cache_.apply(*events, steady_now_s());
-    observer_.on_cache_current(sent);
+    observer_.on_cache_current(sent_at);
     if (watch_cache_.leader) observer_.on_leader_seen(watch_cache_.leader->value);
     observer_.on_watch_applied(had_leader && !watch_cache_.leader);
     // Changes come in bursts, and a short pause batches many of them into one response. The leader pauses
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -54,7 +54,7 @@
 net::HttpServer::Limits few() {
     net::HttpServer::Limits l;
     l.connections = 5, l.max_ordinary_connections = 2;
-    l.first_request_s = l.prioritized_idle_s = l.ordinary_idle_s = 60;
+    l.first_request_timeout_s = l.prioritized_idle_timeout_s = l.ordinary_idle_timeout_s = 60;
     l.is_prioritized = [](const std::string& target) { return target == "/checkin"; };
     return l;
 }
