--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -119,7 +119,8 @@
     return store_unavailable();
 }
 
-// The watch cache may confirm that a job was accepted, because an accepted job stays accepted.
+// The watch cache may lag behind, but it can show that a job was accepted, because an accepted job stays
+// accepted.
 std::optional<Admission::DependencyState> Admission::cached_dependency_state(const std::string& id) {
     auto& watch_cache = dependencies_.watch_cache;
     if (const auto job = watch_cache.jobs.find(id); job != watch_cache.jobs.end())
@@ -128,8 +129,8 @@
     return std::nullopt;
 }
 
-// A job was never accepted only if reads sent after the request find neither its live record nor, in this
-// order, the final record that replaces it.
+// A job counts as never accepted only if it has neither a live record nor a final record. Both are read after
+// the request arrived, and in this order, because the final record replaces the live one.
 net::awaitable<Admission::DependencyState> Admission::look_up_dependency(std::string id) {
     const auto read = co_await dependencies_.store.read(records::job_key(id));
     if (read.status == store::ReadStatus::unavailable) co_return DependencyState::undetermined;
--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -23,7 +23,7 @@
     infeasible,           // no machine type fits, or it exceeds the team's limit
     invalid_dependency,   // it names a job that it can't depend on
     retry_later,          // the same request may be accepted later
-    acceptance_uncertain  // it may have been accepted; a retry will tell
+    acceptance_uncertain  // it may have been accepted; a retry finds out
 };
 
 // Why a job is not accepted, and the HTTP response that reports it.
@@ -75,7 +75,7 @@
     net::awaitable<AdmissionResult> check_dependencies(const model::JobSpec& spec);
     // Returns an error if a job may not depend on the job `id`, which has this state.
     [[nodiscard]] AdmissionResult check_dependency(const std::string& id, DependencyState state);
-    // Returns the state of the job from the watch cache, or nothing if the cache does not tell.
+    // Returns the state of the job from the watch cache, or nothing if the cache does not hold it.
     [[nodiscard]] std::optional<DependencyState> cached_dependency_state(const std::string& id);
     // Looks up the state of the job in the store.
     net::awaitable<DependencyState> look_up_dependency(std::string id);
--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -33,7 +33,7 @@
     JobLookup(store::StoreClient& store, store::LinearizableRead& linearizable_read,
               store::WatchCache& watch_cache);
 
-    // Returns how the job ended, or nothing if the watch cache does not tell.
+    // Returns how the job ended, or nothing if the watch cache does not hold its outcome.
     [[nodiscard]] std::optional<JobState> cached_outcome(const std::string& id);
     // Returns the job's state, based on a read that was sent after the call.
     net::awaitable<JobState> look_up(std::string id);
--- a/src/api/job_writer.hpp
+++ b/src/api/job_writer.hpp
@@ -15,7 +15,7 @@
 // Result of an attempt to accept a job.
 enum class AcceptanceStatus {
     accepted,
-    conflict,   // the store already has a job of that name
+    conflict,   // the store already has a job with that id
     too_large,  // the job exceeds the store's limits
     uncertain   // the job may have been accepted
 };
--- a/src/api/load_shedding.hpp
+++ b/src/api/load_shedding.hpp
@@ -23,7 +23,7 @@
     // Returns whether another submission must be rejected.
     [[nodiscard]] bool submissions_overloaded() const;
     // Returns whether another cancellation must be rejected. Cancellations are accepted at a higher
-    // event-loop lag than submissions.
+    // event loop lag than submissions.
     [[nodiscard]] bool cancellations_overloaded() const;
     // Returns whether another poll must be rejected.
     [[nodiscard]] bool polls_overloaded() const;
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -10,7 +10,7 @@
 using net::Reply;
 
 namespace {
-// Attempts to cancel a job that is changed concurrently.
+// Maximum number of attempts to cancel a job that is changed concurrently.
 constexpr int max_cancellation_tries = 3;
 }  // namespace
 
@@ -81,7 +81,7 @@
         if (state != JobState::live) co_return job_status_reply(id, state);
         const auto& jobs = dependencies_.watch_cache.jobs;
         const auto job = jobs.find(id);
-        if (job == jobs.end()) continue;  // it has ended during the look-up
+        if (job == jobs.end()) continue;  // the job ended during the look-up
         const auto result = co_await dependencies_.job_writer.cancel(job->second);
         if (result.status == CancellationStatus::cancelled) {
             co_await dependencies_.peers.forward_cancellation(result.revision, id);
--- a/src/api/worker_api.cpp
+++ b/src/api/worker_api.cpp
@@ -19,8 +19,8 @@
 namespace {
 
 // Returns until when the response may be held. A start may be sent only once its placement is durable and
-// only in a heartbeat response, so a short wait can save a whole heartbeat period. A machine with room for
-// more tasks can wait longer than one that reports exited tasks. No response may reach the worker after 4 s.
+// only in a heartbeat response, so a short wait can save a whole heartbeat period. A machine with free
+// capacity can wait longer than one that reports exited tasks. The worker drops a response after 4 s.
 double response_deadline(const cluster::ClusterState& cluster_state, const model::Heartbeat& heartbeat,
                          double now) {
     if (cluster_state.has_free_capacity(heartbeat.machine, now)) return now + c::heartbeat_hold_idle_s;
--- a/src/controller/commit_loop.cpp
+++ b/src/controller/commit_loop.cpp
@@ -113,7 +113,7 @@
         co_return RetryDecision::done;
     }
     if (!uncertain) {
-        // A user's cancellation was committed first; the watch reports which one.
+        // A user's cancellation was committed first; the read brings it into the watch cache.
         co_await linearizable_read_.catch_up();
         co_return RetryDecision::done;
     }
--- a/src/controller/direct_command_dispatcher.cpp
+++ b/src/controller/direct_command_dispatcher.cpp
@@ -20,8 +20,8 @@
 
 namespace {
 
-// Returns whether the commands give a task time to save its state. Such commands are urgent: the task's gang
-// waits for it for gang_failure_detection_s only.
+// Returns whether the commands give a task time to save its state. Such commands are urgent, because the
+// task's gang waits for it only for gang_failure_detection_s.
 bool has_grace_period(const cluster::DirectCommands& commands) {
     return std::any_of(commands.commands.begin(), commands.commands.end(),
                        [](const model::Command& command) { return command.grace_s > 0; });
--- a/src/controller/planning_loop.hpp
+++ b/src/controller/planning_loop.hpp
@@ -24,8 +24,8 @@
                              std::shared_ptr<DirectCommandDispatcher> dispatcher);
 
    private:
-    // Runs one planning round. `lease_was_provable` tells whether the lease was provably valid at the
-    // previous call, and is updated.
+    // Runs one planning round. `lease_was_provable` holds whether the lease was provably valid at
+    // the previous call, and is updated.
     void plan(cluster::LeaderTerm& leader, DirectCommandDispatcher& dispatcher, bool& lease_was_provable);
 
     const config::Settings& settings_;
--- a/src/controller/provisioning_loops.hpp
+++ b/src/controller/provisioning_loops.hpp
@@ -13,13 +13,12 @@
 
 namespace pineroad::controller {
 
-// Provisions and releases machines; each public function is one loop.
+// Provisions and releases machines. Each public function is one loop, which runs until the term has ended.
 class ProvisioningLoops {
    public:
     // The client must outlive the object.
     explicit ProvisioningLoops(CloudClient& cloud) : cloud_(cloud) {}
 
-    // Each loop runs until the term has ended.
     // Reads the machine types every machine_types_period_s.
     net::awaitable<void> poll_machine_types(std::shared_ptr<cluster::LeaderTerm> leader);
     // Reads the list of machines every machine_list_period_s.
--- a/src/leadership/election.cpp
+++ b/src/leadership/election.cpp
@@ -100,8 +100,8 @@
         {std::string(records::term_key), records::term_json(identity.fencing_token), std::nullopt}};
     const auto result = co_await store_.commit(wire::commit_request(transaction), c::commit_timeout_s);
     if (result.status != store::CommitStatus::no_response) co_return result.revision;
-    // The transaction may have been applied, or may still be applied later. The leader record tells, because
-    // the nonce is unique to this term.
+    // The transaction may have been applied, or may still be applied later. The leader record shows
+    // whether it was applied, because the nonce is unique to this term.
     const auto read = co_await store_.read(std::string(records::leader_key));
     const auto leader = read.row ? records::parse_leader(read.row->value) : std::nullopt;
     if (!leader || leader->nonce != identity.nonce) co_return 0;
--- a/src/leadership/election.hpp
+++ b/src/leadership/election.hpp
@@ -69,8 +69,8 @@
     net::awaitable<void> follow();
     // Tries to win a new term. Returns null if the term was not won.
     net::awaitable<std::shared_ptr<Term>> campaign();
-    // Writes the leader record. Returns its revision, or 0 if another controller holds, or may hold, the
-    // leadership.
+    // Writes the leader record. Returns its revision, or 0 if the term was not won or the outcome is not
+    // known.
     net::awaitable<std::uint64_t> claim_leadership(const TermIdentity& identity);
     // Runs a won term until it ends.
     net::awaitable<void> lead(std::shared_ptr<Term> term);
--- a/src/leadership/leadership_state.hpp
+++ b/src/leadership/leadership_state.hpp
@@ -20,19 +20,19 @@
     explicit LeadershipState(LeaseGuard& lease_guard) : lease_guard_(lease_guard) {}
 
     // Records an observed fencing token and the controller that holds its term (empty: unknown). A token
-    // greater than that of this controller's own term ends that term.
+    // higher than that of this controller's own term ends that term.
     void observe_token(std::uint64_t fencing_token, const std::string& leader);
     // Sets this controller's own term.
     void begin_term(std::shared_ptr<Term> term);
     // Clears this controller's own term after it has ended.
     void clear_term() { term_.reset(); }
 
-    // Returns the greatest fencing token that was observed.
+    // Returns the highest fencing token that was observed.
     [[nodiscard]] std::uint64_t highest_token() const { return highest_token_; }
-    // Returns the greatest fencing token that was observed, or the token of this controller's own active term
-    // if that is greater.
+    // Returns the highest fencing token that was observed, or the token of this controller's own active term
+    // if that is higher.
     [[nodiscard]] std::uint64_t advertised_token() const;
-    // Returns the controller that holds the term of the greatest token; empty if it is unknown.
+    // Returns the controller that holds the term of the highest token; empty if it is unknown.
     [[nodiscard]] const std::string& known_leader() const { return known_leader_; }
     // Notified when the leader record is removed, when a term ends, and when the watch cache has been loaded.
     net::Notification& changed() { return changed_; }
--- a/src/leadership/lease_guard.cpp
+++ b/src/leadership/lease_guard.cpp
@@ -23,8 +23,9 @@
 
 // Each peer reports all cancellations that its current process confirmed to users. If all these processes
 // started before `cancellations_known_until_`, no earlier process can have confirmed a cancellation since
-// then, and all cancellations are known up to the time when the oldest of these messages was sent. A process
-// started no later than its response arrived minus its uptime, which the peer measured with its own clock.
+// then, and all cancellations are known up to the time when the oldest of these messages was sent. The
+// latest time at which a process can have started is the arrival of its response minus its uptime, which the
+// peer measured with its own clock.
 void LeaseGuard::apply_peer_confirmations(const std::vector<PeerConfirmation>& peers) {
     if (peers.empty() || cancellations_known_until_ < 0) return;
     double oldest_request = peers.front().requested_at;
@@ -51,7 +52,7 @@
 // A leader whose lease may have expired keeps answering heartbeats for a while, because nobody else can lead
 // during a store outage. If it alone is cut off from the store, this would keep its workers from finding the
 // leader that the others elect. It therefore ends its term once the store has served a peer after this lease
-// must have expired, or after isolated_leader_grace_s if no peer answers. A peer that was served before the
+// must have expired, or after isolated_leader_grace_s if no peer responds. A peer that was served before the
 // expiry proves nothing: if the store refuses first the leader and then everybody, the lease is still valid
 // in the store and nobody else can lead. In the operators' day-long test a leader ended its term 3 s into
 // such an outage, and thousands of tasks were stopped when their workers' leases expired.
--- a/src/leadership/lease_guard.hpp
+++ b/src/leadership/lease_guard.hpp
@@ -8,10 +8,10 @@
 
 namespace pineroad::leadership {
 
-// A peer's response to a message that was sent at `requested_at`.
+// A peer's response, received at `received_at`, to a message that was sent at `requested_at`.
 struct PeerConfirmation {
     double requested_at = -1, received_at = -1;
-    double uptime_s = 0;  // of the peer's process when it answered
+    double uptime_s = 0;  // of the peer's process when it responded
     // Whether the peer reported every cancellation that it knows and this controller's watch cache lacked.
     bool confirms_cancellations = false;
 };
--- a/src/leadership/term.hpp
+++ b/src/leadership/term.hpp
@@ -13,7 +13,7 @@
 
 // Why a term ended.
 enum class EndReason {
-    newer_term,          // a greater fencing token was observed
+    newer_term,          // a higher fencing token was observed
     watch_cache_lost,    // the watch cache must be reloaded
     state_not_loaded,    // the cluster state could not be read
     lease_expired,       // the store no longer knows the lease
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -1,4 +1,4 @@
-// HTTP requests and replies as plain structs, so that the rest of the code does not depend on an HTTP
+// HTTP requests and responses as plain structs, so that the rest of the code does not depend on an HTTP
 // library.
 #pragma once
 
@@ -32,8 +32,8 @@
 class Client {
    public:
     virtual ~Client() = default;
-    // Sends a request and returns the reply. Returns std::nullopt if none was received; the outcome is then
-    // unknown: the request may have been executed, may still be, or may never be.
+    // Sends a request and returns the response. Returns std::nullopt if none was received; the outcome is
+    // then unknown: the request may have been executed, may be executed later, or may never be.
     virtual awaitable<std::optional<Reply>> request(std::string method, std::string target, std::string body,
                                                     double timeout_s) = 0;
 };
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -105,7 +105,7 @@
         return http_request;
     }
 
-    // Sends the request and reads the reply. A connection that can be reused is moved to the idle
+    // Sends the request and reads the response. A connection that can be reused is moved to the idle
     // connections.
     awaitable<std::optional<Reply>> exchange(Stream& stream, const HttpRequest& http_request,
                                              SteadyClock::time_point deadline) {
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -83,7 +83,7 @@
             ordinary_slot_ ? limits_.ordinary_idle_timeout_s : limits_.prioritized_idle_timeout_s;
         return admitted;
     }
-    // Returns how long the connection may wait for its next request, in seconds.
+    // Returns how long the server waits for the connection's next request, in seconds.
     [[nodiscard]] double idle_timeout_s() const { return idle_timeout_s_; }
 
    private:
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -16,7 +16,7 @@
 // Server on one address. Connections may outlive the server.
 class HttpServer {
    public:
-    // Handles a request and returns the reply. An exception closes the connection.
+    // Handles a request and returns the response. An exception closes the connection.
     using Handler = std::function<awaitable<Reply>(Request)>;
 
     // Limits of the connections. Connections belong to one of two classes, prioritized or ordinary, depending
@@ -24,14 +24,14 @@
     struct Limits {
         std::size_t connections = 0;  // in total, including those without a request so far
         std::size_t max_ordinary_connections = SIZE_MAX;  // maximum of the ordinary ones among these
-        // Longest time to wait for the first request of a connection, and for the next one by class. The
-        // connection is closed afterwards.
+        // Longest time to wait for the first request of a connection, and then for the next one, depending on
+        // the class of the latest. The connection is closed afterwards.
         double first_request_timeout_s = 0, prioritized_idle_timeout_s = 0, ordinary_idle_timeout_s = 0;
         // Returns whether requests with this target are prioritized.
         std::function<bool(const std::string& target)> is_prioritized = [](const std::string&) {
             return true;
         };
-        // Returns the reply to an ordinary request over the limit.
+        // Returns the response to an ordinary request over the limit.
         std::function<Reply()> make_rejection = [] { return Reply{503, {}, 1, true}; };
     };
 
--- a/src/net/socket_budget.cpp
+++ b/src/net/socket_budget.cpp
@@ -13,7 +13,8 @@
     const auto peers = std::max<std::size_t>(1, settings.peers.size());
     const auto user_sockets =
         static_cast<std::size_t>(static_cast<double>(total_sockets) * c::user_socket_share);
-    // With few sockets, each of the other uses gets at most an eighth, so that users and workers keep most.
+    // With few sockets, requests from peers, requests to peers and direct commands get at most an eighth
+    // each, and the store and the cloud at most a quarter together, so that users and workers keep most.
     const auto eighth = total_sockets / 8;
     SocketBudget out;
     out.users = std::max<std::size_t>(2, user_sockets);
--- a/src/peers/peer_exchange.cpp
+++ b/src/peers/peer_exchange.cpp
@@ -101,8 +101,8 @@
         watch_cache_.record_outcome(job, {model::FinalStatus::cancelled}, revision);
 }
 
-// Records the cancellations in the response, which also forwards them, before the response counts as a
-// confirmation.
+// Records the cancellations in the response, which also applies them to the cluster state of a leader, before
+// the response counts as a confirmation.
 void PeerExchange::apply_response(std::size_t peer, double sent_at, wire::PeerMessage response) {
     leadership_.observe_token(response.fencing_token, response.leader);
     record_cancellations(response);
--- a/src/peers/record_format.cpp
+++ b/src/peers/record_format.cpp
@@ -27,8 +27,8 @@
                        [&](const config::Peer& peer) { return recorded_readers.contains(peer.name); });
 }
 
-// In addition to the recorded readers these are this controller, the peers that announced it and, once a user
-// has requested a job with dependencies, the silent peers. Users request dependencies only after every
+// The result contains the recorded readers, this controller, the peers that announced the format and, once a
+// user has requested a job with dependencies, the silent peers. Users request dependencies only after every
 // controller has been upgraded, so a silent peer is not an earlier version that still runs.
 std::set<std::string> RecordFormat::readers() const {
     auto readers = watch_cache_.record_format_readers.value;
--- a/src/store/cancellation_log.hpp
+++ b/src/store/cancellation_log.hpp
@@ -1,7 +1,7 @@
-// Log of the cancellations that this process knows of, by store revision. A user receives an answer that says
-// "cancelled" only after the cancellation is recorded here, whoever committed it and whatever the request was
-// (a cancellation, a repeated one, a status poll or a repeated submission). A controller therefore confirms
-// the contents of this log to its peers: docs/safety.md, "What a peer confirms".
+// Log of the cancellations that this process knows of, by store revision. A user receives a response that
+// says "cancelled" only after the cancellation is recorded here, whoever committed it and whatever the
+// request was (a cancellation, a repeated one, a status poll or a repeated submission). A controller
+// therefore confirms the contents of this log to its peers: docs/safety.md, "What a peer confirms".
 #pragma once
 
 #include <algorithm>
@@ -43,7 +43,7 @@
 
    private:
     std::set<Entry> entries_;
-    std::uint64_t last_evicted_revision_ = 0;  // greatest revision that was evicted
+    std::uint64_t last_evicted_revision_ = 0;  // highest revision that was evicted
 };
 
 }  // namespace pineroad::store
--- a/src/store/dependency_assembler.hpp
+++ b/src/store/dependency_assembler.hpp
@@ -13,15 +13,14 @@
 
 namespace pineroad::store {
 
-// Holds a job back until all further records of its dependency list have arrived; JobSpec::dependency_records
-// is their number. Both add functions return the job that the added record completed, with its whole list.
+// Holds a job back until all of its dependency records have arrived; JobSpec::dependency_records is their
+// number. Both add functions return the job that the added record completed, with its whole dependency list.
 class DependencyAssembler {
    public:
-    // Adds a job's main record. Returns the job at once if all further records of its list are already
-    // known, or if it has none.
+    // Adds a job's own record. Returns the job at once if all of its dependency records were added before, or
+    // if it has none.
     std::optional<Versioned<model::JobSpec>> add_job(Versioned<model::JobSpec> job);
-    // Adds a further record of the job's list. `number` is the position of the record in that list, as in its
-    // key.
+    // Adds a dependency record of the job. `number` is the number of the record, as in its key.
     std::optional<Versioned<model::JobSpec>> add_dependencies(const std::string& job_id,
                                                               const std::string& number,
                                                               std::vector<std::string> dependencies);
@@ -32,8 +31,8 @@
 
    private:
     using DependencyRecords = std::map<std::string, std::vector<std::string>>;
-    // Appends the further records to the job's list. Returns false, and leaves the list unchanged, while one
-    // is missing.
+    // Appends the contents of the dependency records to the job's list. Returns false, and leaves the list
+    // unchanged, while a record is missing.
     [[nodiscard]] bool append_dependency_records(model::JobSpec& spec) const;
 
     std::map<std::string, DependencyRecords> dependency_records_;  // by job
--- a/src/store/progress_view.cpp
+++ b/src/store/progress_view.cpp
@@ -24,7 +24,8 @@
     }
 }
 
-// A segment is overwritten only after none of its former entries is needed any more.
+// The entries can be removed because a segment is overwritten only when none of its former entries is needed
+// any more.
 void ProgressView::remove_entries_of(const Segment& segment) {
     for (const auto& entry : segment.entries) {
         const auto current_sequence = current_sequences_.find(entry);
--- a/src/store/progress_view.hpp
+++ b/src/store/progress_view.hpp
@@ -13,7 +13,7 @@
 namespace pineroad::store {
 
 // Progress entries by job and shard. Several segments may hold an entry; the copy in the segment with the
-// greatest sequence is current. Iteration visits the current entries ordered by job and shard.
+// highest sequence is current. Iteration visits the current entries ordered by job and shard.
 class ProgressView {
    public:
     // Job, and the shard of its tasks that the entry covers.
@@ -22,7 +22,7 @@
     struct Entry {
         model::Progress value;
         std::uint64_t mod_revision = 0;  // of the record that holds it
-        std::string segment;             // name of that segment; empty: a record per job (version 0.1)
+        std::string segment;             // name of that segment; empty: a progress record of version 0.1
     };
     // Contents of a segment record.
     struct Segment {
@@ -36,7 +36,7 @@
     };
 
     // Applies a written segment record, which replaces the former contents of this segment. If two segments
-    // hold an entry, the one with the greater sequence counts, whichever is applied first.
+    // hold an entry, the one with the higher sequence counts, whichever is applied first.
     void apply_segment(const std::string& name, wire::records::Segment&& segment, std::uint64_t mod_revision);
     // Applies a progress record of version 0.1, which wrote one record per job. It is older than any segment
     // and never replaces an entry from one.
@@ -64,8 +64,8 @@
 
     std::map<EntryName, Entry> entries_;
     std::map<std::string, Segment> segments_;
-    std::map<EntryName, wire::records::Sequence>
-        current_sequences_;  // sequence of the segment that holds the current copy
+    // For each entry, the sequence of the segment that holds its current copy or its tombstone.
+    std::map<EntryName, wire::records::Sequence> current_sequences_;
 };
 
 }  // namespace pineroad::store
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -20,7 +20,7 @@
     double since = -1, last_sent = -1;
 };
 
-// How the store answered a compare-and-swap transaction.
+// Result of sending a compare-and-swap transaction.
 enum class CommitStatus {
     committed,
     unreadable,    // committed, but the response contains no valid revision
@@ -28,7 +28,7 @@
     malformed,     // the same transaction will never be accepted
     rate_limited,  // not executed
     unavailable,   // not executed
-    no_response    // may have been executed, or may still be
+    no_response    // may have been executed, or may be executed later
 };
 
 // Response to a compare-and-swap transaction.
@@ -54,7 +54,7 @@
     StoreClient(std::unique_ptr<net::Client> client, double requests_per_s, std::size_t controllers);
 
     // Sends a request and returns the response. Returns nothing if no response arrived; the request may then
-    // have been executed, or may still be.
+    // have been executed, or may be executed later.
     net::awaitable<std::optional<net::Reply>> request(std::string method, std::string target,
                                                       std::string body = {},
                                                       double timeout_s = constants::store_timeout_s);
--- a/src/store/watch_cache.cpp
+++ b/src/store/watch_cache.cpp
@@ -76,7 +76,7 @@
     if (!is_new) return;
     const auto change = dependencies_.add(job.value);
     if (on_job_added) on_job_added(job.value, job.mod_revision);
-    // Until its dependencies are done a job adds nothing to the demand.
+    // A job adds to the demand only once its dependencies are done.
     if (dependencies_.is_ready(id)) demand.record_arrival(job.value, now);
     notify_dependency_change(change);
     for (const auto& dependency : job.value.dependencies)
--- a/src/store/watch_cache.hpp
+++ b/src/store/watch_cache.hpp
@@ -1,5 +1,6 @@
 // This controller's copy of the service's records in the store, kept current by watches. It may lag behind
-// the store: a caller that needs an answer no older than one already given makes a linearizable read first.
+// the store: a caller whose result must not be older than one returned before makes a linearizable read
+// first.
 #pragma once
 
 #include <boost/compute/detail/lru_cache.hpp>
@@ -43,8 +44,9 @@
     void apply(const wire::WatchEvents& events, double now);
     // Marks the cache as ready for use, after every record up to `revision` was applied.
     void mark_ready();
-    // Records the outcome of a job, read from its record at `mod_revision`. Every outcome passes through here
-    // before any user or peer is answered, whether it came from a watch, a response of the store or a peer.
+    // Records the outcome of a job, read from its record at `mod_revision`. Every outcome is recorded here
+    // before it is reported to any user or peer, whether it came from a watch, another response of the store
+    // or a peer.
     void record_outcome(const std::string& id, const model::JobOutcome& outcome, std::uint64_t mod_revision);
 
     // Returns how the job ended, if the outcome is in memory. A live job counts as cancelled once a job that
@@ -68,15 +70,15 @@
 
     bool ready = false;          // every record up to `revision` is applied
     std::uint64_t revision = 0;  // store revision up to which events are applied
-    std::map<std::string, Versioned<model::JobSpec>>
-        jobs;  // live jobs with their whole dependency list, by id
+    // Live jobs with their whole dependency list, by id.
+    std::map<std::string, Versioned<model::JobSpec>> jobs;
     ProgressView progress;
-    // Provisioning requests that the cloud has not answered yet, in the one record that holds them all.
+    // Open provisioning requests in the one record that holds all of them.
     Versioned<std::vector<model::ProvisioningRequest>> open_provisioning_requests;
-    // Unanswered provisioning requests in separate records, by name, as version 0.2 wrote them.
+    // Open provisioning requests in separate records, by name, as version 0.2 wrote them.
     std::map<std::string, Versioned<model::ProvisioningRequest>> provisioning_records;
     std::optional<Versioned<wire::records::Leader>> leader;  // empty: there is no leader
-    Versioned<std::uint64_t> term;                           // greatest fencing token issued
+    Versioned<std::uint64_t> term;                           // highest fencing token issued
     std::optional<Versioned<std::vector<model::MachineType>>> machine_types;
     Versioned<model::CategoryAverages> category_averages;
     Versioned<std::set<std::string>> record_format_readers;  // controllers that read the current format
--- a/src/store/watch_cache_records.cpp
+++ b/src/store/watch_cache_records.cpp
@@ -119,7 +119,7 @@
         cache.category_averages = {records::parse_category_averages(record.value), record.mod_revision};
     }
 
-    // The further records of the dependency list are deleted in the same transaction and need no handler.
+    // The job's dependency records are deleted in the same transaction and need no handler.
     static void delete_job(WatchCache& cache, const std::string& id) {
         cache.jobs.erase(id);
         cache.dependency_assembler_.remove(id);
--- a/src/wire/format_record.hpp
+++ b/src/wire/format_record.hpp
@@ -1,4 +1,4 @@
-// Record of the format that every controller can read.
+// Record of the controllers that read the current record format.
 //
 //   pr/live/format   {"format": number, "controllers": [names of the controllers known to read it]}
 #pragma once
@@ -12,8 +12,8 @@
 
 namespace pineroad::wire::records {
 
-// Latest record format that this version reads. It is written only once every controller is known to read
-// it: version 0.4 reads only format 1.
+// Current record format, the latest that this version reads. Records are written in it only once every
+// controller is known to read it: version 0.4 reads only format 1.
 inline constexpr std::uint64_t record_format = 2;
 
 // Returns the record of the controllers that read this version's format.
--- a/src/wire/records.hpp
+++ b/src/wire/records.hpp
@@ -6,7 +6,9 @@
 //   pr/live/term     latest fencing token issued; it only increases
 //   pr/live/types    machine types: every controller uses them to reject jobs that can never run
 //   pr/live/means    average slowdown by job category
-//   pr/live/format   controllers known to read format 2 (see below); written once all of them are
+//   pr/live/format   controllers known to read format 2 (see below); format 2 is written only once all of
+//   them
+//                    are
 //   pr/live/a/ID     accepted job; "after" holds its dependencies, without their prefix "j-" (format 2)
 //   pr/live/w/ID/N   dependency record: part of a list of dependencies too long for the job's record. "more"
 //                    in the job's record is the number of dependency records; they are written and removed
@@ -19,7 +21,7 @@
 //                    the tasks of its shard; an entry of the whole job only for tasks without a partial entry
 //   pr/live/p/ID     progress of one job, as written by version 0.1: still read, never written; entries of
 //                    segments take precedence
-//   pr/live/rentals  provisioning requests not yet answered by the cloud, by name
+//   pr/live/rentals  open provisioning requests (the cloud has not responded yet), by name
 //   pr/live/r/NAME   one provisioning request, as written by version 0.2: still read, never written
 //   pr/final/ID      outcome of a finished job and, since version 0.5, the time of its end
 #pragma once
