--- a/src/peers/peer_directory.cpp
+++ b/src/peers/peer_directory.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 // A peer counts as reachable by workers if it received a heartbeat within this time and has been running for
-// longer than this.
+// longer than this: a peer that has received none reports its uptime as the age of the latest.
 constexpr std::uint64_t recent_heartbeat_ms = 4000;
 
 leadership::PeerStoreContact store_contact(const PeerContact& peer) {
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -31,7 +31,7 @@
     no_response    // may have been executed, or may be executed later
 };
 
-// Response to a compare-and-swap transaction.
+// Status of a compare-and-swap transaction, and the content of the response.
 struct CommitResult {
     CommitStatus status = CommitStatus::no_response;
     std::uint64_t revision = 0;  // when committed
@@ -41,7 +41,7 @@
 // Whether a key was found.
 enum class ReadStatus { found, absent, unavailable };
 
-// Response to the read of one key.
+// Result of reading one key.
 struct ReadResult {
     ReadStatus status = ReadStatus::unavailable;
     std::optional<wire::Row> row;  // when found; empty if it cannot be parsed
--- a/src/wire/peer_protocol.hpp
+++ b/src/wire/peer_protocol.hpp
@@ -33,7 +33,7 @@
     std::string leader;                      // its holder; empty if unknown
     std::uint64_t uptime_ms = 0;             // of the sender's process
     std::uint64_t store_contact_age_ms = 0;  // since the last contact with the store (uptime if none)
-    std::uint64_t heartbeat_age_ms = 0;      // since the last heartbeat received from a worker
+    std::uint64_t heartbeat_age_ms = 0;      // since the last heartbeat from a worker (uptime if none)
     std::uint64_t revision = 0;              // request: the sender's watch cache is complete up to it
     // In a response: whether `cancelled` contains every cancellation above the request's revision that the
     // sender knows of. False if the sender cannot tell.
--- a/src/wire/records.hpp
+++ b/src/wire/records.hpp
@@ -6,19 +6,17 @@
 //   pr/live/term     latest fencing token issued; it only increases
 //   pr/live/types    machine types: every controller uses them to reject jobs that can never run
 //   pr/live/means    average slowdown by job category
-//   pr/live/format   controllers known to read format 2 (see below); format 2 is written only once all of
-//   them
-//                    are
+//   pr/live/format   controllers known to read format 2 (see below); it is written only once all of them do
 //   pr/live/a/ID     accepted job; "after" holds its dependencies, without their prefix "j-" (format 2)
 //   pr/live/w/ID/N   dependency record: part of a list of dependencies too long for the job's record. "more"
 //                    in the job's record is the number of dependency records; they are written and removed
 //                    together with it (format 2)
 //   pr/live/s/N      segment: progress and placements of several jobs. If several segments contain the same
-//                    entry, the one with the highest sequence is valid. Null is a tombstone: the entry was
+//                    entry, the one with the highest sequence is current. Null is a tombstone: the entry was
 //                    removed. A segment that is no longer needed is overwritten (compaction), never removed.
 //                    A job's entry covers all of its tasks. In format 2 a large job has one entry for each
-//                    shard of its tasks (ID, ID#1, ID#2 ...), marked as partial. A partial entry is valid for
-//                    the tasks of its shard; an entry of the whole job only for tasks without a partial entry
+//                    shard of its tasks (ID, ID#1, ID#2 ...), marked as partial. A partial entry applies to
+//                    the tasks of its shard; an entry of the whole job only to tasks without a partial entry
 //   pr/live/p/ID     progress of one job, as written by version 0.1: still read, never written; entries of
 //                    segments take precedence
 //   pr/live/rentals  open provisioning requests (the cloud has not responded yet), by name
--- a/src/wire/segment_record.hpp
+++ b/src/wire/segment_record.hpp
@@ -16,7 +16,7 @@
 namespace pineroad::wire::records {
 
 // Orders the writes of segments: by fencing token, then by the number of the write under that token. The
-// latest write of an entry is valid.
+// latest write of an entry is the current one.
 struct Sequence {
     std::uint64_t fencing_token = 0;
     std::uint64_t number = 0;
