--- a/src/controller/direct_command_dispatcher.cpp
+++ b/src/controller/direct_command_dispatcher.cpp
@@ -20,8 +20,8 @@
 
 namespace {
 
-// Returns whether the commands give a task time to save its state. Such commands are urgent: the task's gang
-// waits for it for gang_failure_detection_s only.
+// Returns whether the commands give a task time to save its state. Such commands are urgent, because the
+// task's gang waits for it only for gang_failure_detection_s.
 bool has_grace_period(const cluster::DirectCommands& commands) {
     return std::any_of(commands.commands.begin(), commands.commands.end(),
                        [](const model::Command& command) { return command.grace_s > 0; });
@@ -80,7 +80,7 @@
 }
 
 net::awaitable<void> DirectCommandDispatcher::send_to_worker(const cluster::DirectCommands& commands) {
-    const auto worker = dependencies_.connect(config::parse_endpoint(commands.address));
+    const auto worker = dependencies_.client_factory(config::parse_endpoint(commands.address));
     const auto reply = co_await worker->request(
         "POST", std::string(wire::direct_command_path),
         wire::direct_command_request(term_->fencing_token(), commands.agent_epoch, commands.commands),
--- a/src/leadership/term.hpp
+++ b/src/leadership/term.hpp
@@ -13,15 +13,15 @@
 
 // Why a term ended.
 enum class EndReason {
-    newer_term,          // a greater fencing token was observed
+    newer_term,          // a higher fencing token was observed
     watch_cache_lost,    // the watch cache must be reloaded
     state_not_loaded,    // the cluster state could not be read
     lease_expired,       // the store no longer knows the lease
     isolated,            // the store refuses only this controller
     no_heartbeats,       // workers reach a peer but not this controller
     commit_unreadable,   // a transaction was committed at an unknown revision
-    leader_key_removed,  // the leader record is gone or belongs to another term
-    commit_refused       // a transaction was rejected as malformed, whatever its size
+    leader_record_lost,  // the leader record is gone or belongs to another term
+    commit_rejected      // a transaction was rejected as malformed, whatever its size
 };
 
 // Returns the text of a reason for the log.
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -20,7 +20,7 @@
     double since = -1, last_sent = -1;
 };
 
-// How the store answered a compare-and-swap transaction.
+// Result of sending a compare-and-swap transaction.
 enum class CommitStatus {
     committed,
     unreadable,    // committed, but the response contains no valid revision
@@ -28,12 +28,12 @@
     malformed,     // the same transaction will never be accepted
     rate_limited,  // not executed
     unavailable,   // not executed
-    unanswered     // may have been executed, or may still be
+    no_response    // may have been executed, or may be executed later
 };
 
-// Response to a compare-and-swap transaction.
+// Status of a compare-and-swap transaction, and the content of the response.
 struct CommitResult {
-    CommitStatus status = CommitStatus::unanswered;
+    CommitStatus status = CommitStatus::no_response;
     std::uint64_t revision = 0;  // when committed
     std::string body;            // of the response, when not committed
 };
@@ -41,7 +41,7 @@
 // Whether a key was found.
 enum class ReadStatus { found, absent, unavailable };
 
-// Response to the read of one key.
+// Result of reading one key.
 struct ReadResult {
     ReadStatus status = ReadStatus::unavailable;
     std::optional<wire::Row> row;  // when found; empty if it cannot be parsed
@@ -54,7 +54,7 @@
     StoreClient(std::unique_ptr<net::Client> client, double requests_per_s, std::size_t controllers);
 
     // Sends a request and returns the response. Returns nothing if no response arrived; the request may then
-    // have been executed, or may still be.
+    // have been executed, or may be executed later.
     net::awaitable<std::optional<net::Reply>> request(std::string method, std::string target,
                                                       std::string body = {},
                                                       double timeout_s = constants::store_timeout_s);
