--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -42,7 +42,7 @@
     const auto infeasible = [](std::string text) {
         return AdmissionError{AdmissionErrorKind::infeasible, 422, std::move(text)};
     };
-    const auto* team = settings.team(spec.team);
+    const auto* team = settings.find_team(spec.team);
     if (!team) return infeasible("unknown team");
     if (!fits_some_machine_type(spec, types)) return infeasible("a task fits no allowed machine type");
     if (exceeds_team_limit(spec, *team)) return infeasible("the job needs more than the team's limit");
--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -295,7 +295,7 @@
 // A new connection without a request is closed after this time; clients send one immediately after
 // connecting. Dead connections left by a partition would otherwise count in addition to those that replace
 // them.
-inline constexpr double first_request_s = 10.0;
+inline constexpr double first_request_timeout_s = 10.0;
 // Idle timeout of users' connections. Users poll every 5 s, and wait at most 30 s after a Retry-After.
 inline constexpr double user_idle_timeout_s = 45.0;
 // The idle timeout of workers' connections is this multiple of report_s plus the time after which a worker
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -97,7 +97,7 @@
     int max_sockets = 1000;  // params.limits.max_sockets: maximum number of open sockets of this process
 
     // Returns the team with this name, or null if it is not configured.
-    [[nodiscard]] const Team* team(const std::string& team_name) const {
+    [[nodiscard]] const Team* find_team(const std::string& team_name) const {
         for (const auto& team : teams)
             if (team.name == team_name) return &team;
         return nullptr;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -48,7 +48,7 @@
     net::HttpServer::Limits limits;
     limits.connections = sockets.public_api;
     limits.max_ordinary_connections = sockets.users;
-    limits.first_request_timeout_s = c::first_request_s;
+    limits.first_request_timeout_s = c::first_request_timeout_s;
     limits.ordinary_idle_timeout_s = c::user_idle_timeout_s;
     limits.prioritized_idle_timeout_s =
         c::idle_timeout_heartbeat_periods * settings.heartbeat_period_s + c::heartbeat_response_timeout_s;
@@ -63,7 +63,7 @@
 net::HttpServer::Limits peer_server_limits(const net::SocketBudget& sockets) {
     net::HttpServer::Limits limits;
     limits.connections = sockets.peer_api;
-    limits.first_request_timeout_s = limits.prioritized_idle_timeout_s = c::first_request_s;
+    limits.first_request_timeout_s = limits.prioritized_idle_timeout_s = c::first_request_timeout_s;
     return limits;
 }
 
--- a/src/scheduling/eligibility.cpp
+++ b/src/scheduling/eligibility.cpp
@@ -39,7 +39,7 @@
 }
 
 bool within_team_quota(const Snapshot& snapshot, const model::JobSpec& spec, double task_count) {
-    const auto* team = snapshot.settings->team(spec.team);
+    const auto* team = snapshot.settings->find_team(spec.team);
     if (!team) return false;
     const auto found = snapshot.usage.find(spec.team);
     const TeamUsage usage = found == snapshot.usage.end() ? TeamUsage{} : found->second;
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -25,8 +25,8 @@
     if (preemptor.priority < victim.priority) return true;
     const auto &preemptor_spec = *preemptor.spec, &victim_spec = *victim.spec;
     if (preemptor_spec.team == victim_spec.team) return false;
-    const auto* preemptor_team = snapshot.settings->team(preemptor_spec.team);
-    const auto* victim_team = snapshot.settings->team(victim_spec.team);
+    const auto* preemptor_team = snapshot.settings->find_team(preemptor_spec.team);
+    const auto* victim_team = snapshot.settings->find_team(victim_spec.team);
     if (!preemptor_team || !victim_team || (preemptor_team->cpus <= 0 && preemptor_team->gpus <= 0))
         return false;
     const auto preemptor_usage = usage_of(snapshot, preemptor_spec.team);
