--- a/tools/check_docs_names.py
+++ b/tools/check_docs_names.py
@@ -35,10 +35,10 @@
 SKIPPED_PAGES = ("docs/incidents/", "docs/results.md")
 LIBRARY_NAMESPACES = {"std", "boost", "asio", "beast", "json", "spdlog", "testing", "toml", "CLI", "icl", "chrono"}
 # Words with an underscore that are not ours: of the language, of libraries, and rules of the users' bench.
-FOREIGN_WORDS = {"co_await", "co_return", "co_spawn", "lru_cache", "ran_twice", "ran_cancelled", "wrong_place",
+EXTERNAL_IDENTIFIERS = {"co_await", "co_return", "co_spawn", "lru_cache", "ran_twice", "ran_cancelled", "wrong_place",
                  "not_done", "went_back"}
-BARE_FILE = re.compile(r"[\w.-]+\.(?:cpp|hpp|md|py|sh|trace)")
-PATH_ENDING = re.compile(r"\.(?:cpp|hpp|md|py|sh|trace|toml|json|txt)$")
+FILE_NAME = re.compile(r"[\w.-]+\.(?:cpp|hpp|md|py|sh|trace)")
+FILE_EXTENSION = re.compile(r"\.(?:cpp|hpp|md|py|sh|trace|toml|json|txt)$")
 CAMEL_CASE = re.compile(r"[A-Z][A-Za-z0-9]*[a-z][A-Za-z0-9]*")
 TEST_MACROS = {"TEST", "TEST_F", "TEST_P", "TYPED_TEST", "TYPED_TEST_P"}
 KEYWORDS = {"if", "for", "while", "switch", "catch", "return", "sizeof", "alignof", "decltype", "noexcept", "do",
@@ -65,20 +65,20 @@
         self.literals = set()
 
     def add_source(self, text, is_src):
-        def without(match):
+        def blank_out(match):
             literal = match["plain"] if match["plain"] is not None else match["raw"]
             if literal is not None and is_src:
                 self.literals.add(literal)
             return "\n" * match[0].count("\n") if literal is None else '""'
 
-        text = LITERAL_OR_COMMENT.sub(without, text)
+        text = LITERAL_OR_COMMENT.sub(blank_out, text)
         for macro in re.findall(r"^\s*#\s*define\s+(\w+)\(", text, re.M):
             self.callables.add(macro)
         text = re.sub(r"^[ \t]*#(?:\\\n|[^\n])*", "", text, flags=re.M)
-        self.read_tests(text)
-        self.read_scopes(TOKEN.findall(text))
+        self.add_tests(text)
+        self.add_scopes(TOKEN.findall(text))
 
-    def read_tests(self, text):
+    def add_tests(self, text):
         for macro, suite, test in re.findall(r"\b(\w+)\(\s*(\w+)\s*,\s*(\w+)\s*\)\s*\{", text):
             if macro in TEST_MACROS:
                 self.suites.add(suite)
@@ -86,7 +86,7 @@
         for prefix, suite in re.findall(r"\bINSTANTIATE_TEST_SUITE_P\(\s*(\w+)\s*,\s*(\w+)", text):
             self.prefixes[suite].add(prefix)
 
-    def read_scopes(self, tokens):
+    def add_scopes(self, tokens):
         """Follows the braces; notes what is declared directly in a namespace, class or enumeration."""
         stack = []  # of each open brace: its kind, names added to the scope, depth and statement to go on with
         scope = ()
@@ -96,24 +96,24 @@
         for token in tokens:
             kind = stack[-1][0] if stack else "namespace"
             if token == "{":
-                new_kind, names = self.opened(statement, kind) if depth == 0 else ("code", ())
+                new_kind, names = self.classify_brace(statement, kind) if depth == 0 else ("code", ())
                 if kind != "code" and new_kind != "namespace":
-                    self.declare(scope, statement)
+                    self.add_declarations(scope, statement)
                 # after an argument or initialiser in braces the statement goes on, after a body it doesn't
-                goes_on = new_kind == "code" and (depth > 0 or "(" not in statement)
-                stack.append((new_kind, names, depth, statement if goes_on else []))
+                statement_continues = new_kind == "code" and (depth > 0 or "(" not in statement)
+                stack.append((new_kind, names, depth, statement if statement_continues else []))
                 scope += names
                 statement, depth = [], 0
             elif token == "}":
                 if not stack:
                     continue
                 if kind == "enum":
-                    self.declare_enumerators(scope, statement)
+                    self.add_enumerators(scope, statement)
                 _, names, depth, statement = stack.pop()
                 scope = scope[:len(scope) - len(names)]
             elif token == ";" and depth == 0:
                 if kind not in ("code", "enum"):
-                    self.declare(scope, statement)
+                    self.add_declarations(scope, statement)
                 statement = []
             elif kind == "class" and token == ":" and statement in (["public"], ["private"], ["protected"]):
                 statement = []
@@ -121,28 +121,28 @@
                 depth += (token in "([") - (token in ")]")
                 statement.append(token)
 
-    def opened(self, statement, kind):
+    def classify_brace(self, statement, kind):
         """What the brace after these tokens opens, and the names it adds to the scope."""
         if kind == "code":
             return "code", ()
-        head = self.without_template_head(statement)
+        head = self.strip_template_head(statement)
         if "namespace" in head[:2]:
             return "namespace", tuple(t for t in head[head.index("namespace") + 1:] if re.match(r"[A-Za-z_]", t))
         if head[:1] == ["extern"]:
             return "namespace", ()
-        for word in ("enum", "class", "struct", "union"):
-            if word in head and "(" not in head[:head.index(word)] and "=" not in head:
-                names = [t for t in self.before_bases(head) if re.match(r"[A-Za-z_]", t)
+        for keyword in ("enum", "class", "struct", "union"):
+            if keyword in head and "(" not in head[:head.index(keyword)] and "=" not in head:
+                names = [t for t in self.strip_base_clause(head) if re.match(r"[A-Za-z_]", t)
                          and t not in ("enum", "class", "struct", "union", "final", "static", "const", "friend",
                                        "typedef")]
-                if "(" in self.before_bases(head):
+                if "(" in self.strip_base_clause(head):
                     break  # a function that returns a struct
-                self.note_bases(head, names)
+                self.add_bases(head, names)
                 return ("enum" if "enum" in head else "class"), tuple(names)
         return "code", ()
 
     @staticmethod
-    def without_template_head(statement):
+    def strip_template_head(statement):
         while statement[:1] == ["template"]:
             depth = 0
             for index, token in enumerate(statement[1:], 1):
@@ -155,30 +155,30 @@
         return statement
 
     @staticmethod
-    def before_bases(head):
+    def strip_base_clause(head):
         return head[:head.index(":")] if ":" in head else head
 
-    def note_bases(self, head, names):
+    def add_bases(self, head, names):
         if not names:
             return
         self.types.add(names[-1])
         if ":" in head and "enum" not in head:
             self.bases[names[-1]].update(t for t in head[head.index(":") + 1:] if re.match(r"[A-Za-z_]", t))
 
-    def declare_enumerators(self, scope, tokens):
-        expected = True
+    def add_enumerators(self, scope, tokens):
+        expects_name = True
         for token in tokens:
-            if expected and re.match(r"[A-Za-z_]", token):
+            if expects_name and re.match(r"[A-Za-z_]", token):
                 self.members[scope].add(token)
-            expected = token == ","
+            expects_name = token == ","
 
-    def declare(self, scope, statement):
+    def add_declarations(self, scope, statement):
         """Notes the names that a statement of a namespace or class declares."""
-        statement = self.without_template_head(statement)
+        statement = self.strip_template_head(statement)
         if not statement:
             return
         if statement[0] in ("class", "struct", "union", "enum") and "(" not in statement:
-            names = [t for t in self.before_bases(statement) if re.match(r"[A-Za-z_]", t)]
+            names = [t for t in self.strip_base_clause(statement) if re.match(r"[A-Za-z_]", t)]
             self.types.add(names[-1])
             self.members[scope].add(names[-1])
             return
@@ -192,43 +192,43 @@
             self.bases[name].update(t for t in statement[2:] if re.match(r"[A-Za-z_]", t))
             return
         # a declarator ends in one of these; types before it and arguments after it don't
-        depth = angle = 0
+        depth = angle_depth = 0
         for index, token in enumerate(statement):
-            following = statement[index + 1] if index + 1 < len(statement) else ";"
+            next_token = statement[index + 1] if index + 1 < len(statement) else ";"
             if re.match(r"[A-Za-z_]", token) and depth == 0 and token not in KEYWORDS:
-                if following == "(" and angle == 0:
+                if next_token == "(" and angle_depth == 0:
                     self.callables.add(token)
-                    owner = self.owner_in_front(statement, index)
-                    self.members[scope + owner].add(token)
+                    qualifiers = self.preceding_qualifiers(statement, index)
+                    self.members[scope + qualifiers].add(token)
                     return  # arguments and initialisers are no declarations
-                if following in (";", "=", ",", "[", ":", "{") and angle == 0:
-                    self.members[scope + self.owner_in_front(statement, index)].add(token)
+                if next_token in (";", "=", ",", "[", ":", "{") and angle_depth == 0:
+                    self.members[scope + self.preceding_qualifiers(statement, index)].add(token)
             if token == "=" and depth == 0 and statement[index - 1] != "operator":
                 return
             depth += (token in "([") - (token in ")]")
-            angle += (token == "<") - (token == ">")
+            angle_depth += (token == "<") - (token == ">")
 
     @staticmethod
-    def owner_in_front(statement, index):
-        owner = ()
+    def preceding_qualifiers(statement, index):
+        qualifiers = ()
         while index >= 2 and statement[index - 1] == "::" and re.match(r"[A-Za-z_]", statement[index - 2]):
-            owner = (statement[index - 2],) + owner
+            qualifiers = (statement[index - 2],) + qualifiers
             index -= 2
-        return owner
+        return qualifiers
 
-    def has_qualified(self, parts, seen=frozenset()):
+    def has_qualified_name(self, parts, visited=frozenset()):
         """Whether parts[-1] is declared in the scope, or in a base of the type, that parts[:-1] names."""
         scope, name = tuple(parts[:-1]), parts[-1]
         if any(name in names for declared, names in self.members.items() if declared[-len(scope):] == scope):
             return True
         if any(declared[-len(parts):] == tuple(parts) for declared in self.members):
             return True
-        others = self.bases.get(scope[-1], set()) - seen
-        return any(self.has_qualified([other, name], seen | {scope[-1]}) for other in others)
+        related_types = self.bases.get(scope[-1], set()) - visited
+        return any(self.has_qualified_name([related_type, name], visited | {scope[-1]}) for related_type in related_types)
 
     def has_test(self, name):
-        prefix, _, plain = name.rpartition("/")
-        return plain in self.tests and (not prefix or prefix in self.prefixes[plain.split(".")[0]])
+        prefix, _, test = name.rpartition("/")
+        return test in self.tests and (not prefix or prefix in self.prefixes[test.split(".")[0]])
 
 
 class Checker:
@@ -244,14 +244,14 @@
         self.traces = {path.stem for path in (self.root / "tests").rglob("*.trace")}
         self.file_names = {path.name for folder in NAME_FOLDERS for path in (self.root / folder).rglob("*")}
         self.file_names.update(path.name for path in self.root.iterdir())
-        self.folders = {path.name for where in ("", "src") for path in (self.root / where).glob("*")
+        self.folders = {path.name for parent in ("", "src") for path in (self.root / parent).glob("*")
                         if path.is_dir() and path.name != "target"} | set(NAME_FOLDERS)
 
     def is_missing(self, text):
         """True if the text has the form of a name and no such thing exists."""
         if re.fullmatch(r"(?:\w+/)?[A-Z]\w*\.[A-Z]\w*", text):
             return not self.index.has_test(text)
-        if BARE_FILE.fullmatch(text):
+        if FILE_NAME.fullmatch(text):
             return text not in self.file_names
         if re.fullmatch(r"[\w.*{},-]+(?:/[\w.*{},-]+)*/?(?::\d+)?", text) and "/" in text:
             return self.path_is_missing(text)
@@ -259,71 +259,71 @@
 
     def path_is_missing(self, text):
         text = re.sub(r":\d+$", "", text)
-        first = text.split("/")[0]
-        if first == "target":
+        first_folder = text.split("/")[0]
+        if first_folder == "target":
             return False
-        if text.endswith("/") and any(literal.startswith(first + "/") for literal in self.index.literals):
+        if text.endswith("/") and any(literal.startswith(first_folder + "/") for literal in self.index.literals):
             return False  # a prefix of keys in the store
-        if not (first in self.folders or text.endswith("/") or PATH_ENDING.search(text)):
+        if not (first_folder in self.folders or text.endswith("/") or FILE_EXTENSION.search(text)):
             return False
         return not all(self.path_exists(path) for path in expand_braces(text.rstrip("/")))
 
     def path_exists(self, path):
-        return any(next((self.root / front).glob(path), None) for front in PATH_ROOTS)
+        return any(next((self.root / path_root).glob(path), None) for path_root in PATH_ROOTS)
 
     def code_name_is_missing(self, text):
         name = re.sub(r"<.*>", "", text)
-        called = re.fullmatch(r"([\w:~]+)\(.*\)", name)
-        name = called[1] if called else name
+        call_match = re.fullmatch(r"([\w:~]+)\(.*\)", name)
+        name = call_match[1] if call_match else name
         if re.fullmatch(r"[A-Za-z_]\w*(?:::~?[A-Za-z_]\w*)+", name):
             parts = name.split("::")
-            return parts[0] not in LIBRARY_NAMESPACES and not self.index.has_qualified(parts)
-        if called:
+            return parts[0] not in LIBRARY_NAMESPACES and not self.index.has_qualified_name(parts)
+        if call_match:
             return re.fullmatch(r"\w+", name) is not None and name not in self.index.callables | self.index.types
         if re.fullmatch(r"[a-z][a-z0-9]*_", name):
             return name not in self.declared
         if re.fullmatch(r"[a-z][a-z0-9]*(?:_[a-z0-9]+)+_?", name):
-            return name not in self.declared | self.index.literals | self.traces | FOREIGN_WORDS
+            return name not in self.declared | self.index.literals | self.traces | EXTERNAL_IDENTIFIERS
         if CAMEL_CASE.fullmatch(name):
             return name not in self.index.types | self.index.suites | self.index.literals
         return False
 
 
 def expand_braces(text):
-    group = re.search(r"\{([^{}]*)\}", text)
-    if not group:
+    braces = re.search(r"\{([^{}]*)\}", text)
+    if not braces:
         return [text]
-    return [path for choice in group[1].split(",")
-            for path in expand_braces(text[:group.start()] + choice + text[group.end():])]
+    return [path for alternative in braces[1].split(",")
+            for path in expand_braces(text[:braces.start()] + alternative + text[braces.end():])]
 
 
-def names_of_page(text):
+def code_spans(text):
     """(line, text in backquotes) of a page, without its code blocks. Such text may go over the end of a line."""
-    kept, fence, previous_blank = [], None, True
+    prose_lines, fence, previous_blank = [], None, True
     for line in text.split("\n"):
         opening = re.match(r"\s*(```+|~~~+)", line)
-        indented = re.match(r"(?: {4}|\t)", line) and (previous_blank or kept[-1] is None)
+        indented = re.match(r"(?: {4}|\t)", line) and (previous_blank or prose_lines[-1] is None)
         if fence or opening or indented:
             if opening:
                 fence = None if fence and opening[1].startswith(fence) else fence or opening[1]
-            kept.append(None)
+            prose_lines.append(None)
         else:
-            kept.append(line)
+            prose_lines.append(line)
         previous_blank = not line.strip()
-    plain = "\n".join(line or "" for line in kept)
-    for match in re.finditer(r"(?<!`)(`+)(?!`)((?:[^\n]|\n(?!\n))+?)(?<!`)\1(?!`)", plain):
-        yield plain.count("\n", 0, match.start()) + 1, " ".join(match[2].split())
+    prose = "\n".join(line or "" for line in prose_lines)
+    for match in re.finditer(r"(?<!`)(`+)(?!`)((?:[^\n]|\n(?!\n))+?)(?<!`)\1(?!`)", prose):
+        yield prose.count("\n", 0, match.start()) + 1, " ".join(match[2].split())
 
 
-def missing_names(root):
+def find_missing_names(root):
     checker = Checker(root)
     pages = [pathlib.Path(root) / "README.md", *sorted((pathlib.Path(root) / "docs").rglob("*.md"))]
     for page in pages:
-        where = page.relative_to(root).as_posix()
-        if not where.startswith(SKIPPED_PAGES):
-            for line, name in names_of_page(page.read_text()):
+        page_path = page.relative_to(root).as_posix()
+        if not page_path.startswith(SKIPPED_PAGES):
+            for line, name in code_spans(page.read_text()):
                 if checker.is_missing(name):
-                    yield f"{where}:{line}: {name}"
+                    yield f"{page_path}:{line}: {name}"
 
 
 EXAMPLE_SOURCES = {
@@ -369,7 +369,7 @@
     "docs/design.md": "",
     "lint.sh": "",
 }
-EXISTING_OR_PASSED_OVER = """
+EXISTING_OR_IGNORED = """
     src/cluster/job_table.hpp cluster/job_table.hpp job_table.cpp job_table.cpp:12 src/cluster/ cluster/ tests/traces
     tests/traces/*.trace cluster/job_table.{hpp,cpp} quiet.trace lint.sh docs/design.md design.md
     JobTable JobState JobMap JobTable<int> JobTable::find JobTable::find() JobTable::find(id) JobTable::entries_
@@ -412,17 +412,17 @@
             path.parent.mkdir(parents=True, exist_ok=True)
             path.write_text(text)
         checker = Checker(root)
-        failures += [f"reported, but exists or is no name: {n}" for n in EXISTING_OR_PASSED_OVER
+        failures += [f"reported, but exists or is no name: {n}" for n in EXISTING_OR_IGNORED
                      if checker.is_missing(n)]
         failures += [f"not reported: {n}" for n in MISSING if not checker.is_missing(n)]
         (pathlib.Path(root) / "README.md").write_text("One\n`NoType` and `JobTable`\n")
         (pathlib.Path(root) / "docs/results.md").write_text("`NoType`\n")
         (pathlib.Path(root) / "docs/incidents").mkdir()
         (pathlib.Path(root) / "docs/incidents/one.md").write_text("`NoType`\n")
-        found = list(missing_names(root))
-        if found != ["README.md:2: NoType"]:
-            failures.append(f"findings of the example pages: {found}")
-    names = list(names_of_page(EXAMPLE_PAGE))
+        findings = list(find_missing_names(root))
+        if findings != ["README.md:2: NoType"]:
+            failures.append(f"findings of the example pages: {findings}")
+    names = list(code_spans(EXAMPLE_PAGE))
     if names != [(1, "a"), (1, "b`c"), (1, "over a line"), (12, "d")]:
         failures.append(f"names of the example page: {names}")
     print("\n".join(failures) if failures else "self-test passed")
@@ -435,9 +435,9 @@
     if sys.argv[1:]:
         print(__doc__)
         return 2
-    found = list(missing_names(pathlib.Path(__file__).resolve().parent.parent))
-    print("\n".join(found + ["pages name what doesn't exist"]) if found else "names on the pages exist")
-    return 1 if found else 0
+    findings = list(find_missing_names(pathlib.Path(__file__).resolve().parent.parent))
+    print("\n".join(findings + ["pages name what doesn't exist"]) if findings else "names on the pages exist")
+    return 1 if findings else 0
 
 
 if __name__ == "__main__":
