--- a/tools/check_docs_names.py
+++ b/tools/check_docs_names.py
@@ -1,24 +1,29 @@
 #!/usr/bin/env python3
-"""Checks that the names in backquotes on our pages exist in the tree.
+"""Checks that every name in backquotes in the documentation exists in the repository.
 
-Read are README.md and docs/**/*.md, without fenced and indented code blocks. What counts as a name:
+The script reads README.md and docs/**/*.md, without fenced and indented code blocks. It treats as names:
 
-    folder/file.cpp, folder/     begins with a folder of the repository or of src/, or has the ending of a file
-                                 that we write, or ends in a slash; `*`, `{a,b}` and a line number are allowed
-    file.cpp                     a file name alone, with the ending of a source, page, script or trace
-    Type                         a word in CamelCase: a type, or the suite of a test
-    Type::member, space::name    qualified; template arguments and a list of arguments are allowed
+    folder/file.cpp, folder/     a path that begins with a folder of the repository or of src/, has one of the
+                                 extensions in FILE_EXTENSION, or ends in a slash; `*`, `{a,b}` and a line
+                                 number are allowed
+    file.cpp                     a file name without a folder, with one of the extensions in FILE_NAME
+    Type                         a word in CamelCase: a type or a test suite
+    Type::member, space::name    a qualified name; template arguments and an argument list are allowed
     function(), member_          a function or macro; a private member
-    snake_case                   with an underscore inside: declared, a string literal of src/, a trace, or one of
-                                 FOREIGN_WORDS
+    snake_case                   a word with an underscore inside: a declaration, a string literal of src/, a
+                                 trace, or one of EXTERNAL_IDENTIFIERS
     Suite.Test, Prefix/Suite.Test
 
-Passed over, because such text is no name of ours: names in libraries' namespaces (`std::`, ...); words in
-CamelCase and folder-like prefixes that stand in a string literal of src/ (names on the wire, keys in the store);
-paths that begin with a slash (HTTP), lie under target/ (build output) or are a .toml, .json or .txt file without
-a folder (files of the reader); and everything else: commands, settings, log lines, plain words in lower case.
+It ignores text that does not refer to the repository:
 
-    tools/check_docs_names.py               checks; prints page:line: name, exit status 1 if one isn't found
+    - names in the namespaces of libraries (`std::`, ...);
+    - words in CamelCase that are a string literal of src/ (names on the wire), and paths ending in a slash
+      whose first folder begins such a literal (key prefixes in the store);
+    - paths that begin with a slash (HTTP) or lie under target/ (build output), and .toml, .json and .txt
+      files without a folder (files of the reader);
+    - everything else: commands, settings, log lines and plain words in lower case.
+
+    tools/check_docs_names.py               prints page:line: name for each missing name; exits with 1 if any
     tools/check_docs_names.py --self-test   checks these rules on examples
 """
 import collections
@@ -29,14 +34,15 @@
 
 CODE_FOLDERS = ("src", "tests")
 NAME_FOLDERS = ("src", "tests", "docs", "deploy", "tools", "journal", ".ci")
-# Paths may leave these out at their front, as #include lines do.
+# Folders that a path may omit at its start, as #include lines do.
 PATH_ROOTS = ("", "src", "tests", "docs", "deploy")
-# Incident reports and the history of measured runs name the code as it was at the time they were written.
+# Incident reports and the history of measured runs name the code as it was when they were written.
 SKIPPED_PAGES = ("docs/incidents/", "docs/results.md")
 LIBRARY_NAMESPACES = {"std", "boost", "asio", "beast", "json", "spdlog", "testing", "toml", "CLI", "icl", "chrono"}
-# Words with an underscore that are not ours: of the language, of libraries, and rules of the users' bench.
-EXTERNAL_IDENTIFIERS = {"co_await", "co_return", "co_spawn", "lru_cache", "ran_twice", "ran_cancelled", "wrong_place",
-                 "not_done", "went_back"}
+# Words with an underscore that are not declared in this repository: C++ keywords, names of libraries, and
+# rules of the users' benchmark.
+EXTERNAL_IDENTIFIERS = {"co_await", "co_return", "co_spawn", "lru_cache", "ran_twice", "ran_cancelled",
+                        "wrong_place", "not_done", "went_back"}
 FILE_NAME = re.compile(r"[\w.-]+\.(?:cpp|hpp|md|py|sh|trace)")
 FILE_EXTENSION = re.compile(r"\.(?:cpp|hpp|md|py|sh|trace|toml|json|txt)$")
 CAMEL_CASE = re.compile(r"[A-Z][A-Za-z0-9]*[a-z][A-Za-z0-9]*")
@@ -52,11 +58,11 @@
 
 
 class CodeIndex:
-    """What is declared in the sources: by scope, and the tests, functions and string literals."""
+    """Index of the names declared in the sources by scope, and of tests, functions and string literals."""
 
     def __init__(self):
         self.members = collections.defaultdict(set)  # qualified scope (tuple) -> names declared in it
-        self.bases = collections.defaultdict(set)  # type's name -> names of its bases, and of what it stands for
+        self.bases = collections.defaultdict(set)  # type or alias -> its base or aliased types
         self.types = set()
         self.callables = set()
         self.tests = set()  # "Suite.Test"
@@ -87,11 +93,11 @@
             self.prefixes[suite].add(prefix)
 
     def add_scopes(self, tokens):
-        """Follows the braces; notes what is declared directly in a namespace, class or enumeration."""
-        stack = []  # of each open brace: its kind, names added to the scope, depth and statement to go on with
+        """Tracks braces and records the names declared directly in a namespace, class or enumeration."""
+        stack = []  # for each open brace: kind, names added to the scope, depth and statement to resume
         scope = ()
-        statement = []  # tokens since the last ; { or } of this scope
-        depth = 0  # of ( and [ within the statement
+        statement = []  # tokens since the last ";", "{" or "}" of this scope
+        depth = 0  # nesting of "(" and "[" within the statement
 
         for token in tokens:
             kind = stack[-1][0] if stack else "namespace"
@@ -99,7 +105,7 @@
                 new_kind, names = self.classify_brace(statement, kind) if depth == 0 else ("code", ())
                 if kind != "code" and new_kind != "namespace":
                     self.add_declarations(scope, statement)
-                # after an argument or initialiser in braces the statement goes on, after a body it doesn't
+                # The statement continues after a braced argument or initializer, but not after a body.
                 statement_continues = new_kind == "code" and (depth > 0 or "(" not in statement)
                 stack.append((new_kind, names, depth, statement if statement_continues else []))
                 scope += names
@@ -122,7 +128,7 @@
                 statement.append(token)
 
     def classify_brace(self, statement, kind):
-        """What the brace after these tokens opens, and the names it adds to the scope."""
+        """Returns the kind of block that a brace after these tokens opens, and the names it adds."""
         if kind == "code":
             return "code", ()
         head = self.strip_template_head(statement)
@@ -173,7 +179,7 @@
             expects_name = token == ","
 
     def add_declarations(self, scope, statement):
-        """Notes the names that a statement of a namespace or class declares."""
+        """Records the names that a statement of a namespace or class declares."""
         statement = self.strip_template_head(statement)
         if not statement:
             return
@@ -191,7 +197,8 @@
             self.members[scope].add(name)
             self.bases[name].update(t for t in statement[2:] if re.match(r"[A-Za-z_]", t))
             return
-        # a declarator ends in one of these; types before it and arguments after it don't
+        # A declared name is followed by one of the tokens tested below; the type before it is not. Scanning
+        # stops at the arguments or the initializer.
         depth = angle_depth = 0
         for index, token in enumerate(statement):
             next_token = statement[index + 1] if index + 1 < len(statement) else ";"
@@ -200,7 +207,7 @@
                     self.callables.add(token)
                     qualifiers = self.preceding_qualifiers(statement, index)
                     self.members[scope + qualifiers].add(token)
-                    return  # arguments and initialisers are no declarations
+                    return  # arguments and initializers declare nothing in this scope
                 if next_token in (";", "=", ",", "[", ":", "{") and angle_depth == 0:
                     self.members[scope + self.preceding_qualifiers(statement, index)].add(token)
             if token == "=" and depth == 0 and statement[index - 1] != "operator":
@@ -217,14 +224,15 @@
         return qualifiers
 
     def has_qualified_name(self, parts, visited=frozenset()):
-        """Whether parts[-1] is declared in the scope, or in a base of the type, that parts[:-1] names."""
+        """Returns whether parts[-1] is declared in the scope parts[:-1], or in its base or aliased types."""
         scope, name = tuple(parts[:-1]), parts[-1]
         if any(name in names for declared, names in self.members.items() if declared[-len(scope):] == scope):
             return True
         if any(declared[-len(parts):] == tuple(parts) for declared in self.members):
             return True
         related_types = self.bases.get(scope[-1], set()) - visited
-        return any(self.has_qualified_name([related_type, name], visited | {scope[-1]}) for related_type in related_types)
+        return any(self.has_qualified_name([related_type, name], visited | {scope[-1]})
+                   for related_type in related_types)
 
     def has_test(self, name):
         prefix, _, test = name.rpartition("/")
@@ -232,7 +240,7 @@
 
 
 class Checker:
-    """Decides for one text in backquotes whether it is a name, and whether that exists."""
+    """Decides whether a text in backquotes is a name, and whether the repository has it."""
 
     def __init__(self, root):
         self.root = pathlib.Path(root)
@@ -248,7 +256,7 @@
                         if path.is_dir() and path.name != "target"} | set(NAME_FOLDERS)
 
     def is_missing(self, text):
-        """True if the text has the form of a name and no such thing exists."""
+        """Returns whether the text has the form of a name but nothing with that name exists."""
         if re.fullmatch(r"(?:\w+/)?[A-Z]\w*\.[A-Z]\w*", text):
             return not self.index.has_test(text)
         if FILE_NAME.fullmatch(text):
@@ -263,7 +271,7 @@
         if first_folder == "target":
             return False
         if text.endswith("/") and any(literal.startswith(first_folder + "/") for literal in self.index.literals):
-            return False  # a prefix of keys in the store
+            return False  # a key prefix in the store
         if not (first_folder in self.folders or text.endswith("/") or FILE_EXTENSION.search(text)):
             return False
         return not all(self.path_exists(path) for path in expand_braces(text.rstrip("/")))
@@ -298,7 +306,7 @@
 
 
 def code_spans(text):
-    """(line, text in backquotes) of a page, without its code blocks. Such text may go over the end of a line."""
+    """Yields (line, text) for each text in backquotes outside code blocks; a text may span several lines."""
     prose_lines, fence, previous_blank = [], None, True
     for line in text.split("\n"):
         opening = re.match(r"\s*(```+|~~~+)", line)
@@ -412,7 +420,7 @@
             path.parent.mkdir(parents=True, exist_ok=True)
             path.write_text(text)
         checker = Checker(root)
-        failures += [f"reported, but exists or is no name: {n}" for n in EXISTING_OR_IGNORED
+        failures += [f"reported, but exists or is not a name: {n}" for n in EXISTING_OR_IGNORED
                      if checker.is_missing(n)]
         failures += [f"not reported: {n}" for n in MISSING if not checker.is_missing(n)]
         (pathlib.Path(root) / "README.md").write_text("One\n`NoType` and `JobTable`\n")
@@ -421,10 +429,10 @@
         (pathlib.Path(root) / "docs/incidents/one.md").write_text("`NoType`\n")
         findings = list(find_missing_names(root))
         if findings != ["README.md:2: NoType"]:
-            failures.append(f"findings of the example pages: {findings}")
+            failures.append(f"unexpected findings on the example pages: {findings}")
     names = list(code_spans(EXAMPLE_PAGE))
     if names != [(1, "a"), (1, "b`c"), (1, "over a line"), (12, "d")]:
-        failures.append(f"names of the example page: {names}")
+        failures.append(f"unexpected names on the example page: {names}")
     print("\n".join(failures) if failures else "self-test passed")
     return 1 if failures else 0
 
@@ -436,7 +444,8 @@
         print(__doc__)
         return 2
     findings = list(find_missing_names(pathlib.Path(__file__).resolve().parent.parent))
-    print("\n".join(findings + ["pages name what doesn't exist"]) if findings else "names on the pages exist")
+    print("\n".join(findings + ["the documentation contains names that do not exist"]) if findings else
+          "all names in the documentation exist")
     return 1 if findings else 0
 
 
