--- a/tools/run_tests.sh
+++ b/tools/run_tests.sh
@@ -1,19 +1,19 @@
 #!/usr/bin/env bash
 # Runs every test of a build tree on all cores: tools/run_tests.sh BUILD_FOLDER [KNOWN_RED_FILE]
-# Tests listed in the known-red file are run separately and printed, and don't decide the exit status; every
-# other failure does. A line of that file reads "Suite.Name  cause  issue"; there are three lines at most, and
-# each names an existing test.
+# Tests listed in the known-red file (known failures) run separately: their results are printed but do not
+# affect the exit status. Any other failure does. Each line of that file has the form
+# "Suite.Name  cause  issue" and must name an existing test; at most three lines are allowed.
 set -euo pipefail
 build=$1
 known_red_file=${2:-}
 max_known_red=3
 
-# Lists the names of all tests, one a line.
+# Prints the names of all tests, one per line.
 list_tests() {
     ctest --test-dir "$build" --show-only | sed -nE 's/^ *Test +#[0-9]+: (.*)$/\1/p'
 }
 
-# Prints the names in the known-red file, one a line; fails on a line that breaks the rules above.
+# Prints the test names from the known-red file, one per line; fails if the file breaks the rules above.
 read_known_red() {
     local all_tests name cause issue extra line_number=0 seen=" "
     all_tests=$(list_tests)
@@ -36,7 +36,7 @@
         echo "$name"
     done <"$known_red_file"
     if [ "$line_number" -gt "$max_known_red" ]; then
-        echo "$known_red_file: $line_number lines; $max_known_red at most" >&2
+        echo "$known_red_file: $line_number lines, but at most $max_known_red are allowed" >&2
         return 1
     fi
 }
@@ -52,20 +52,21 @@
 
 names=$(read_known_red)
 if [ -z "$names" ]; then
-    echo "$known_red_file lists no test; remove it" >&2
+    echo "$known_red_file lists no tests; remove the file" >&2
     exit 1
 fi
-# Every character with a meaning in CMake's regular expressions is escaped; the match is of the whole name.
+# Escapes the special characters of CMake's regular expressions and anchors the pattern, so that only whole
+# names match.
 pattern="^($(sed -E 's/[][\.*+?^$()|]/\\&/g' <<<"$names" | paste -sd '|'))\$"
 
-echo "Known red, run separately ($known_red_file):"
-awk 1 "$known_red_file"  # ends the last line too
+echo "Known failures, run separately ($known_red_file):"
+awk 1 "$known_red_file"  # adds a missing newline at the end of the file
 known_red_status=0
 run_ctest -R "$pattern" || known_red_status=$?
 if [ "$known_red_status" -eq 0 ]; then
-    echo "Known red: every one of them passes now; take them out of $known_red_file"
+    echo "Known failures: all of them pass now; remove them from $known_red_file"
 else
-    echo "Known red: failed as listed above (status $known_red_status); passed over"
+    echo "Known failures: ctest failed with status $known_red_status; ignored"
 fi
 echo "All other tests:"
 run_ctest -E "$pattern"
