--- a/tests/asymmetric_partition_test.cpp
+++ b/tests/asymmetric_partition_test.cpp
@@ -18,8 +18,8 @@
     for (int i = 0; i < 11; ++i) {
         simulator.send_heartbeat("m-1", true);  // its answers are lost, its heartbeats are not
         simulator.plan_and_commit();
-        for (const auto& o : simulator.send_heartbeat("m-2"))
-            EXPECT_NE(o.task.job, "j-1") << "may still run on m-1";
+        for (const auto& command : simulator.send_heartbeat("m-2"))
+            EXPECT_NE(command.task.job, "j-1") << "may still run on m-1";
         simulator.advance(3);
     }
     EXPECT_EQ(simulator.starts, 3);  // those of j-2 went to m-2
@@ -50,7 +50,7 @@
 }
 
 // When no answer reaches many machines at once, the fault is the leader's: no machine is released.
-TEST(AsymmetricPartition, ManyAtOnceReleaseNoMachine) {
+TEST(AsymmetricPartition, SimultaneousPartitionsReleaseNoMachine) {
     StartedLeader simulator("inbound_partition_of_many");
     std::vector<std::string> machines;
     for (int i = 1; i <= 8; ++i) {
@@ -73,7 +73,7 @@
 
 // A machine that never shows this term's fencing token gets no commands and proves nothing; it is
 // released once its lease must have ended. With many of them the fault is taken to be the leader's.
-TEST(AsymmetricPartition, MachineThatNeverShowsTheToken) {
+TEST(AsymmetricPartition, MachineNotReportingTheTokenIsReleased) {
     StartedLeader simulator("never_shows_token", {"m-1"});
     simulator.add_worker("m-2");
     simulator.run_job(array_job("j-1", 1), "m-1");
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -36,25 +36,25 @@
         rejected_by_store.clear();
         store.extend_leases(now());
     }
-    // How long until nothing of the job is on a machine; the test fails after at_most seconds.
-    double seconds_until_stopped(const std::string& job, double at_most) {
-        const double from = now();
-        while (workers.runs(job) && now() < from + at_most) run(0.5);
+    // How long until nothing of the job is on a machine; the test fails after timeout_s seconds.
+    double seconds_until_stopped(const std::string& job, double timeout_s) {
+        const double start_s = now();
+        while (workers.runs(job) && now() < start_s + timeout_s) run(0.5);
         EXPECT_FALSE(workers.runs(job)) << job;
         note("gone    " + job);
-        return now() - from;
+        return now() - start_s;
     }
     // Every controller answers about the job within 75 s of the end of all faults.
     void expect_status_everywhere(const std::string& job, const std::string& status) {
         for (int n = 0; n < controllers(); ++n) {
-            const double from = now();
-            auto r = poll(n, job);
-            while ((!r || r->status != 200) && now() < from + 75) {
+            const double start_s = now();
+            auto reply = poll(n, job);
+            while ((!reply || reply->status != 200) && now() < start_s + 75) {
                 run(5);
-                r = poll(n, job);
+                reply = poll(n, job);
             }
-            ASSERT_TRUE(r);
-            EXPECT_NE(r->body.find(status), std::string::npos) << r->body;
+            ASSERT_TRUE(reply);
+            EXPECT_NE(reply->body.find(status), std::string::npos) << reply->body;
         }
     }
     int old_leader = -1;  // when the jobs ran
@@ -63,16 +63,16 @@
 
 // A fault of a machine, and how long it lasts.
 struct MachineFaultCase {
-    std::string name, trace_name, noted_fault;
+    std::string name, trace_name, fault_note;
     MachineFault fault;
-    double lasts_s = 0;
+    double duration_s = 0;
     friend std::ostream& operator<<(std::ostream& out, const MachineFaultCase& c) { return out << c.name; }
 };
 
 // Every fault of a machine, short and long.
 std::vector<MachineFaultCase> machine_faults(const std::string& trace, double short_s, double long_s) {
     struct Fault {
-        std::string name, trace, noted;
+        std::string name, trace, fault_note;
         MachineFault fault;
     };
     const std::vector<Fault> faults{
@@ -82,8 +82,8 @@
     std::vector<MachineFaultCase> cases;
     for (const auto& each : faults) {
         const auto trace_name = trace + "_" + each.trace;
-        cases.push_back({each.name, trace_name, each.noted, each.fault, short_s});
-        cases.push_back({each.name + "Long", trace_name + "_long", each.noted, each.fault, long_s});
+        cases.push_back({each.name, trace_name, each.fault_note, each.fault, short_s});
+        cases.push_back({each.name + "Long", trace_name + "_long", each.fault_note, each.fault, long_s});
     }
     return cases;
 }
@@ -91,7 +91,7 @@
 // The combination that broke most schedulers. The store rejects the leader alone, which keeps its workers
 // through the outage that follows; what another controller confirmed as cancelled meanwhile is stopped all
 // the same, and soon: the peers confirm everything they acknowledged. Healthy work runs on.
-TEST(CombinedFaults, CancelledElsewhereThenAStoreOutage) {
+TEST(CombinedFaults, CancellationsConfirmedByPeersTakeEffectInStoreOutage) {
     CombinedFaultsCluster cluster("cancelled_before_outage");
     cluster.start_jobs({"j-1", "j-2", "j-3"});
     cluster.note("refuse  c-" + std::to_string(cluster.old_leader));
@@ -99,10 +99,10 @@
     cluster.run(0.5);
     // The leader has learned of it by the time it is confirmed: nothing starts after a confirmed
     // cancellation.
-    const auto stopped = cluster.workers.stops;
+    const auto stops_before = cluster.workers.stops;
     EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
     cluster.run(0.55);  // a plan; the next round of gossip is a second after the last
-    EXPECT_GT(cluster.workers.stops, stopped);
+    EXPECT_GT(cluster.workers.stops, stops_before);
     cluster.run(0.45);
     EXPECT_EQ(cluster.cancel(cluster.other_follower, "j-2")->status, 200);
     cluster.begin_store_outage();
@@ -122,9 +122,9 @@
 // Whichever controller confirms a cancellation keeps it known to its peers, whoever committed it and whatever
 // the request was: here the commit's own answer is lost, the outage begins, and another controller confirms
 // it from memory.
-class ConfirmedFromMemory : public ::testing::TestWithParam<NamedCase<bool>> {};
+class CancellationConfirmedFromMemory : public ::testing::TestWithParam<NamedCase<bool>> {};
 
-TEST_P(ConfirmedFromMemory, InsideAnOutage) {
+TEST_P(CancellationConfirmedFromMemory, StopsTaskDuringStoreOutage) {
     const bool by_submission = GetParam().value;
     CombinedFaultsCluster cluster(by_submission ? "confirmed_by_submission" : "confirmed_by_poll");
     cluster.start_jobs({"j-1", "j-2"});
@@ -133,9 +133,9 @@
     EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 503);  // applied, but not confirmed
     cluster.begin_store_outage();
     cluster.run(1);
-    const auto r = by_submission ? cluster.submit(cluster.other_follower, "j-1")
-                                 : cluster.poll(cluster.other_follower, "j-1");
-    EXPECT_NE(r->body.find("withdrawn"), std::string::npos);
+    const auto reply = by_submission ? cluster.submit(cluster.other_follower, "j-1")
+                                     : cluster.poll(cluster.other_follower, "j-1");
+    EXPECT_NE(reply->body.find("withdrawn"), std::string::npos);
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 8);
     cluster.run(70);
     EXPECT_TRUE(cluster.workers.runs("j-2"));
@@ -145,7 +145,7 @@
     cluster.expect_status_everywhere("j-1", "withdrawn");
 }
 
-INSTANTIATE_TEST_SUITE_P(By, ConfirmedFromMemory,
+INSTANTIATE_TEST_SUITE_P(By, CancellationConfirmedFromMemory,
                          ::testing::Values(NamedCase<bool>{"Poll", false},
                                            NamedCase<bool>{"Submission", true}),
                          case_name<NamedCase<bool>>);
@@ -153,12 +153,12 @@
 // A controller that confirmed a cancellation and ended at once knows nothing of it after its restart. The
 // leader can't prove that it knows all, so the workers' leases end in time. Back within a second or much
 // later.
-class ConfirmingControllerEnds : public ::testing::TestWithParam<NamedCase<double>> {};
+class ConfirmingControllerCrash : public ::testing::TestWithParam<NamedCase<double>> {};
 
-TEST_P(ConfirmingControllerEnds, RightAfterItsAnswer) {
-    const double away = GetParam().value;
+TEST_P(ConfirmingControllerCrash, CancelledTaskStopsAtLeaseExpiry) {
+    const double downtime_s = GetParam().value;
     CombinedFaultsCluster cluster("confirming_controller_ends_" +
-                                  std::to_string(static_cast<int>(away * 10)));
+                                  std::to_string(static_cast<int>(downtime_s * 10)));
     cluster.start_jobs({"j-1", "j-2"});
     cluster.rejected_by_store = {cluster.old_leader};
     cluster.run(0.95);
@@ -169,7 +169,7 @@
     cluster.note("end     of c-" + std::to_string(cluster.follower));
     cluster.begin_store_outage();
     cluster.partitioned_from_peers.clear();
-    cluster.run(away);
+    cluster.run(downtime_s);
     cluster.restart(cluster.follower);
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 80), 65);
     cluster.run(20);
@@ -180,20 +180,20 @@
     EXPECT_TRUE(cluster.workers.runs("j-2"));  // again, if its lease expired
 }
 
-INSTANTIATE_TEST_SUITE_P(Back, ConfirmingControllerEnds,
+INSTANTIATE_TEST_SUITE_P(Restart, ConfirmingControllerCrash,
                          ::testing::Values(NamedCase<double>{"AtOnce", 0.2},
                                            NamedCase<double>{"SoonAfter", 3.0},
                                            NamedCase<double>{"MuchLater", 100.0}),
                          case_name<NamedCase<double>>);
 
 // A controller paused between its commit and its answer confirms when it goes on; its peers learn of it then.
-TEST(CombinedFaults, PausedBetweenCommitAndAnswer) {
+TEST(CombinedFaults, CancellationTakesEffectAfterPauseBetweenCommitAndReply) {
     CombinedFaultsCluster cluster("confirming_controller_paused");
     cluster.start_jobs({"j-1", "j-2"});
     cluster.rejected_by_store = {cluster.old_leader};
-    const auto answer = cluster.send_request(cluster.follower, "POST", "/submissions/j-1/cancel");
-    const auto commits = cluster.store_requests["commit"];
-    while (cluster.store_requests["commit"] == commits) cluster.run(0.005);
+    const auto pending_reply = cluster.send_request(cluster.follower, "POST", "/submissions/j-1/cancel");
+    const auto commits_before = cluster.store_requests["commit"];
+    while (cluster.store_requests["commit"] == commits_before) cluster.run(0.005);
     cluster.run(0.01);
     cluster.note("freeze  of c-" + std::to_string(cluster.follower));
     cluster.paused = {cluster.follower};
@@ -202,8 +202,8 @@
     cluster.paused.clear();
     cluster.note("freeze  ends");
     cluster.run(0.1);
-    ASSERT_TRUE(*answer);
-    if ((*answer)->status == 200)
+    ASSERT_TRUE(*pending_reply);
+    if ((*pending_reply)->status == 200)
         cluster.workers.invariants.job_status_confirmed("j-1", "withdrawn", cluster.now());
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 66);
     cluster.end_store_outage();
@@ -213,7 +213,7 @@
 
 // The leader loses the store and the other controllers, not its workers and users. Cancellations go
 // through the new one; nothing starts twice, and the old one's workers find the new one in time.
-TEST(CombinedFaults, LeaderPartitionedFromAllButItsWorkers) {
+TEST(CombinedFaults, LeaderPartitionedFromStoreAndPeersIsReplaced) {
     CombinedFaultsCluster cluster("partitioned_but_for_workers");
     cluster.start_jobs({"j-1", "j-2"});
     cluster.note("cut     c-" + std::to_string(cluster.old_leader) + " from the state service and its peers");
@@ -238,37 +238,37 @@
 
 // A stop for a machine that hangs or has a one-way partition, inbound or outbound, and recovers later: its
 // lease ends the task, or the next answer. In an outage that began with the leader refused alone, too.
-class StopOfAFaultyMachine : public ::testing::TestWithParam<MachineFaultCase> {};
+class StopOnFaultyMachine : public ::testing::TestWithParam<MachineFaultCase> {};
 
-TEST_P(StopOfAFaultyMachine, IsCarriedOutInTime) {
-    const auto& [name, trace_name, noted_fault, fault, lasts] = GetParam();
+TEST_P(StopOnFaultyMachine, TakesEffectInTime) {
+    const auto& [name, trace_name, fault_note, fault, duration_s] = GetParam();
     CombinedFaultsCluster cluster(trace_name);
     cluster.start_jobs({"j-1", "j-2"});
     cluster.rejected_by_store = {cluster.old_leader};
     const auto machine = cluster.workers.machine_with("j-1").id;
     EXPECT_EQ(cluster.workers.machine_with("j-2").id, machine);
-    cluster.note(noted_fault + "    " + machine);
+    cluster.note(fault_note + "    " + machine);
     cluster.workers.machines.at(machine).fault = fault;
     EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
     cluster.begin_store_outage();
-    cluster.run(lasts);
+    cluster.run(duration_s);
     cluster.note("machine is well again");
     if (cluster.workers.machines.contains(machine)) cluster.workers.machines.at(machine).fault = {};
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 8);
     cluster.run(20);
-    EXPECT_EQ(cluster.workers.runs("j-2"), lasts < 10);  // in the long cases its lease expired
+    EXPECT_EQ(cluster.workers.runs("j-2"), duration_s < 10);  // in the long cases its lease expired
     cluster.end_store_outage();
     cluster.run(5);
     cluster.expect_status_everywhere("j-1", "withdrawn");
     EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
 
-INSTANTIATE_TEST_SUITE_P(Fault, StopOfAFaultyMachine, ::testing::ValuesIn(machine_faults("stop", 8, 50)),
+INSTANTIATE_TEST_SUITE_P(Fault, StopOnFaultyMachine, ::testing::ValuesIn(machine_faults("stop", 8, 50)),
                          case_name<MachineFaultCase>);
 
 // The leader learns of a cancellation when its lease is over, from a peer, inside an outage; the machine
 // reaches no controller. The stop goes there by a direct command all the same: it needs no lease.
-TEST(CombinedFaults, StopsNeedNoLease) {
+TEST(CombinedFaults, StopsAreSentWithoutLeaderLease) {
     CombinedFaultsCluster cluster("stops_need_no_lease");
     cluster.start_jobs({"j-1", "j-2"});
     cluster.rejected_by_store = {cluster.old_leader};
@@ -287,21 +287,21 @@
 
 // The leader ends while a machine can't be reached or doesn't get the new leader's answer, and a job on it is
 // cancelled. What may still run there starts nowhere else, and what is cancelled is stopped in time.
-class LeaderEndsWithAFaultyMachine : public ::testing::TestWithParam<MachineFaultCase> {};
+class LeaderCrashWithFaultyMachine : public ::testing::TestWithParam<MachineFaultCase> {};
 
-TEST_P(LeaderEndsWithAFaultyMachine, NothingRunsTwice) {
-    const auto& [name, trace_name, noted_fault, fault, lasts] = GetParam();
+TEST_P(LeaderCrashWithFaultyMachine, NoTaskRunsTwice) {
+    const auto& [name, trace_name, fault_note, fault, duration_s] = GetParam();
     CombinedFaultsCluster cluster(trace_name);
     cluster.start_jobs({"j-1", "j-2", "j-3"});
     const auto machine = cluster.workers.machine_with("j-1").id;
     cluster.workers.machines.at(machine).fault = fault;
-    cluster.note(noted_fault + "    " + machine);
+    cluster.note(fault_note + "    " + machine);
     cluster.run(1);
     cluster.kill(cluster.old_leader);
     cluster.note("end     of c-" + std::to_string(cluster.old_leader));
     cluster.run(8);
     EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
-    cluster.run(lasts - 8);
+    cluster.run(duration_s - 8);
     if (cluster.workers.machines.contains(machine)) cluster.workers.machines.at(machine).fault = {};
     cluster.note("machine is well again");
     cluster.restart(cluster.old_leader);
@@ -313,13 +313,13 @@
     EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
 
-INSTANTIATE_TEST_SUITE_P(Fault, LeaderEndsWithAFaultyMachine,
+INSTANTIATE_TEST_SUITE_P(Fault, LeaderCrashWithFaultyMachine,
                          ::testing::ValuesIn(machine_faults("leader_ends", 20, 45)),
                          case_name<MachineFaultCase>);
 
 // A cancellation, a question and a repeated submission meet the end of a job's last task. Whichever is first
 // holds; the invariant checker sees what goes back and what is confirmed too early.
-TEST(CombinedFaults, RequestsAtTheEndOfTheLastTask) {
+TEST(CombinedFaults, RequestsRacingWithLastTaskExitStayConsistent) {
     CombinedFaultsCluster cluster("requests_at_last_task_end");
     std::vector<std::string> jobs;
     for (int i = 1; i <= 6; ++i) {
@@ -330,8 +330,8 @@
     cluster.run_until_first_task_ends(jobs.size());
     // 0.05 s apart, around the heartbeats and commits that show the end.
     for (int n = 0; const auto& id : jobs) {
-        const auto r = cluster.cancel(n % 3, id);
-        EXPECT_EQ(r->status, 200);
+        const auto reply = cluster.cancel(n % 3, id);
+        EXPECT_EQ(reply->status, 200);
         EXPECT_EQ(cluster.submit((n + 1) % 3, id)->status, 200);
         EXPECT_EQ(cluster.poll((n + 2) % 3, id)->status, 200);
         cluster.run(0.05 * ++n);
@@ -342,22 +342,22 @@
 }
 
 // The leader fails over ten times in two minutes; the ended ones are back within a moment, some in an outage.
-class TenLeaders : public ::testing::TestWithParam<NamedCase<bool>> {};
+class TenFailoversInTwoMinutes : public ::testing::TestWithParam<NamedCase<bool>> {};
 
-TEST_P(TenLeaders, InTwoMinutes) {
+TEST_P(TenFailoversInTwoMinutes, KeepTasksAndCancellation) {
     const bool outages = GetParam().value;
     CombinedFaultsCluster cluster(outages ? "ten_leaders_outages" : "ten_leaders");
     cluster.start_jobs({"j-1", "j-2", "j-3"});
     for (int i = 0; i < 10; ++i) {
-        const int l = cluster.leader();
+        const int leader_index = cluster.leader();
         if (outages && i % 3 == 1) {
             cluster.begin_store_outage();
             cluster.run(2);
         }
-        if (l >= 0) cluster.kill(l);
+        if (leader_index >= 0) cluster.kill(leader_index);
         cluster.run(i % 2 == 0 ? 0.3 : 3);
-        if (l >= 0) cluster.restart(l);
-        if (i == 4) cluster.cancel((l + 1) % 3, "j-1");
+        if (leader_index >= 0) cluster.restart(leader_index);
+        if (i == 4) cluster.cancel((leader_index + 1) % 3, "j-1");
         cluster.run(5);
         if (cluster.store_outage) cluster.end_store_outage();
         cluster.run(3);
@@ -371,7 +371,7 @@
     EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
 
-INSTANTIATE_TEST_SUITE_P(Store, TenLeaders,
+INSTANTIATE_TEST_SUITE_P(Store, TenFailoversInTwoMinutes,
                          ::testing::Values(NamedCase<bool>{"Available", false},
                                            NamedCase<bool>{"WithOutages", true}),
                          case_name<NamedCase<bool>>);
@@ -401,10 +401,10 @@
 // epoch or attempt.
 class DuplicatedHeartbeats : public ::testing::TestWithParam<NamedCase<double>> {};
 
-TEST_P(DuplicatedHeartbeats, ReachANewLeader) {
-    const double after = GetParam().value;
-    CombinedFaultsCluster cluster("duplicated_heartbeats_" + std::to_string(static_cast<int>(after)));
-    cluster.workers.duplicate_heartbeats_after_s = after;
+TEST_P(DuplicatedHeartbeats, AreIgnoredByNewLeader) {
+    const double delay_s = GetParam().value;
+    CombinedFaultsCluster cluster("duplicated_heartbeats_" + std::to_string(static_cast<int>(delay_s)));
+    cluster.workers.duplicate_heartbeats_after_s = delay_s;
     cluster.start_jobs({"j-1", "j-2"});
     const auto machine = cluster.workers.machine_with("j-1").id;
     cluster.workers.machines.at(machine).fault.hung = true;
@@ -415,7 +415,7 @@
     cluster.restart(cluster.old_leader);
     cluster.run(20);
     EXPECT_EQ(cluster.cancel(0, "j-1")->status, 200);
-    cluster.run(after + 20);
+    cluster.run(delay_s + 20);
     EXPECT_FALSE(cluster.workers.runs("j-1"));
     EXPECT_TRUE(cluster.workers.runs("j-2"));
 }
@@ -427,7 +427,7 @@
                          case_name<NamedCase<double>>);
 
 // Heartbeats held back until a new leader has acted arrive there.
-TEST(CombinedFaults, HeldHeartbeatsReachANewLeader) {
+TEST(CombinedFaults, HeartbeatsDelayedAcrossFailoverRestartNoCancelledTask) {
     CombinedFaultsCluster cluster("held_heartbeats");
     cluster.start_jobs({"j-1", "j-2"});
     cluster.workers.hold_heartbeats = true;
@@ -447,11 +447,11 @@
 // Transactions get no answer and are carried out late, after newer ones of the same controller.
 class DelayedTransactions : public ::testing::TestWithParam<NamedCase<double>> {};
 
-TEST_P(DelayedTransactions, AreCarriedOutLate) {
-    const double late = GetParam().value;
-    CombinedFaultsCluster cluster("delayed_writes_" + std::to_string(static_cast<int>(late)));
+TEST_P(DelayedTransactions, DoNotRevertNewerState) {
+    const double delay_s = GetParam().value;
+    CombinedFaultsCluster cluster("delayed_writes_" + std::to_string(static_cast<int>(delay_s)));
     cluster.start_jobs({"j-1", "j-2"});
-    cluster.delayed_writes_s = late;
+    cluster.delayed_writes_s = delay_s;
     cluster.note("writes  are late");
     cluster.submit(0, "j-3");
     cluster.cancel(1, "j-1");
@@ -479,13 +479,13 @@
 // others.
 class AllControllersDown : public ::testing::TestWithParam<NamedCase<double>> {};
 
-TEST_P(AllControllersDown, RightAfterACancellation) {
-    const double away = GetParam().value;
-    CombinedFaultsCluster cluster(away < 1 ? "all_controllers_down_a_moment" : "all_controllers_down");
+TEST_P(AllControllersDown, CancellationSurvivesRestart) {
+    const double downtime_s = GetParam().value;
+    CombinedFaultsCluster cluster(downtime_s < 1 ? "all_controllers_down_a_moment" : "all_controllers_down");
     cluster.start_jobs({"j-1", "j-2"});
     EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
     for (int n = 0; n < 3; ++n) cluster.kill(n);
-    cluster.run(away);
+    cluster.run(downtime_s);
     cluster.restart(cluster.other_follower);
     cluster.run(10);
     cluster.restart(cluster.old_leader), cluster.restart(cluster.follower);
@@ -502,17 +502,17 @@
                          case_name<NamedCase<double>>);
 
 // The tasks of a job end far apart, with a change of leader between the ends.
-TEST(CombinedFaults, EndsFarApartAcrossLeaders) {
+TEST(CombinedFaults, TasksFinishingUnderDifferentLeadersCompleteTheJob) {
     CombinedFaultsCluster cluster("ends_far_apart");
     cluster.workers.task_run_s = {{"j-1/0", 5}, {"j-1/1", 35}, {"j-1/2", 75}};
     EXPECT_EQ(cluster.submit(0, "j-1", {{"Pieces", 3}})->status, 201);
     for (int i = 0; i < 24; ++i) {
         cluster.run(5);
         if (i == 4 || i == 10) {
-            const int l = cluster.leader();
-            cluster.kill(l);
+            const int leader_index = cluster.leader();
+            cluster.kill(leader_index);
             cluster.run(0.5);
-            cluster.restart(l);
+            cluster.restart(leader_index);
             cluster.run(3);
         }
         cluster.poll(i % 3, "j-1");
@@ -530,12 +530,12 @@
     EXPECT_EQ(cluster.submit(0, "j-3", {{"Yard", "b"}, {"Pieces", 3}})->status, 201);
     cluster.run(20);
     EXPECT_EQ(cluster.workers.running_tasks(), 5U);
-    const int l = cluster.leader();
-    cluster.partitioned_from_store = cluster.partitioned_from_peers = {l};
-    cluster.workers.partitioned_zone = "a", cluster.workers.partitioned_zone_controller = l;
-    cluster.note("cut     zone a with c-" + std::to_string(l));
+    const int leader_index = cluster.leader();
+    cluster.partitioned_from_store = cluster.partitioned_from_peers = {leader_index};
+    cluster.workers.partitioned_zone = "a", cluster.workers.partitioned_zone_controller = leader_index;
+    cluster.note("cut     zone a with c-" + std::to_string(leader_index));
     cluster.run(2);
-    EXPECT_EQ(cluster.cancel((l + 1) % 3, "j-1")->status, 200);
+    EXPECT_EQ(cluster.cancel((leader_index + 1) % 3, "j-1")->status, 200);
     cluster.workers.machines.erase(cluster.workers.machine_with("j-3").id);
     cluster.run(60);
     EXPECT_FALSE(cluster.workers.runs("j-1"));
@@ -551,7 +551,7 @@
 
 // The store is slow, then refuses the leader alone, then everybody for longer than cancel_s, while users
 // cancel and ask.
-TEST(CombinedFaults, StoreSlowThenRefusingThenOut) {
+TEST(CombinedFaults, StoreSlowThenRejectingLeaderThenUnavailable) {
     CombinedFaultsCluster cluster("store_slow_then_out");
     cluster.start_jobs({"j-1", "j-2", "j-3"});
     // Renewals wait as long as everything else: a slow store ends no term, and work goes on.
@@ -571,8 +571,9 @@
     cluster.begin_store_outage();
     for (int i = 0; i < 14; ++i) {
         cluster.run(5);
-        const auto r = cluster.poll(i % 3, i % 2 == 0 ? "j-1" : "j-2");
-        EXPECT_TRUE(r->status == 200 || (r->status == 503 && r->retry_after_s > 0)) << r->status;
+        const auto reply = cluster.poll(i % 3, i % 2 == 0 ? "j-1" : "j-2");
+        EXPECT_TRUE(reply->status == 200 || (reply->status == 503 && reply->retry_after_s > 0))
+            << reply->status;
     }
     cluster.end_store_outage();
     cluster.run(5);
@@ -587,7 +588,7 @@
 
 // More work than room, urgent and not, and half of the machines are lost with the leader: afterwards nothing
 // waits while a machine that fits has room.
-TEST(CombinedFaults, MoreWorkThanRoomAndALeaderLost) {
+TEST(CombinedFaults, AllJobsFinishAfterOverloadAndLeaderCrash) {
     CombinedFaultsCluster cluster("more_than_room");
     cluster.workers.cloud_capacity = 3;
     cluster.workers.default_task_run_s = 15;
@@ -599,10 +600,10 @@
             201);
     cluster.run(15);
     cluster.workers.machines.erase(cluster.workers.machines.begin());
-    const int l = cluster.leader();
-    cluster.kill(l);
+    const int leader_index = cluster.leader();
+    cluster.kill(leader_index);
     cluster.run(0.4);
-    cluster.restart(l);
+    cluster.restart(leader_index);
     cluster.run(200);
     for (int i = 1; i <= 24; ++i)
         EXPECT_NE(cluster.poll(0, "j-" + std::to_string(i))->body.find("done"), std::string::npos) << i;
@@ -615,24 +616,24 @@
     cluster.workers.task_run_s["j-1/0"] = 5;
     cluster.start_jobs({"j-1", "j-2"});
     cluster.run(15);
-    for (const bool out : {false, true}) {
-        if (out) cluster.begin_store_outage();
+    for (const bool during_outage : {false, true}) {
+        if (during_outage) cluster.begin_store_outage();
         cluster.run(5);
-        const double from = cluster.now();
+        const double start_s = cluster.now();
         EXPECT_EQ(cluster.request(0, "POST", "/submissions", R"({"NameId":"j-9"})")->status, 400);
         EXPECT_EQ(cluster.submit(0, "j-9", {{"Pieces", 0}})->status, 400);
         EXPECT_EQ(cluster.submit(0, "j-9", {{"Spread", nullptr}})->status, 400);
-        EXPECT_LT(cluster.now(), from + 0.1);
-        EXPECT_EQ(cluster.submit(0, "j-9", {{"Vcpus", 500}})->status, out ? 503 : 422);
-        EXPECT_EQ(cluster.submit(0, "j-9", {{"Crew", "nobody"}})->status, out ? 503 : 422);
+        EXPECT_LT(cluster.now(), start_s + 0.1);
+        EXPECT_EQ(cluster.submit(0, "j-9", {{"Vcpus", 500}})->status, during_outage ? 503 : 422);
+        EXPECT_EQ(cluster.submit(0, "j-9", {{"Crew", "nobody"}})->status, during_outage ? 503 : 422);
         EXPECT_EQ(cluster.submit(1, "j-9", {{"Crew", "capped"}, {"Accelerators", 3}})->status,
-                  out ? 503 : 422);
-        EXPECT_LT(cluster.now(), from + 5);
+                  during_outage ? 503 : 422);
+        EXPECT_LT(cluster.now(), start_s + 5);
         // Known from before the outage on every controller.
         for (int n = 0; n < 3; ++n) {
             EXPECT_NE(cluster.cancel(n, "j-1")->body.find("done"), std::string::npos);
             EXPECT_NE(cluster.submit(n, "j-1")->body.find("done"), std::string::npos);
-            EXPECT_EQ(cluster.submit(n, "j-2")->status, out ? 503 : 200);
+            EXPECT_EQ(cluster.submit(n, "j-2")->status, during_outage ? 503 : 200);
         }
     }
     cluster.end_store_outage();
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -14,7 +14,7 @@
 using model::Priority;
 using Ids = std::vector<std::string>;
 
-model::JobSpec after(const std::string& id, Ids dependencies, Priority priority = Priority::low) {
+model::JobSpec job_depending_on(const std::string& id, Ids dependencies, Priority priority = Priority::low) {
     auto spec = array_job(id, 1);
     spec.dependencies = std::move(dependencies);
     spec.priority = priority;
@@ -28,9 +28,9 @@
 
 TEST(DependencyGraph, ReadyOnceAllAreDone) {
     DependencyGraph graph;
-    graph.add(after("j-1", {}));
-    graph.add(after("j-2", {}));
-    graph.add(after("j-3", {"j-1", "j-2"}));
+    graph.add(job_depending_on("j-1", {}));
+    graph.add(job_depending_on("j-2", {}));
+    graph.add(job_depending_on("j-3", {"j-1", "j-2"}));
     EXPECT_TRUE(graph.is_ready("j-1"));
     EXPECT_FALSE(graph.is_ready("j-3"));
     EXPECT_TRUE(graph.end("j-1", {FinalStatus::done, 500}).ready.empty());
@@ -42,15 +42,15 @@
 }
 
 // Absence from the live records proves nothing: a job whose dependency can't be found isn't ready.
-TEST(DependencyGraph, WhatIsNotKnownIsNotDone) {
+TEST(DependencyGraph, UnknownDependencyIsNotDone) {
     DependencyGraph graph;
-    graph.add(after("j-2", {"j-1"}));
+    graph.add(job_depending_on("j-2", {"j-1"}));
     EXPECT_FALSE(graph.is_ready("j-2"));
     EXPECT_FALSE(graph.is_cancelled("j-2"));
     EXPECT_EQ(graph.unresolved(), Ids{"j-1"});
-    graph.add(after("j-3", {"j-2"}));
+    graph.add(job_depending_on("j-3", {"j-2"}));
     EXPECT_EQ(graph.unresolved_before("j-3"), Ids{"j-1"});
-    graph.add(after("j-1", {}));  // in whatever order records are read
+    graph.add(job_depending_on("j-1", {}));  // in whatever order records are read
     EXPECT_TRUE(graph.unresolved().empty());
     graph.remove("j-1");
     EXPECT_EQ(graph.unresolved(), Ids{"j-1"});
@@ -58,15 +58,15 @@
     EXPECT_TRUE(graph.unresolved().empty());
 }
 
-TEST(DependencyGraph, CancelsADiamondOnce) {
+TEST(DependencyGraph, CancellationReportsEachDependentOnce) {
     DependencyGraph graph;
-    graph.add(after("j-1", {}));
-    graph.add(after("j-2", {"j-1"}));
-    graph.add(after("j-3", {"j-1"}));
-    graph.add(after("j-4", {"j-2", "j-3"}));
+    graph.add(job_depending_on("j-1", {}));
+    graph.add(job_depending_on("j-2", {"j-1"}));
+    graph.add(job_depending_on("j-3", {"j-1"}));
+    graph.add(job_depending_on("j-4", {"j-2", "j-3"}));
     EXPECT_EQ(sorted(graph.end("j-1", {FinalStatus::cancelled}).cancelled), (Ids{"j-2", "j-3", "j-4"}));
     EXPECT_FALSE(graph.is_ready("j-4"));
-    EXPECT_EQ(graph.add(after("j-5", {"j-4"})).cancelled, Ids{"j-5"});
+    EXPECT_EQ(graph.add(job_depending_on("j-5", {"j-4"})).cancelled, Ids{"j-5"});
     // Its own final record says the same, and what comes after it stays cancelled without it.
     graph.remove("j-4");
     EXPECT_TRUE(graph.end("j-4", {FinalStatus::cancelled}).cancelled.empty());
@@ -74,37 +74,38 @@
 }
 
 // Forty diamonds in a row have a million million paths, and a deep chain would end a recursion.
-TEST(DependencyGraph, WalksEachJobOnce) {
+TEST(DependencyGraph, VisitsEachJobOnce) {
     DependencyGraph graph;
     std::string last = "j-0";
-    graph.add(after(last, {}));
+    graph.add(job_depending_on(last, {}));
     for (int i = 1; i <= 40; ++i) {
         const auto n = std::to_string(i);
-        graph.add(after("j-l" + n, {last}));
-        graph.add(after("j-r" + n, {last}));
+        graph.add(job_depending_on("j-l" + n, {last}));
+        graph.add(job_depending_on("j-r" + n, {last}));
         last = "j-" + n;
-        auto end = after(last, {"j-l" + n, "j-r" + n}, i == 40 ? Priority::high : Priority::low);
-        end.deadline_s = 100000;
-        graph.add(end);
+        auto diamond_end =
+            job_depending_on(last, {"j-l" + n, "j-r" + n}, i == 40 ? Priority::high : Priority::low);
+        diamond_end.deadline_s = 100000;
+        graph.add(diamond_end);
     }
-    EXPECT_EQ(graph.priority(after("j-0", {})), Priority::high);
+    EXPECT_EQ(graph.priority(job_depending_on("j-0", {})), Priority::high);
     EXPECT_TRUE(graph.unresolved_before(last).empty());
     EXPECT_EQ(graph.end("j-0", {FinalStatus::cancelled}).cancelled.size(), 120U);
     DependencyGraph chain;
-    chain.add(after("j-0", {}));
+    chain.add(job_depending_on("j-0", {}));
     for (int i = 1; i <= 20000; ++i)
-        chain.add(after("j-" + std::to_string(i), {"j-" + std::to_string(i - 1)}));
+        chain.add(job_depending_on("j-" + std::to_string(i), {"j-" + std::to_string(i - 1)}));
     EXPECT_EQ(chain.end("j-0", {FinalStatus::cancelled}).cancelled.size(), 20000U);
 }
 
 // The highest priority and the earliest deadline of what comes after count, until that is over.
 TEST(DependencyGraph, InheritsPriorityAndDeadline) {
     DependencyGraph graph;
-    const auto first = after("j-1", {});
+    const auto first = job_depending_on("j-1", {});
     graph.add(first);
-    const auto second = after("j-2", {"j-1"});
+    const auto second = job_depending_on("j-2", {"j-1"});
     graph.add(second);
-    auto urgent = after("j-3", {"j-2"}, Priority::high);
+    auto urgent = job_depending_on("j-3", {"j-2"}, Priority::high);
     urgent.deadline_s = 100;
     urgent.estimate_s = 10;
     graph.add(urgent);
@@ -120,21 +121,21 @@
 }
 
 // A mirror read anew adds the live jobs again; how those before them ended is not forgotten meanwhile.
-TEST(DependencyGraph, EndsOutliveAMirrorReadAnew) {
+TEST(DependencyGraph, OutcomesSurviveCacheReload) {
     DependencyGraph graph;
-    graph.add(after("j-1", {}));
-    graph.add(after("j-2", {"j-1"}));
-    graph.add(after("j-3", {"j-2"}));
+    graph.add(job_depending_on("j-1", {}));
+    graph.add(job_depending_on("j-2", {"j-1"}));
+    graph.add(job_depending_on("j-3", {"j-2"}));
     graph.remove("j-1");
     graph.end("j-1", {FinalStatus::cancelled});
     graph.clear();
-    graph.add(after("j-3", {"j-2"}));
+    graph.add(job_depending_on("j-3", {"j-2"}));
     EXPECT_FALSE(graph.is_cancelled("j-3"));
-    EXPECT_EQ(sorted(graph.add(after("j-2", {"j-1"})).cancelled), (Ids{"j-2", "j-3"}));
+    EXPECT_EQ(sorted(graph.add(job_depending_on("j-2", {"j-1"})).cancelled), (Ids{"j-2", "j-3"}));
     EXPECT_EQ(sorted(graph.cancelled()), (Ids{"j-2", "j-3"}));
     graph.clear();
     graph.forget_unneeded();
-    graph.add(after("j-2", {"j-1"}));
+    graph.add(job_depending_on("j-2", {"j-1"}));
     EXPECT_EQ(graph.unresolved(), Ids{"j-1"});  // forgotten: it has to be looked up
 }
 
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -15,7 +15,8 @@
 using model::ExitCause;
 using model::TaskState;
 
-model::JobSpec after(const std::string& id, std::vector<std::string> dependencies, std::uint32_t tasks = 1) {
+model::JobSpec job_depending_on(const std::string& id, std::vector<std::string> dependencies,
+                                std::uint32_t tasks = 1) {
     auto spec = array_job(id, tasks);
     spec.dependencies = std::move(dependencies);
     return spec;
@@ -32,13 +33,13 @@
 
 // The last task of a dependency has ended and its leader knows; a failover comes before the record. The new
 // leader knows of the end by a heartbeat alone, and starts what waits only after its own commit.
-TEST(Dependencies, NoStartBetweenAnEndAndItsRecord) {
+TEST(Dependencies, DependentStartsOnlyAfterFinalRecordIsCommitted) {
     LeaderSimulator simulator("dependency_end_in_failover");
     simulator.begin_term();
     simulator.add_worker("m-1");
     simulator.synchronize_worker("m-1");
     simulator.submit(array_job("j-1", 1));
-    simulator.submit(after("j-2", {"j-1"}));
+    simulator.submit(job_depending_on("j-2", {"j-1"}));
     run_task(simulator, "j-1/0", "m-1");
     simulator.set_task_state("j-1/0", TaskState::exited, ExitCause::done);
     simulator.send_heartbeat("m-1");
@@ -57,12 +58,12 @@
 
 // A leader that took over after the dependency had ended reads that from its final record, not from its
 // absence among the live ones; until it has, nothing starts.
-TEST(Dependencies, AbsenceIsNoEnd) {
+TEST(Dependencies, MissingLiveRecordDoesNotCountAsDone) {
     LeaderSimulator simulator("dependency_not_read");
     simulator.begin_term();
     simulator.add_worker("m-1");
     simulator.submit(array_job("j-1", 1));
-    simulator.submit(after("j-2", {"j-1"}));
+    simulator.submit(job_depending_on("j-2", {"j-1"}));
     simulator.store.rows.erase(records::job_key("j-1"));
     simulator.begin_term();
     simulator.synchronize_worker("m-1");
@@ -78,7 +79,7 @@
 
 // A job that waits for others needs nothing: no room, no provisioning, no place in the queue. Its wait counts
 // from when it is ready, also under a later leader; its deadline from its submission.
-TEST(Dependencies, WaitingCountsFromWhenItIsReady) {
+TEST(Dependencies, WaitTimeCountsFromReadiness) {
     LeaderSimulator simulator("dependency_wait_counts");
     simulator.begin_term();
     simulator.add_worker("m-90");
@@ -86,13 +87,13 @@
     auto first = array_job("j-1", 1);
     first.allowed_machine_types = std::vector<std::string>{"g2"};  // there is none
     simulator.submit(first);
-    auto second = after("j-2", {"j-1"}, 6);
+    auto second = job_depending_on("j-2", {"j-1"}, 6);
     second.estimate_s = 10;
     simulator.submit(second);
     simulator.plan_and_commit("m-90");
-    const auto wanted = simulator.provision_machines();
-    ASSERT_EQ(wanted.size(), 1U);
-    EXPECT_EQ(wanted[0].type, "g2");
+    const auto requests = simulator.provision_machines();
+    ASSERT_EQ(requests.size(), 1U);
+    EXPECT_EQ(requests[0].type, "g2");
     simulator.advance(600);
     for (const auto& [id, worker] : simulator.workers) simulator.synchronize_worker(id);
     simulator.plan_and_commit();
@@ -109,13 +110,13 @@
 }
 
 // Jobs after a cancelled one get their final records in batches that keep to the limits, across a failover.
-TEST(Dependencies, WithdrawnRecordsAcrossATakeover) {
+TEST(Dependencies, CancelledDependentsAreRecordedAcrossFailover) {
     LeaderSimulator simulator("dependency_fan_withdrawn");
     simulator.config.max_transaction_changes = 4;
     simulator.config.value_kb = 2;
     simulator.begin_term();
     simulator.submit(array_job("j-0", 1));
-    for (int i = 1; i <= 8; ++i) simulator.submit(after("j-" + std::to_string(i), {"j-0"}));
+    for (int i = 1; i <= 8; ++i) simulator.submit(job_depending_on("j-" + std::to_string(i), {"j-0"}));
     simulator.cancel("j-0");
     for (int i = 0; i < 2; ++i) {
         const auto batch = simulator.next_write_batch();
@@ -130,7 +131,7 @@
 }
 
 // Some thousand waiting jobs cost a planning round next to nothing.
-TEST(Dependencies, WaitingJobsCostNoRoundItsTime) {
+TEST(Dependencies, WaitingJobsDoNotSlowPlanning) {
     LeaderSimulator simulator("dependency_many_waiting");
     simulator.begin_term();
     for (int i = 0; i < 50; ++i) {
@@ -138,33 +139,33 @@
         simulator.synchronize_worker("m-" + std::to_string(100 + i));
     }
     // Processor time: what else the machine does must not decide.
-    const auto rounds = [&] {
-        const auto from = std::clock();
+    const auto measure_planning_s = [&] {
+        const auto start = std::clock();
         for (int i = 0; i < 20; ++i) {
             simulator.advance(1);
             simulator.plan();
         }
-        return static_cast<double>(std::clock() - from) / CLOCKS_PER_SEC;
+        return static_cast<double>(std::clock() - start) / CLOCKS_PER_SEC;
     };
-    const double without = rounds();
+    const double without_waiting_s = measure_planning_s();
     simulator.submit(array_job("j-first", 1));
     std::string last = "j-first";
     for (int i = 0; i < 4000; ++i) {
-        auto spec = after("j-" + std::to_string(i), {last});
+        auto spec = job_depending_on("j-" + std::to_string(i), {last});
         if (i % 100 != 0) last = spec.id;
         spec.accepted_ms = simulator.wall_ms();
         simulator.add_accepted_job(spec);
     }
-    const double with = rounds();
+    const double with_waiting_s = measure_planning_s();
     // 20 rounds over 4,000 jobs; a snapshot of each would take many times as long, sanitizers or not.
-    EXPECT_LT(with, without + 1.0);
+    EXPECT_LT(with_waiting_s, without_waiting_s + 1.0);
     EXPECT_LE(simulator.leader_state().jobs().at("j-first").placements.size(), 1U);
 }
 
 // --- whole controllers
 // -------------------------------------------------------------------------------------------
 
-json::object waits_on(const std::vector<std::string>& ids) {
+json::object dependencies_field(const std::vector<std::string>& ids) {
     json::array list;
     for (const auto& id : ids) list.emplace_back(id);
     return {{"WaitsOn", list}};
@@ -177,21 +178,23 @@
         workers.cloud_capacity = 6;
         run(5);  // a leader, and the controllers have seen each other
     }
-    int accept(int controller, const std::string& id, const std::vector<std::string>& before = {}) {
-        const auto r = submit(controller, id, before.empty() ? json::object{} : waits_on(before));
-        return r ? r->status : 0;
+    int submit_job(int controller, const std::string& id, const std::vector<std::string>& dependencies = {}) {
+        const auto reply =
+            submit(controller, id, dependencies.empty() ? json::object{} : dependencies_field(dependencies));
+        return reply ? reply->status : 0;
     }
-    std::string status(int controller, const std::string& id) {
-        const auto r = poll(controller, id);
-        if (!r || r->status != 200) return r ? std::to_string(r->status) : "no answer";
-        return std::string(json::parse(r->body).at("Status").as_string());
+    std::string job_status(int controller, const std::string& id) {
+        const auto reply = poll(controller, id);
+        if (!reply || reply->status != 200) return reply ? std::to_string(reply->status) : "no answer";
+        return std::string(json::parse(reply->body).at("Status").as_string());
     }
     void expect_status_everywhere(const std::string& id, const std::string& expected) {
-        for (int n = 0; n < controllers(); ++n) EXPECT_EQ(status(n, id), expected) << id << " at c-" << n;
+        for (int n = 0; n < controllers(); ++n) EXPECT_EQ(job_status(n, id), expected) << id << " at c-" << n;
     }
-    void run_until_done(const std::string& id, double at_most) {
-        for (const double until = now() + at_most; now() < until && status(0, id) != "done";) run(1);
-        EXPECT_EQ(status(0, id), "done");
+    void run_until_done(const std::string& id, double timeout_s) {
+        for (const double deadline = now() + timeout_s; now() < deadline && job_status(0, id) != "done";)
+            run(1);
+        EXPECT_EQ(job_status(0, id), "done");
     }
 };
 
@@ -199,67 +202,68 @@
 TEST(Pipelines, RunInOrder) {
     PipelineCluster cluster("pipeline_in_order");
     cluster.workers.default_task_run_s = 5;
-    EXPECT_EQ(cluster.accept(0, "j-1"), 201);
-    EXPECT_EQ(cluster.accept(1, "j-2", {"j-1"}), 201);  // accepted a millisecond ago by another controller
-    EXPECT_EQ(cluster.accept(2, "j-3", {"j-1", "j-1"}), 201);
-    EXPECT_EQ(cluster.accept(0, "j-4", {"j-2", "j-3"}), 201);
-    EXPECT_EQ(cluster.status(1, "j-4"), "queued");
+    EXPECT_EQ(cluster.submit_job(0, "j-1"), 201);
+    EXPECT_EQ(cluster.submit_job(1, "j-2", {"j-1"}),
+              201);  // accepted a millisecond ago by another controller
+    EXPECT_EQ(cluster.submit_job(2, "j-3", {"j-1", "j-1"}), 201);
+    EXPECT_EQ(cluster.submit_job(0, "j-4", {"j-2", "j-3"}), 201);
+    EXPECT_EQ(cluster.job_status(1, "j-4"), "queued");
     cluster.run_until_done("j-4", 60);
-    EXPECT_EQ(cluster.accept(1, "j-5", {"j-4", "j-1"}), 201);
+    EXPECT_EQ(cluster.submit_job(1, "j-5", {"j-4", "j-1"}), 201);
     cluster.run_until_done("j-5", 30);
     EXPECT_EQ(cluster.workers.starts, 5);
 }
 
 // What is wrong with a list is answered at once, and a job that is known gets its status whatever the list
 // says.
-TEST(Pipelines, BadListsAreRefusedWithAReason) {
+TEST(Pipelines, InvalidDependencyListsAreRejectedWithReason) {
     PipelineCluster cluster("pipeline_bad_lists");
-    EXPECT_EQ(cluster.accept(0, "j-1"), 201);
-    for (const auto& bad :
+    EXPECT_EQ(cluster.submit_job(0, "j-1"), 201);
+    for (const auto& invalid_list :
          {json::value("j-1"), json::value(7), json::value(json::object{}), json::value(json::array{1}),
           json::value(json::array{"x-1"}), json::value(json::array{nullptr})}) {
-        const auto r = cluster.submit(1, "j-2", {{"WaitsOn", bad}});
-        EXPECT_EQ(r->status, 400);
-        EXPECT_NE(r->body.find("WaitsOn"), std::string::npos);
+        const auto reply = cluster.submit(1, "j-2", {{"WaitsOn", invalid_list}});
+        EXPECT_EQ(reply->status, 400);
+        EXPECT_NE(reply->body.find("WaitsOn"), std::string::npos);
     }
-    const auto unknown = cluster.submit(1, "j-2", waits_on({"j-1", "j-404"}));
+    const auto unknown = cluster.submit(1, "j-2", dependencies_field({"j-1", "j-404"}));
     EXPECT_EQ(unknown->status, 422);
     EXPECT_NE(unknown->body.find("j-404"), std::string::npos);
-    const auto itself = cluster.submit(1, "j-2", waits_on({"j-2"}));
+    const auto itself = cluster.submit(1, "j-2", dependencies_field({"j-2"}));
     EXPECT_EQ(itself->status, 422);
     EXPECT_NE(itself->body.find("j-2"), std::string::npos);
     EXPECT_EQ(cluster.submit(0, "j-3", {{"Shape", "standing"}})->status, 201);
-    const auto service = cluster.submit(1, "j-2", waits_on({"j-3"}));
+    const auto service = cluster.submit(1, "j-2", dependencies_field({"j-3"}));
     EXPECT_EQ(service->status, 422);
     EXPECT_NE(service->body.find("j-3"), std::string::npos);
     EXPECT_EQ(cluster.submit(1, "j-2", {{"WaitsOn", nullptr}})->status, 201);
     EXPECT_EQ(cluster.submit(2, "j-4", {{"WaitsOn", json::array{}}})->status, 201);
-    EXPECT_EQ(cluster.submit(2, "j-2", waits_on({"j-404"}))->status, 200);
+    EXPECT_EQ(cluster.submit(2, "j-2", dependencies_field({"j-404"}))->status, 200);
     // Without the store no controller can prove that a job was never accepted.
     cluster.rejected_by_store = {1};
-    const auto undecidable = cluster.submit(1, "j-5", waits_on({"j-404"}));
-    EXPECT_EQ(undecidable->status, 503);
-    EXPECT_GT(undecidable->retry_after_s, 0);
+    const auto undetermined = cluster.submit(1, "j-5", dependencies_field({"j-404"}));
+    EXPECT_EQ(undetermined->status, 503);
+    EXPECT_GT(undetermined->retry_after_s, 0);
 }
 
 // Right after a cancellation every controller answers the same about all dependent jobs, also from memory
 // alone.
-TEST(Pipelines, CancelledWithWhatTheyDependOn) {
+TEST(Pipelines, CancellationReachesAllDependentJobs) {
     PipelineCluster cluster("pipeline_cancelled");
-    EXPECT_EQ(cluster.accept(0, "j-1"), 201);
+    EXPECT_EQ(cluster.submit_job(0, "j-1"), 201);
     std::string last = "j-1";
     for (int i = 1; i <= 50; ++i) {
         const auto id = "j-c" + std::to_string(i);
-        EXPECT_EQ(cluster.accept(i % 3, id, {last}), 201);
+        EXPECT_EQ(cluster.submit_job(i % 3, id, {last}), 201);
         last = id;
     }
-    EXPECT_EQ(cluster.accept(0, "j-2", {"j-1"}), 201);
-    EXPECT_EQ(cluster.accept(1, "j-3", {"j-1", "j-2"}), 201);
+    EXPECT_EQ(cluster.submit_job(0, "j-2", {"j-1"}), 201);
+    EXPECT_EQ(cluster.submit_job(1, "j-3", {"j-1", "j-2"}), 201);
     cluster.run(15);
     EXPECT_EQ(cluster.cancel(1, "j-1")->status, 200);
     for (const auto* id : {"j-c1", "j-c50", "j-2", "j-3"}) cluster.expect_status_everywhere(id, "withdrawn");
-    EXPECT_EQ(cluster.accept(2, "j-4", {"j-c50"}), 201);
-    EXPECT_EQ(cluster.status(0, "j-4"), "withdrawn");
+    EXPECT_EQ(cluster.submit_job(2, "j-4", {"j-c50"}), 201);
+    EXPECT_EQ(cluster.job_status(0, "j-4"), "withdrawn");
     EXPECT_EQ(json::parse(cluster.cancel(0, "j-c7")->body).at("Status"), "withdrawn");
     cluster.run(60);
     cluster.expect_status_everywhere("j-c25", "withdrawn");
@@ -268,26 +272,26 @@
 
 // Cancelled and confirmed as an outage of the store begins: a peer that was informed confirms it too, and all
 // dependent jobs stay withdrawn across the outage, a failover and a restart of every process.
-TEST(Pipelines, FanCancelledInAnOutageAndAcrossATakeover) {
+TEST(Pipelines, DependentsStayCancelledAcrossOutageAndFailover) {
     PipelineCluster cluster("pipeline_fan_in_outage");
-    EXPECT_EQ(cluster.accept(0, "j-1"), 201);
+    EXPECT_EQ(cluster.submit_job(0, "j-1"), 201);
     for (int i = 0; i < 500; ++i)
-        cluster.store.put_job(after("j-f" + std::to_string(i), {"j-1"}), cluster.now());
+        cluster.store.put_job(job_depending_on("j-f" + std::to_string(i), {"j-1"}), cluster.now());
     cluster.run(2);
-    EXPECT_EQ(cluster.status(2, "j-f499"), "queued");
-    const int old = cluster.leader(), confirming = (old + 1) % 3;
-    EXPECT_EQ(cluster.cancel(confirming, "j-1")->status, 200);
+    EXPECT_EQ(cluster.job_status(2, "j-f499"), "queued");
+    const int old_leader = cluster.leader(), confirming_controller = (old_leader + 1) % 3;
+    EXPECT_EQ(cluster.cancel(confirming_controller, "j-1")->status, 200);
     cluster.note("outage  of the state service");
     cluster.store_outage = true;
     cluster.run(3);
-    EXPECT_EQ(cluster.status(confirming, "j-f0"), "withdrawn");
-    EXPECT_EQ(cluster.status(old, "j-f499"), "withdrawn");
-    cluster.kill(old);
+    EXPECT_EQ(cluster.job_status(confirming_controller, "j-f0"), "withdrawn");
+    EXPECT_EQ(cluster.job_status(old_leader, "j-f499"), "withdrawn");
+    cluster.kill(old_leader);
     cluster.run(10);
     cluster.note("outage  ends");
     cluster.store_outage = false;
     cluster.store.extend_leases(cluster.now());
-    cluster.restart(old);
+    cluster.restart(old_leader);
     cluster.run(12);
     cluster.expect_status_everywhere("j-f250", "withdrawn");
     for (int n = 0; n < 3; ++n) cluster.restart(n);  // no process has anything in memory
@@ -299,52 +303,52 @@
 }
 
 // A cancellation races with the end of a dependency: whichever is first holds for all dependent jobs.
-TEST(Pipelines, CancelMeetsTheEndOfADependency) {
+TEST(Pipelines, CancellationRacingWithCompletionAppliesToDependents) {
     PipelineCluster cluster("pipeline_cancel_at_end");
     std::vector<std::string> jobs;
     for (int i = 1; i <= 5; ++i) {
         jobs.push_back("j-" + std::to_string(i));
         cluster.workers.task_run_s[jobs.back() + "/0"] = 20;
-        EXPECT_EQ(cluster.accept(0, jobs.back()), 201);
-        EXPECT_EQ(cluster.accept(0, jobs.back() + "next", {jobs.back()}), 201);
+        EXPECT_EQ(cluster.submit_job(0, jobs.back()), 201);
+        EXPECT_EQ(cluster.submit_job(0, jobs.back() + "next", {jobs.back()}), 201);
     }
     cluster.run_until_first_task_ends(jobs.size());
     cluster.workers.default_task_run_s = 3;
     for (int n = 0; const auto& id : jobs) {
-        const auto r = cluster.cancel(n % 3, id);
-        const auto answered = std::string(json::parse(r->body).at("Status").as_string());
-        const auto next = cluster.status((n + 1) % 3, id + "next");
-        EXPECT_EQ(answered == "withdrawn", next == "withdrawn") << id;
+        const auto reply = cluster.cancel(n % 3, id);
+        const auto confirmed_status = std::string(json::parse(reply->body).at("Status").as_string());
+        const auto dependent_status = cluster.job_status((n + 1) % 3, id + "next");
+        EXPECT_EQ(confirmed_status == "withdrawn", dependent_status == "withdrawn") << id;
         cluster.run(0.04 * ++n);
     }
     cluster.run(30);
     for (const auto& id : jobs)
-        EXPECT_EQ(cluster.status(0, id) == "done", cluster.status(1, id + "next") == "done") << id;
+        EXPECT_EQ(cluster.job_status(0, id) == "done", cluster.job_status(1, id + "next") == "done") << id;
 }
 
 // Dependencies that ended long ago are in no memory: every process was restarted since. A list may name one
 // of another team, and a job may arrive while what it needs is being cancelled.
-TEST(Pipelines, DependenciesOverLongAgo) {
+TEST(Pipelines, DependenciesEndedBeforeRestartAreResolved) {
     PipelineCluster cluster("pipeline_long_ago");
     cluster.workers.task_run_s["j-1/0"] = 2;
     cluster.workers.default_task_run_s = 40;
     EXPECT_EQ(cluster.submit(0, "j-1", {{"Crew", "capped"}})->status, 201);
-    EXPECT_EQ(cluster.accept(0, "j-2"), 201);
+    EXPECT_EQ(cluster.submit_job(0, "j-2"), 201);
     EXPECT_EQ(cluster.cancel(1, "j-2")->status, 200);
-    EXPECT_EQ(cluster.accept(0, "j-3"), 201);
-    EXPECT_EQ(cluster.accept(0, "j-4", {"j-3", "j-1"}), 201);
+    EXPECT_EQ(cluster.submit_job(0, "j-3"), 201);
+    EXPECT_EQ(cluster.submit_job(0, "j-4", {"j-3", "j-1"}), 201);
     cluster.run_until_done("j-1", 30);
     for (int n = 0; n < 3; ++n) cluster.restart(n);
     cluster.run(8);
-    EXPECT_EQ(cluster.accept(0, "j-5", {"j-1"}), 201);
-    EXPECT_EQ(cluster.accept(1, "j-6", {"j-2"}), 201);
-    EXPECT_EQ(cluster.status(2, "j-6"), "withdrawn");
-    EXPECT_EQ(cluster.accept(1, "j-6", {"j-2"}), 200);
-    EXPECT_EQ(cluster.accept(2, "j-7"), 201);
-    const auto cancelling = cluster.send_request(0, "POST", "/submissions/j-7/cancel");
-    EXPECT_EQ(cluster.accept(1, "j-8", {"j-7"}), 201);
+    EXPECT_EQ(cluster.submit_job(0, "j-5", {"j-1"}), 201);
+    EXPECT_EQ(cluster.submit_job(1, "j-6", {"j-2"}), 201);
+    EXPECT_EQ(cluster.job_status(2, "j-6"), "withdrawn");
+    EXPECT_EQ(cluster.submit_job(1, "j-6", {"j-2"}), 200);
+    EXPECT_EQ(cluster.submit_job(2, "j-7"), 201);
+    const auto pending_reply = cluster.send_request(0, "POST", "/submissions/j-7/cancel");
+    EXPECT_EQ(cluster.submit_job(1, "j-8", {"j-7"}), 201);
     cluster.run(1);
-    ASSERT_TRUE(*cancelling);
+    ASSERT_TRUE(*pending_reply);
     cluster.expect_status_everywhere("j-8", "withdrawn");
     cluster.run_until_done("j-4", 120);  // its first dependency was over before the new leader began
     cluster.run_until_done("j-5", 60);
@@ -352,42 +356,42 @@
 
 // The first answer of a new process, a moment after it has read the live records: the end of the first job is
 // not among these, so that it has to be looked up before any answer.
-TEST(Pipelines, FirstAnswerOfANewProcess) {
+TEST(Pipelines, FirstReplyAfterRestartResolvesDependencies) {
     PipelineCluster cluster("pipeline_first_answer");
     for (int n = 0; n < 3; ++n) cluster.kill(n);
-    cluster.store.put_job(after("j-2", {"j-1"}), cluster.now());
-    cluster.store.put_job(after("j-3", {"j-2"}), cluster.now());
+    cluster.store.put_job(job_depending_on("j-2", {"j-1"}), cluster.now());
+    cluster.store.put_job(job_depending_on("j-3", {"j-2"}), cluster.now());
     cluster.store.put(records::outcome_key("j-1"), records::outcome_json({model::FinalStatus::cancelled, 1}));
     cluster.run(1);
     cluster.restart(1);
-    std::string first;
-    for (int i = 0; i < 400 && first.size() != std::string("withdrawn").size(); ++i) {
-        const auto answer = cluster.send_request(1, "GET", "/submissions/j-3");
-        for (int wait = 0; wait < 400 && !*answer; ++wait) cluster.run(0.005);
-        ASSERT_TRUE(*answer);
-        if ((*answer)->status == 503) continue;
-        ASSERT_EQ((*answer)->status, 200);
-        first = std::string(json::parse((*answer)->body).at("Status").as_string());
-        EXPECT_EQ(first, "withdrawn");
+    std::string first_status;
+    for (int i = 0; i < 400 && first_status.size() != std::string("withdrawn").size(); ++i) {
+        const auto pending_reply = cluster.send_request(1, "GET", "/submissions/j-3");
+        for (int wait = 0; wait < 400 && !*pending_reply; ++wait) cluster.run(0.005);
+        ASSERT_TRUE(*pending_reply);
+        if ((*pending_reply)->status == 503) continue;
+        ASSERT_EQ((*pending_reply)->status, 200);
+        first_status = std::string(json::parse((*pending_reply)->body).at("Status").as_string());
+        EXPECT_EQ(first_status, "withdrawn");
         break;
     }
-    EXPECT_EQ(first, "withdrawn");
+    EXPECT_EQ(first_status, "withdrawn");
 }
 
 // A few hundred names are accepted at the smallest limits, in one transaction; beyond the bound the user gets
 // an error, and the job is not known.
-TEST(Pipelines, LongListsAreAcceptedWholeOrNotAtAll) {
-    ClusterOptions small;
-    small.adjust = [](config::Settings& s) { s.value_kb = 2, s.max_transaction_changes = 4; };
-    PipelineCluster cluster("pipeline_long_lists", small);
+TEST(Pipelines, LongDependencyListsAreAcceptedWholeOrRejected) {
+    ClusterOptions small_limits;
+    small_limits.adjust = [](config::Settings& s) { s.value_kb = 2, s.max_transaction_changes = 4; };
+    PipelineCluster cluster("pipeline_long_lists", small_limits);
     cluster.store.value_bytes = 2048, cluster.store.max_transaction_changes = 4;
     cluster.workers.cloud_capacity = 0;
     std::vector<std::string> names;
     for (int i = 0; i < 500; ++i) names.push_back("j-" + std::to_string(100000 + i));
-    for (const auto& id : names) cluster.store.put_job(after(id, {}), cluster.now());
+    for (const auto& id : names) cluster.store.put_job(job_depending_on(id, {}), cluster.now());
     cluster.run(1);
-    EXPECT_EQ(cluster.accept(0, "j-all", names), 201);
-    for (int n = 0; n < 3; ++n) EXPECT_EQ(cluster.accept(n, "j-all", names), 200);
+    EXPECT_EQ(cluster.submit_job(0, "j-all", names), 201);
+    for (int n = 0; n < 3; ++n) EXPECT_EQ(cluster.submit_job(n, "j-all", names), 200);
     cluster.expect_status_everywhere("j-all", "queued");
     cluster.restart((cluster.leader() + 1) % 3);
     cluster.run(6);
@@ -395,15 +399,15 @@
     cluster.expect_status_everywhere("j-all", "withdrawn");
     cluster.run(30);
     EXPECT_EQ(cluster.store.rows_under(records::dependencies_prefix), 0U);
-    auto more = names;
-    more.pop_back();
-    more.insert(more.end(), {"j-100000", "j-1", "j-2"});
-    EXPECT_EQ(cluster.accept(0, "j-more", more), 400);
+    auto too_many_names = names;
+    too_many_names.pop_back();
+    too_many_names.insert(too_many_names.end(), {"j-100000", "j-1", "j-2"});
+    EXPECT_EQ(cluster.submit_job(0, "j-more", too_many_names), 400);
     std::vector<std::string> long_names;
     for (int i = 0; i < 300; ++i) long_names.push_back("j-" + std::string(32, 'x') + std::to_string(i));
-    for (const auto& id : long_names) cluster.store.put_job(after(id, {}), cluster.now());
+    for (const auto& id : long_names) cluster.store.put_job(job_depending_on(id, {}), cluster.now());
     cluster.run(1);
-    EXPECT_EQ(cluster.accept(0, "j-long", long_names), 400);
+    EXPECT_EQ(cluster.submit_job(0, "j-long", long_names), 400);
     cluster.expect_status_everywhere("j-long", "404");
     EXPECT_EQ(cluster.store.refused_commits, 0);
 }
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -7,7 +7,7 @@
 
 // Unknown means possibly still running: no heartbeat of the machine of an earlier term's placement has
 // arrived, so its task waits for proof.
-TEST(Failover, LeavesUnknownTasksAlone) {
+TEST(Failover, DoesNotRestartTasksThatMayStillRun) {
     StartedLeader simulator("failover_unknown_tasks", {"m-1"});
     simulator.add_worker("m-2");
     simulator.run_job(array_job("j-1", 1), "m-1");
@@ -38,13 +38,13 @@
     ASSERT_EQ(first.size(), 1U);
     simulator.begin_term();  // before the answer was written down
     simulator.plan_and_commit();
-    const auto again = simulator.provision_machines();
-    ASSERT_EQ(again.size(), 1U);
-    EXPECT_EQ(again[0].name, first[0].name);
+    const auto repeated = simulator.provision_machines();
+    ASSERT_EQ(repeated.size(), 1U);
+    EXPECT_EQ(repeated[0].name, first[0].name);
     simulator.submit(gang_job("j-2", 1));
     simulator.advance(2);
     simulator.plan_and_commit();
-    for (const auto& r : simulator.provision_machines()) EXPECT_NE(r.name, first[0].name);
+    for (const auto& request : simulator.provision_machines()) EXPECT_NE(request.name, first[0].name);
 }
 
 // A failover long after provisioning: no machine has sent a heartbeat in the new term, and none is given
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -39,17 +39,17 @@
     StartedLeader simulator("gang_replacement", {"m-1", "m-2", "m-3"});
     start_gang(simulator, gang_job("j-1", 2), {"m-1", "m-2", "m-3"});
     simulator.set_task_state("j-1/0", TaskState::waiting_for_gang);
-    std::string lost;
+    std::string lost_machine;
     for (auto& [id, worker] : simulator.workers)
-        if (!worker.tasks.empty() && worker.tasks[0].task.index == 1) lost = id;
-    simulator.expire_worker_lease(lost);
+        if (!worker.tasks.empty() && worker.tasks[0].task.index == 1) lost_machine = id;
+    simulator.expire_worker_lease(lost_machine);
     simulator.send_heartbeats({"m-1", "m-2", "m-3"});
     simulator.plan_and_commit();
     simulator.send_heartbeats({"m-1", "m-2", "m-3"});
     std::set<std::uint64_t> attempts;
     int tasks = 0;
     for (auto& [id, worker] : simulator.workers)
-        for (auto& t : worker.tasks) attempts.insert(t.attempt), ++tasks;
+        for (auto& task : worker.tasks) attempts.insert(task.attempt), ++tasks;
     EXPECT_EQ(tasks, 2);
     EXPECT_EQ(attempts.size(), 1U);  // the same attempt: the waiting task completes with it
 }
@@ -73,8 +73,8 @@
     std::set<std::uint64_t> attempts;
     simulator.send_heartbeats({"m-1", "m-2", "m-3"});
     for (auto& [id, worker] : simulator.workers)
-        for (auto& t : worker.tasks)
-            if (t.state != TaskState::exited) attempts.insert(t.attempt);
+        for (auto& task : worker.tasks)
+            if (task.state != TaskState::exited) attempts.insert(task.attempt);
     EXPECT_EQ(attempts, std::set<std::uint64_t>{2});
     EXPECT_EQ(simulator.starts, 4);
 }
@@ -90,10 +90,10 @@
     start_gang(simulator, victim, {"m-1", "m-2"});
     set_both_tasks(simulator, TaskState::running);
     simulator.send_heartbeats({"m-1", "m-2"});
-    auto waiter = gang_job("j-2", 1);
-    waiter.priority = model::Priority::high;
-    waiter.estimate_s = 10;
-    simulator.submit(waiter);
+    auto preemptor = gang_job("j-2", 1);
+    preemptor.priority = model::Priority::high;
+    preemptor.estimate_s = 10;
+    simulator.submit(preemptor);
     simulator.advance(8);
     simulator.send_heartbeats({"m-1", "m-2"});
     simulator.plan();
@@ -110,7 +110,7 @@
 
 // A gang that lost a task after running for long has waited a moment only: after many losses at once the
 // widest would reserve machines at once, before all that came meanwhile.
-TEST(Gang, WaitCountsFromItsLastRun) {
+TEST(Gang, WaitTimeCountsFromLastRun) {
     StartedLeader simulator("waits_from_its_last_run", {"m-1", "m-2", "m-3"});
     start_gang(simulator, gang_job("j-1", 2), {"m-1", "m-2", "m-3"});
     set_both_tasks(simulator, TaskState::running);
@@ -124,8 +124,8 @@
     simulator.send_heartbeat("m-1");
     simulator.plan_and_commit();
     const auto commands = simulator.send_heartbeat("m-1");
-    EXPECT_TRUE(
-        std::any_of(commands.begin(), commands.end(), [](const auto& o) { return o.task.job == "j-2"; }));
+    EXPECT_TRUE(std::any_of(commands.begin(), commands.end(),
+                            [](const auto& command) { return command.task.job == "j-2"; }));
 }
 
 }  // namespace
--- a/tests/heartbeat_test.cpp
+++ b/tests/heartbeat_test.cpp
@@ -9,24 +9,24 @@
 
 // A heartbeat that does not show the new fencing token proves no absence: the old leader's start may
 // still be on its way.
-TEST(Heartbeat, AbsenceUnderAnOlderTokenProvesNothing) {
+TEST(Heartbeat, TaskMissingUnderOlderTokenIsNotRestarted) {
     StartedLeader simulator("absence_under_old_token", {"m-1"});
     simulator.add_worker("m-2");
     simulator.submit(array_job("j-1", 1));
     simulator.plan_and_commit();
-    const auto late =
+    const auto late_commands =
         simulator.leader_state().commands_for("m-1", true, simulator.now);  // the answer is slow on its way
     simulator.begin_term();
     simulator.send_heartbeat("m-2");
     simulator.send_heartbeat("m-2");
     auto& m1 = simulator.workers.at("m-1");
-    const auto report = simulator.next_heartbeat(m1);  // sent before the worker learned of the new term
+    const auto heartbeat = simulator.next_heartbeat(m1);  // sent before the worker learned of the new term
     simulator.note("report  m-1 without tasks, under the old token");
-    simulator.leader_state().apply_heartbeat(report, simulator.now);
+    simulator.leader_state().apply_heartbeat(heartbeat, simulator.now);
     simulator.plan_and_commit();
     EXPECT_TRUE(simulator.send_heartbeat("m-2").empty());
     simulator.note("answer  of the old term reaches m-1 at last");
-    simulator.execute(m1, late, 1);
+    simulator.execute(m1, late_commands, 1);
     simulator.synchronize_worker("m-1");
     EXPECT_EQ(simulator.starts, 1);
 }
@@ -35,17 +35,17 @@
 // what a newer one showed.
 TEST(Heartbeat, StaleHeartbeatIsIgnored) {
     StartedLeader simulator("stale_heartbeat", {"m-1"});
-    const auto tasks_under_older_token = simulator.next_heartbeat(simulator.workers.at("m-1"));
+    const auto stale_heartbeat = simulator.next_heartbeat(simulator.workers.at("m-1"));
     simulator.run_job(array_job("j-1", 1), "m-1");
     simulator.note("report  of before the start arrives late");
-    EXPECT_FALSE(simulator.leader_state().apply_heartbeat(tasks_under_older_token, simulator.now));
+    EXPECT_FALSE(simulator.leader_state().apply_heartbeat(stale_heartbeat, simulator.now));
     simulator.plan();
     EXPECT_FALSE(
         simulator.leader_state().write_due());  // an older empty heartbeat does not mark the task lost
 }
 
 // A command whose answer was lost is sent again with the next heartbeat, and starts its task once.
-TEST(Heartbeat, LostAnswerIsSentAgain) {
+TEST(Heartbeat, CommandIsResentAfterLostResponse) {
     StartedLeader simulator("lost_answer", {"m-1"});
     simulator.submit(array_job("j-1", 1));
     simulator.plan_and_commit();
@@ -56,7 +56,7 @@
 }
 
 // A new agent epoch proves that the tasks of the earlier one have ended: they are placed again.
-TEST(Heartbeat, NewAgentEpochFreesTasks) {
+TEST(Heartbeat, NewAgentEpochRestartsTasks) {
     StartedLeader simulator("new_agent_epoch", {"m-1"});
     simulator.run_job(array_job("j-1", 1), "m-1");
     simulator.expire_worker_lease("m-1");
@@ -80,16 +80,16 @@
 }
 
 // Copies of a heartbeat, seconds or minutes late, keep no machine alive, and acknowledge no command.
-TEST(Heartbeat, LateCopiesKeepNoMachineAlive) {
+TEST(Heartbeat, LateDuplicatesDoNotKeepMachineAlive) {
     StartedLeader simulator("late_copies", {"m-1", "m-2"});
     simulator.run_job(array_job("j-1", 1), "m-1");
-    const auto copy = simulator.next_heartbeat(simulator.workers.at("m-1"));
-    simulator.leader_state().apply_heartbeat(copy, simulator.now);
+    const auto duplicate = simulator.next_heartbeat(simulator.workers.at("m-1"));
+    simulator.leader_state().apply_heartbeat(duplicate, simulator.now);
     simulator.note("        m-1 stops with all that is on it");
     for (int i = 0; i < 6; ++i) {
         simulator.advance(3);
         simulator.send_heartbeat("m-2");
-        EXPECT_FALSE(simulator.leader_state().apply_heartbeat(copy, simulator.now));
+        EXPECT_FALSE(simulator.leader_state().apply_heartbeat(duplicate, simulator.now));
         simulator.note("copy    of m-1's last report");
         simulator.plan();
     }
@@ -98,11 +98,11 @@
     simulator.commit_all();
     simulator.advance(120);
     simulator.note("copy    of m-1's last report, long after its lease");
-    EXPECT_FALSE(simulator.leader_state().apply_heartbeat(copy, simulator.now));
+    EXPECT_FALSE(simulator.leader_state().apply_heartbeat(duplicate, simulator.now));
     EXPECT_FALSE(simulator.leader_state().machines().contains("m-1"));
     simulator.begin_term();
     simulator.note("copy    in a later term, under the old token");
-    simulator.leader_state().apply_heartbeat(copy, simulator.now);
+    simulator.leader_state().apply_heartbeat(duplicate, simulator.now);
     EXPECT_TRUE(simulator.leader_state().commands_for("m-1", true, simulator.now).empty());
     simulator.submit(array_job("j-2", 1));
     simulator.plan_and_commit();
@@ -111,7 +111,7 @@
 
 // A heartbeat's answer waits for work where there is room for the smallest task that came lately, beside
 // others too: a stage of a pipeline started up to a heartbeat period late on machines in use.
-TEST(Heartbeat, AnswerWaitsWhereThereIsRoom) {
+TEST(Heartbeat, ResponseIsHeldOnlyWhileMachineHasFreeCapacity) {
     StartedLeader simulator("answers_wait_for_room", {"m-1"});
     simulator.submit(array_job("j-1", 1));
     simulator.plan_and_commit("m-1");
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -22,10 +22,10 @@
 }
 
 std::string from_hex(const std::string& hex) {
-    std::string out;
+    std::string bytes;
     for (std::size_t i = 0; i + 1 < hex.size(); i += 2)
-        out += static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16));
-    return out;
+        bytes += static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16));
+    return bytes;
 }
 
 // A store as version 0.4 left it: a job of 240 tasks in one entry of 4 KB, a gang, and progress of a
@@ -33,8 +33,8 @@
 class StoreOfVersion04 : public LeaderSimulator {
    public:
     explicit StoreOfVersion04(const std::string& trace) : LeaderSimulator(trace) {
-        const auto kept = fixture();
-        for (const auto& row : kept.at("rows").as_array()) {
+        const auto fixture_data = fixture();
+        for (const auto& row : fixture_data.at("rows").as_array()) {
             const std::string key(row.at("key").as_string());
             store.rows[key] = {row.at("value"), row.at("stamp").to_number<std::uint64_t>()};
             store.revision = std::max(store.revision, store.rows[key].mod_revision);
@@ -44,16 +44,16 @@
         config.value_kb = 2, config.current_value_kb = 16, config.max_transaction_changes = 4;
     }
     // What a leader would read now: the machine of each task.
-    std::map<std::uint32_t, std::string> placements_read(const std::string& job) {
+    std::map<std::uint32_t, std::string> read_placements(const std::string& job) {
         store::WatchCache watch_cache;
         for (const auto& [key, row] : store.rows)
             watch_cache.apply_row(key, row.value, row.mod_revision, now);
         cluster::ClusterState reader(config, tuning, 99, 1, now);
         reader.load(watch_cache, now);
-        std::map<std::uint32_t, std::string> out;
+        std::map<std::uint32_t, std::string> placements;
         for (const auto& [index, placement] : reader.jobs().at(job).placements)
-            out[index] = placement.machine;
-        return out;
+            placements[index] = placement.machine;
+        return placements;
     }
     void add_workers() {
         for (int i = 0; i < 50; ++i) add_worker("m-" + std::to_string(100000 + i));
@@ -63,10 +63,10 @@
 TEST(Upgrade, RecordsOfVersion04AreRead) {
     StoreOfVersion04 simulator("upgrade_records");
     simulator.begin_term();
-    const auto& wide = simulator.leader_state().jobs().at("j-000001");
-    EXPECT_EQ(wide.record.done_count(), 20U);
-    EXPECT_EQ(wide.placements.size(), 197U);
-    EXPECT_FALSE(wide.sharded);
+    const auto& wide_job = simulator.leader_state().jobs().at("j-000001");
+    EXPECT_EQ(wide_job.record.done_count(), 20U);
+    EXPECT_EQ(wide_job.placements.size(), 197U);
+    EXPECT_FALSE(wide_job.sharded);
     EXPECT_EQ(simulator.leader_state().jobs().at("j-000002").placements.size(), 0U);  // found no room
     const auto& cancelled_by_dependency = simulator.leader_state().jobs().at("j-000004");
     EXPECT_TRUE(cancelled_by_dependency.is_cancelled());
@@ -76,45 +76,45 @@
 
 // The limit has fallen with large records in place. They are superseded in tasks that fit; whenever a new
 // leader comes, it reads every placement once.
-TEST(Upgrade, LargeRecordsAreSupersededInPieces) {
+TEST(Upgrade, LargeRecordsAreReplacedByShards) {
     StoreOfVersion04 simulator("upgrade_split");
     simulator.record_parts_allowed = true;
     simulator.begin_term();
     simulator.add_workers();
-    const auto placed = simulator.placements_read("j-000001");
-    const std::string gone = placed.begin()->second;
-    simulator.workers.erase(gone);
-    simulator.leader_state().machines_released({gone}, simulator.now);
+    const auto original_placements = simulator.read_placements("j-000001");
+    const std::string released_machine = original_placements.begin()->second;
+    simulator.workers.erase(released_machine);
+    simulator.leader_state().machines_released({released_machine}, simulator.now);
     std::size_t batches = 0;
     while (const auto batch = simulator.next_write_batch()) {
         ASSERT_TRUE(simulator.apply_batch(*batch));  // checked against the limits by the simulator
         ++batches;
         for (const auto& [index, placement] : simulator.leader_state().jobs().at("j-000001").placements)
-            EXPECT_EQ(simulator.placements_read("j-000001").at(index), placement.machine);
-        for (const auto& [index, machine] : simulator.placements_read("j-000001"))
-            EXPECT_EQ(placed.at(index), machine);
+            EXPECT_EQ(simulator.read_placements("j-000001").at(index), placement.machine);
+        for (const auto& [index, machine] : simulator.read_placements("j-000001"))
+            EXPECT_EQ(original_placements.at(index), machine);
         if (batches != 1) continue;
         simulator.begin_term();  // in the middle of it; the new leader learns of the release again
-        simulator.leader_state().machines_released({gone}, simulator.now);
+        simulator.leader_state().machines_released({released_machine}, simulator.now);
     }
     EXPECT_GE(batches, 3U);
-    const auto after = simulator.placements_read("j-000001");
-    for (const auto& [index, machine] : after) EXPECT_NE(machine, gone);
+    const auto remaining_placements = simulator.read_placements("j-000001");
+    for (const auto& [index, machine] : remaining_placements) EXPECT_NE(machine, released_machine);
     simulator.begin_term();
     EXPECT_TRUE(simulator.leader_state().jobs().at("j-000001").sharded);
     EXPECT_EQ(simulator.leader_state().jobs().at("j-000001").record.done_count(), 20U);
-    EXPECT_EQ(simulator.leader_state().jobs().at("j-000001").placements.size(), after.size());
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-000001").placements.size(), remaining_placements.size());
 }
 
 // While another controller may be of the earlier version nothing is split: a record that is too large for the
 // limit to come is written under the one in force, and never again once that is refused.
-TEST(Upgrade, NothingIsSplitBeforeAllReadIt) {
+TEST(Upgrade, RecordsAreNotShardedBeforeAllControllersReadShards) {
     StoreOfVersion04 simulator("upgrade_not_split");
     simulator.begin_term();
     simulator.add_workers();
-    const auto gone = simulator.placements_read("j-000001").begin()->second;
-    simulator.leader_state().machines_released({gone}, simulator.now);
-    bool whole = false;
+    const auto released_machine = simulator.read_placements("j-000001").begin()->second;
+    simulator.leader_state().machines_released({released_machine}, simulator.now);
+    bool written_whole = false;
     const auto first = simulator.next_write_batch();
     ASSERT_TRUE(first);
     for (const auto& change : first->txn.changes) {
@@ -123,41 +123,42 @@
         for (const auto& [entry, progress] : segment->entries) {
             EXPECT_EQ(entry.shard, 0U);
             EXPECT_TRUE(!progress || !progress->partial);
-            whole |= entry.job == "j-000001";
+            written_whole |= entry.job == "j-000001";
         }
     }
-    EXPECT_TRUE(whole);
+    EXPECT_TRUE(written_whole);
     EXPECT_TRUE(simulator.leader_state().reject_write_batch());
     while (const auto batch = simulator.next_write_batch()) ASSERT_TRUE(simulator.apply_batch(*batch));
     simulator.leader_state().allow_sharding();
-    simulator.leader_state().machines_released({simulator.placements_read("j-000001").begin()->second},
+    simulator.leader_state().machines_released({simulator.read_placements("j-000001").begin()->second},
                                                simulator.now);
     simulator.advance(2);
     simulator.plan();
     while (const auto batch = simulator.next_write_batch()) ASSERT_TRUE(simulator.apply_batch(*batch));
-    EXPECT_EQ(simulator.placements_read("j-000001").size(),
+    EXPECT_EQ(simulator.read_placements("j-000001").size(),
               simulator.leader_state().jobs().at("j-000001").placements.size());
 }
 
 // The earlier version needs its nine fields and skips others; ours are read, and name no format.
 TEST(Upgrade, MessagesOfVersion04AreRead) {
-    const auto kept = fixture();
-    const auto earlier = wire::parse_peer_message(from_hex(std::string(kept.at("gossip").as_string())));
+    const auto fixture_data = fixture();
+    const auto earlier =
+        wire::parse_peer_message(from_hex(std::string(fixture_data.at("gossip").as_string())));
     ASSERT_TRUE(earlier);
     EXPECT_EQ(earlier->node, "c-1");
     EXPECT_EQ(earlier->cancelled.size(), 2U);
     EXPECT_EQ(earlier->format, 1U);
     EXPECT_FALSE(earlier->dependencies_requested);
-    auto ours = *earlier;
-    ours.format = records::format;
-    ours.dependencies_requested = true;
-    const auto back = wire::parse_peer_message(wire::encode_peer_message(ours));
-    ASSERT_TRUE(back);
-    EXPECT_EQ(back->format, records::format);
-    EXPECT_TRUE(back->dependencies_requested);
+    auto current = *earlier;
+    current.format = records::format;
+    current.dependencies_requested = true;
+    const auto decoded = wire::parse_peer_message(wire::encode_peer_message(current));
+    ASSERT_TRUE(decoded);
+    EXPECT_EQ(decoded->format, records::format);
+    EXPECT_TRUE(decoded->dependencies_requested);
 }
 
-const json::object waits_on_first{{"WaitsOn", json::array{"j-1"}}};
+const json::object depends_on_first{{"WaitsOn", json::array{"j-1"}}};
 
 ClusterOptions earlier_version() {
     ClusterOptions options;
@@ -169,7 +170,7 @@
 
 // A job with dependencies waits for the last controller of the earlier version, which would start it at once;
 // then it is accepted within seconds. Other jobs never wait.
-TEST(Upgrade, DependenciesWaitForTheLastController) {
+TEST(Upgrade, DependenciesAreRejectedUntilAllControllersAreUpgraded) {
     ClusterSimulator cluster("upgrade_gate", 3, earlier_version());
     cluster.workers.cloud_capacity = 6;
     cluster.run(5);
@@ -178,20 +179,20 @@
     cluster.run(6);
     cluster.upgrade(1);
     cluster.run(6);
-    const auto tasks_under_older_token = cluster.submit(0, "j-2", waits_on_first);
-    EXPECT_EQ(tasks_under_older_token->status, 503);
-    EXPECT_GT(tasks_under_older_token->retry_after_s, 0);
+    const auto rejected = cluster.submit(0, "j-2", depends_on_first);
+    EXPECT_EQ(rejected->status, 503);
+    EXPECT_GT(rejected->retry_after_s, 0);
     EXPECT_EQ(cluster.submit(1, "j-3")->status, 201);
     cluster.run(30);  // the one of the earlier version is not silent
-    EXPECT_EQ(cluster.submit(0, "j-2", waits_on_first)->status, 503);
+    EXPECT_EQ(cluster.submit(0, "j-2", depends_on_first)->status, 503);
     cluster.upgrade(2);
     cluster.run(8);
-    EXPECT_EQ(cluster.submit(2, "j-2", waits_on_first)->status, 201);
+    EXPECT_EQ(cluster.submit(2, "j-2", depends_on_first)->status, 201);
 }
 
 // A controller that is away when the others are replaced, and was never seen since, is waited for until a
 // user asks, and then for some seconds only.
-TEST(Upgrade, AControllerThatIsAwayDoesNotBlock) {
+TEST(Upgrade, UnreachableControllerDoesNotBlockUpgrade) {
     ClusterSimulator cluster("upgrade_away", 3, earlier_version());
     cluster.workers.cloud_capacity = 6;
     cluster.run(5);
@@ -200,9 +201,9 @@
     for (const int n : {0, 1}) cluster.upgrade(n);
     cluster.run(40);
     EXPECT_EQ(cluster.submit(0, "j-1")->status, 201);
-    EXPECT_EQ(cluster.submit(0, "j-2", waits_on_first)->status, 503);
+    EXPECT_EQ(cluster.submit(0, "j-2", depends_on_first)->status, 503);
     cluster.run(3);
-    EXPECT_EQ(cluster.submit(0, "j-2", waits_on_first)->status, 201);
+    EXPECT_EQ(cluster.submit(0, "j-2", depends_on_first)->status, 201);
     cluster.upgrade(2);
     cluster.run(6);
     EXPECT_EQ(cluster.poll(2, "j-2")->status, 200);
@@ -210,25 +211,25 @@
 
 // Leaders of both versions in turn, with a wide job of which every task runs on; copies of heartbeats come
 // late, a leader crashes, and the limits fall with large records in place and a failover under way.
-TEST(Upgrade, LeadersOfBothVersionsInTurn) {
+TEST(Upgrade, TasksSurviveAlternatingLeaderVersions) {
     ClusterSimulator cluster("upgrade_alternating", 3, earlier_version());
     cluster.workers.cloud_capacity = 8;
     cluster.workers.duplicate_heartbeats_after_s = 15;
     cluster.run(5);
     constexpr std::size_t tasks = 120;
-    const json::object wide{{"Pieces", tasks}, {"Vcpus", 0.5}, {"Accelerators", 0}, {"MemGb", 0.5}};
-    EXPECT_EQ(cluster.submit(0, "j-1", wide)->status, 201);
+    const json::object wide_job{{"Pieces", tasks}, {"Vcpus", 0.5}, {"Accelerators", 0}, {"MemGb", 0.5}};
+    EXPECT_EQ(cluster.submit(0, "j-1", wide_job)->status, 201);
     for (int i = 0; i < 60 && cluster.workers.running_tasks() < tasks; ++i) cluster.run(1);
     EXPECT_EQ(cluster.workers.running_tasks(), tasks);
-    const auto replace_leader = [&](bool by_present_version) {
-        const int l = cluster.leader();
-        cluster.note("end     of c-" + std::to_string(l));
-        if (by_present_version)
-            cluster.upgrade(l);
+    const auto replace_leader = [&](bool by_current_version) {
+        const int leader_index = cluster.leader();
+        cluster.note("end     of c-" + std::to_string(leader_index));
+        if (by_current_version)
+            cluster.upgrade(leader_index);
         else
-            cluster.kill(l);
+            cluster.kill(leader_index);
         cluster.run(9);
-        if (!by_present_version) cluster.restart(l);  // as what it was
+        if (!by_current_version) cluster.restart(leader_index);  // as what it was
         cluster.run(3);
     };
     replace_leader(true);
@@ -239,16 +240,16 @@
         cluster.upgrade(n);
         cluster.run(7);
     }
-    const int l = cluster.leader();
+    const int leader_index = cluster.leader();
     cluster.note("limits  of the state service fall");
     cluster.store.value_bytes = 2048, cluster.store.max_transaction_changes = 4;
     cluster.workers.task_run_s["j-1/7"] = cluster.workers.task_run_s["j-1/70"] =
         1;  // something is to be written
-    cluster.kill(l);
+    cluster.kill(leader_index);
     cluster.run(1);
-    cluster.restart(l);
+    cluster.restart(leader_index);
     cluster.run(20);
-    EXPECT_EQ(cluster.submit(1, "j-2", waits_on_first)->status, 201);
+    EXPECT_EQ(cluster.submit(1, "j-2", depends_on_first)->status, 201);
     cluster.run(20);
     EXPECT_EQ(cluster.workers.running_tasks(), tasks - 2);
     EXPECT_EQ(cluster.workers.starts, static_cast<int>(tasks));
@@ -257,8 +258,8 @@
     cluster.cancel(0, "j-1");
     cluster.run(30);
     EXPECT_EQ(cluster.workers.running_tasks(), 0U);
-    const auto after = cluster.poll(2, "j-2");
-    EXPECT_NE(after->body.find("withdrawn"), std::string::npos);
+    const auto dependent_status = cluster.poll(2, "j-2");
+    EXPECT_NE(dependent_status->body.find("withdrawn"), std::string::npos);
 }
 
 }  // namespace
