--- a/tests/asymmetric_partition_test.cpp
+++ b/tests/asymmetric_partition_test.cpp
@@ -4,9 +4,9 @@
 namespace pineroad::test {
 namespace {
 
-// A machine whose heartbeats arrive but which gets neither answers nor commands: detected by commands it
-// does not acknowledge, and given nothing more. Its work is placed elsewhere when its own lease has ended
-// it, and the machine is released.
+// A machine's heartbeats arrive, but it gets neither responses nor commands. The leader detects this by
+// unacknowledged commands and places no more tasks there. Once the machine's own lease has ended its tasks,
+// they are placed elsewhere and the machine is released.
 TEST(AsymmetricPartition, InboundPartitionIsDetected) {
     StartedLeader simulator("inbound_partition", {"m-1"});
     simulator.add_worker("m-2");
@@ -16,13 +16,13 @@
     simulator.plan_and_commit();
     simulator.synchronize_worker("m-2");
     for (int i = 0; i < 11; ++i) {
-        simulator.send_heartbeat("m-1", true);  // its answers are lost, its heartbeats are not
+        simulator.send_heartbeat("m-1", true);  // the heartbeat arrives, its response is lost
         simulator.plan_and_commit();
         for (const auto& command : simulator.send_heartbeat("m-2"))
             EXPECT_NE(command.task.job, "j-1") << "may still run on m-1";
         simulator.advance(3);
     }
-    EXPECT_EQ(simulator.starts, 3);  // those of j-2 went to m-2
+    EXPECT_EQ(simulator.starts, 3);  // both tasks of j-2 started on m-2
     EXPECT_TRUE(simulator.leader_state().machines_to_release(simulator.now).empty());
     simulator.expire_worker_lease("m-1");
     simulator.send_heartbeat("m-1", true);
@@ -32,8 +32,8 @@
     EXPECT_EQ(simulator.starts, 4);
 }
 
-// A machine that still sends heartbeats in the same agent epoch when its lease must have ended has
-// received answers again.
+// A machine that still sends heartbeats in the same agent epoch when its lease would have expired must have
+// received responses again, so it gets tasks again.
 TEST(AsymmetricPartition, HealedMachineIsUsedAgain) {
     StartedLeader simulator("inbound_partition_healed", {"m-1"});
     simulator.run_job(array_job("j-1", 1), "m-1");
@@ -49,7 +49,8 @@
     EXPECT_TRUE(simulator.leader_state().machines_to_release(simulator.now).empty());
 }
 
-// When no answer reaches many machines at once, the fault is the leader's: no machine is released.
+// If responses stop reaching many machines at once, the fault is taken to be the leader's, and no machine is
+// released.
 TEST(AsymmetricPartition, SimultaneousPartitionsReleaseNoMachine) {
     StartedLeader simulator("inbound_partition_of_many");
     std::vector<std::string> machines;
@@ -71,8 +72,9 @@
     EXPECT_TRUE(simulator.leader_state().machines_to_release(simulator.now).empty());
 }
 
-// A machine that never shows this term's fencing token gets no commands and proves nothing; it is
-// released once its lease must have ended. With many of them the fault is taken to be the leader's.
+// A machine that never reports this term's fencing token gets no commands, and its heartbeats prove nothing.
+// It is released once its lease must have expired. If many machines behave like this, the fault is taken to
+// be the leader's.
 TEST(AsymmetricPartition, MachineNotReportingTheTokenIsReleased) {
     StartedLeader simulator("never_shows_token", {"m-1"});
     simulator.add_worker("m-2");
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -1,6 +1,6 @@
-// Two faults at once, with whole controllers, a store and workers in simulated time. The invariant checker
-// watches ran_twice, ran_cancelled and went_back at every step; what stands here is the rest. docs/safety.md
-// has a table of these by the operators' list.
+// Two faults at the same time, with whole controllers, a store and workers in simulated time. The invariant
+// checker verifies ran_twice, ran_cancelled and went_back at every step; the tests here check the rest.
+// docs/safety.md has a table that assigns these tests to the operators' list of faults.
 #include <gtest/gtest.h>
 
 #include "cluster_simulator.hpp"
@@ -9,7 +9,7 @@
 namespace pineroad::test {
 namespace {
 
-// Three controllers, machines that they provision, and jobs of one task that run for long.
+// Three controllers, the machines that they provision, and long-running jobs of one task each.
 class CombinedFaultsCluster : public ClusterSimulator {
    public:
     explicit CombinedFaultsCluster(const std::string& trace, int controllers = 3)
@@ -17,7 +17,7 @@
         workers.cloud_capacity = 6;
         run(5);
     }
-    // Jobs that are submitted, and running.
+    // Submits the jobs and waits until all of them run.
     void start_jobs(const std::vector<std::string>& jobs) {
         for (const auto& id : jobs) EXPECT_EQ(submit(0, id)->status, 201);
         for (int i = 0; i < 60 && workers.running_tasks() < jobs.size(); ++i) run(1);
@@ -36,7 +36,7 @@
         rejected_by_store.clear();
         store.extend_leases(now());
     }
-    // How long until nothing of the job is on a machine; the test fails after timeout_s seconds.
+    // Returns the seconds until no task of the job is left on any machine; the test fails after timeout_s.
     double seconds_until_stopped(const std::string& job, double timeout_s) {
         const double start_s = now();
         while (workers.runs(job) && now() < start_s + timeout_s) run(0.5);
@@ -44,7 +44,8 @@
         note("gone    " + job);
         return now() - start_s;
     }
-    // Every controller answers about the job within 75 s of the end of all faults.
+    // Checks that each controller reports this status of the job within 75 s. For use when all faults have
+    // ended.
     void expect_status_everywhere(const std::string& job, const std::string& status) {
         for (int n = 0; n < controllers(); ++n) {
             const double start_s = now();
@@ -57,7 +58,7 @@
             EXPECT_NE(reply->body.find(status), std::string::npos) << reply->body;
         }
     }
-    int old_leader = -1;  // when the jobs ran
+    int old_leader = -1;  // leader when the jobs began to run
     int follower = -1, other_follower = -1;
 };
 
@@ -69,7 +70,7 @@
     friend std::ostream& operator<<(std::ostream& out, const MachineFaultCase& c) { return out << c.name; }
 };
 
-// Every fault of a machine, short and long.
+// Returns two cases for each kind of machine fault, a short and a long one.
 std::vector<MachineFaultCase> machine_faults(const std::string& trace, double short_s, double long_s) {
     struct Fault {
         std::string name, trace, fault_note;
@@ -88,20 +89,20 @@
     return cases;
 }
 
-// The combination that broke most schedulers. The store rejects the leader alone, which keeps its workers
-// through the outage that follows; what another controller confirmed as cancelled meanwhile is stopped all
-// the same, and soon: the peers confirm everything they acknowledged. Healthy work runs on.
+// The store first rejects only the leader and then fails for all. The leader keeps its workers through the
+// outage. It must still stop tasks whose cancellation another controller confirmed before the outage, within
+// 8 s: its peers pass on every cancellation that they confirmed to a user. Other tasks keep running.
 TEST(CombinedFaults, CancellationsConfirmedByPeersTakeEffectInStoreOutage) {
     CombinedFaultsCluster cluster("cancelled_before_outage");
     cluster.start_jobs({"j-1", "j-2", "j-3"});
     cluster.note("refuse  c-" + std::to_string(cluster.old_leader));
     cluster.rejected_by_store = {cluster.old_leader};
     cluster.run(0.5);
-    // The leader has learned of it by the time it is confirmed: nothing starts after a confirmed
-    // cancellation.
+    // The leader knows of the cancellation before the user gets the confirmation, so no task starts after a
+    // confirmed cancellation.
     const auto stops_before = cluster.workers.stops;
     EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
-    cluster.run(0.55);  // a plan; the next round of gossip is a second after the last
+    cluster.run(0.55);  // time for one planning round; peers exchange messages only once per second
     EXPECT_GT(cluster.workers.stops, stops_before);
     cluster.run(0.45);
     EXPECT_EQ(cluster.cancel(cluster.other_follower, "j-2")->status, 200);
@@ -119,9 +120,9 @@
     cluster.expect_status_everywhere("j-3", "running");
 }
 
-// Whichever controller confirms a cancellation keeps it known to its peers, whoever committed it and whatever
-// the request was: here the commit's own answer is lost, the outage begins, and another controller confirms
-// it from memory.
+// A controller that confirms a cancellation must make it known to its peers, no matter which controller
+// committed it and which request it responds to. Here the response to the commit is lost, an outage begins,
+// and another controller confirms the cancellation from memory.
 class CancellationConfirmedFromMemory : public ::testing::TestWithParam<NamedCase<bool>> {};
 
 TEST_P(CancellationConfirmedFromMemory, StopsTaskDuringStoreOutage) {
@@ -150,9 +151,9 @@
                                            NamedCase<bool>{"Submission", true}),
                          case_name<NamedCase<bool>>);
 
-// A controller that confirmed a cancellation and ended at once knows nothing of it after its restart. The
-// leader can't prove that it knows all, so the workers' leases end in time. Back within a second or much
-// later.
+// A controller confirms a cancellation, crashes at once and restarts within a second or much later, without
+// any memory of the cancellation. The leader cannot prove that it knows all confirmed cancellations, so the
+// task must stop when its worker's lease expires.
 class ConfirmingControllerCrash : public ::testing::TestWithParam<NamedCase<double>> {};
 
 TEST_P(ConfirmingControllerCrash, CancelledTaskStopsAtLeaseExpiry) {
@@ -162,7 +163,7 @@
     cluster.start_jobs({"j-1", "j-2"});
     cluster.rejected_by_store = {cluster.old_leader};
     cluster.run(0.95);
-    // No message to a peer between the answer and the end.
+    // No message reaches a peer between the response and the crash.
     cluster.partitioned_from_peers = {cluster.follower};
     EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
     cluster.kill(cluster.follower);
@@ -177,7 +178,7 @@
     cluster.run(10);
     cluster.expect_status_everywhere("j-1", "withdrawn");
     cluster.run(60);
-    EXPECT_TRUE(cluster.workers.runs("j-2"));  // again, if its lease expired
+    EXPECT_TRUE(cluster.workers.runs("j-2"));  // restarted if its lease expired
 }
 
 INSTANTIATE_TEST_SUITE_P(Restart, ConfirmingControllerCrash,
@@ -186,7 +187,8 @@
                                            NamedCase<double>{"MuchLater", 100.0}),
                          case_name<NamedCase<double>>);
 
-// A controller paused between its commit and its answer confirms when it goes on; its peers learn of it then.
+// A controller is paused between its commit and its response. It confirms the cancellation only when it
+// resumes, and its peers learn of the cancellation at that time.
 TEST(CombinedFaults, CancellationTakesEffectAfterPauseBetweenCommitAndReply) {
     CombinedFaultsCluster cluster("confirming_controller_paused");
     cluster.start_jobs({"j-1", "j-2"});
@@ -211,8 +213,9 @@
     cluster.expect_status_everywhere("j-1", "withdrawn");
 }
 
-// The leader loses the store and the other controllers, not its workers and users. Cancellations go
-// through the new one; nothing starts twice, and the old one's workers find the new one in time.
+// The leader is cut off from the store and its peers, but not from its workers and users. Cancellations take
+// effect through the new leader, no task starts twice, and the old leader's workers find the new leader
+// before their leases expire.
 TEST(CombinedFaults, LeaderPartitionedFromStoreAndPeersIsReplaced) {
     CombinedFaultsCluster cluster("partitioned_but_for_workers");
     cluster.start_jobs({"j-1", "j-2"});
@@ -236,8 +239,9 @@
     EXPECT_EQ(cluster.workers.starts, 3);
 }
 
-// A stop for a machine that hangs or has a one-way partition, inbound or outbound, and recovers later: its
-// lease ends the task, or the next answer. In an outage that began with the leader refused alone, too.
+// A job is cancelled while its machine hangs or has a one-way partition, inbound or outbound, and the machine
+// recovers later. Its lease expiry or its next heartbeat response stops the task. The store first rejects
+// only the leader and then fails for all.
 class StopOnFaultyMachine : public ::testing::TestWithParam<MachineFaultCase> {};
 
 TEST_P(StopOnFaultyMachine, TakesEffectInTime) {
@@ -266,8 +270,9 @@
 INSTANTIATE_TEST_SUITE_P(Fault, StopOnFaultyMachine, ::testing::ValuesIn(machine_faults("stop", 8, 50)),
                          case_name<MachineFaultCase>);
 
-// The leader learns of a cancellation when its lease is over, from a peer, inside an outage; the machine
-// reaches no controller. The stop goes there by a direct command all the same: it needs no lease.
+// During a store outage the leader learns of a cancellation from a peer after its own lease has expired, and
+// the machine cannot reach any controller. The leader still sends the stop as a direct command, because a
+// stop needs no lease.
 TEST(CombinedFaults, StopsAreSentWithoutLeaderLease) {
     CombinedFaultsCluster cluster("stops_need_no_lease");
     cluster.start_jobs({"j-1", "j-2"});
@@ -285,8 +290,8 @@
     cluster.end_store_outage();
 }
 
-// The leader ends while a machine can't be reached or doesn't get the new leader's answer, and a job on it is
-// cancelled. What may still run there starts nowhere else, and what is cancelled is stopped in time.
+// The leader crashes while a machine hangs or has a one-way partition, and a job on that machine is
+// cancelled. Tasks that may still run there are not started elsewhere, and the cancelled task stops in time.
 class LeaderCrashWithFaultyMachine : public ::testing::TestWithParam<MachineFaultCase> {};
 
 TEST_P(LeaderCrashWithFaultyMachine, NoTaskRunsTwice) {
@@ -317,8 +322,9 @@
                          ::testing::ValuesIn(machine_faults("leader_ends", 20, 45)),
                          case_name<MachineFaultCase>);
 
-// A cancellation, a question and a repeated submission meet the end of a job's last task. Whichever is first
-// holds; the invariant checker sees what goes back and what is confirmed too early.
+// A cancellation, a status request and a repeated submission race with the exit of a job's last task.
+// Whichever is committed first holds; the invariant checker detects a status that is later revoked
+// (went_back) or confirmed too early (not_done).
 TEST(CombinedFaults, RequestsRacingWithLastTaskExitStayConsistent) {
     CombinedFaultsCluster cluster("requests_at_last_task_end");
     std::vector<std::string> jobs;
@@ -328,7 +334,7 @@
         EXPECT_EQ(cluster.submit(0, jobs.back())->status, 201);
     }
     cluster.run_until_first_task_ends(jobs.size());
-    // 0.05 s apart, around the heartbeats and commits that show the end.
+    // Pauses in steps of 0.05 s spread the requests around the heartbeats and commits that report the exits.
     for (int n = 0; const auto& id : jobs) {
         const auto reply = cluster.cancel(n % 3, id);
         EXPECT_EQ(reply->status, 200);
@@ -341,7 +347,8 @@
         for (int n = 0; n < 3; ++n) EXPECT_EQ(cluster.cancel(n, id)->status, 200);
 }
 
-// The leader fails over ten times in two minutes; the ended ones are back within a moment, some in an outage.
+// The leader crashes ten times in two minutes and restarts 0.3 s or 3 s later; in the second case some of the
+// crashes happen during a store outage.
 class TenFailoversInTwoMinutes : public ::testing::TestWithParam<NamedCase<bool>> {};
 
 TEST_P(TenFailoversInTwoMinutes, KeepTasksAndCancellation) {
@@ -376,8 +383,9 @@
                                            NamedCase<bool>{"WithOutages", true}),
                          case_name<NamedCase<bool>>);
 
-// A team is at its quota when the leader fails over, one of its machines can't be reached, and a cancellation
-// comes meanwhile: what the machine may still run counts until it is proven off.
+// A team has reached its quota when the leader crashes and one of the team's machines hangs, and the job
+// there is cancelled. Tasks that may still run on that machine count towards the quota until they are proven
+// to have ended.
 TEST(CombinedFaults, QuotaHoldsAcrossAFailover) {
     CombinedFaultsCluster cluster("quota_across_failover");
     const boost::json::object capped{{"Crew", "capped"}};
@@ -397,8 +405,8 @@
     EXPECT_FALSE(cluster.workers.runs(running));
 }
 
-// Copies of heartbeats come later, from seconds to well over a lease, also those of an earlier term, agent
-// epoch or attempt.
+// Duplicates of heartbeats arrive seconds to well over a lease late, including heartbeats of an earlier term,
+// agent epoch or attempt.
 class DuplicatedHeartbeats : public ::testing::TestWithParam<NamedCase<double>> {};
 
 TEST_P(DuplicatedHeartbeats, AreIgnoredByNewLeader) {
@@ -410,7 +418,7 @@
     cluster.workers.machines.at(machine).fault.hung = true;
     cluster.run(2);
     cluster.kill(cluster.old_leader);
-    cluster.run(40);  // the agent epoch ends
+    cluster.run(40);  // the lease expires, which ends the agent epoch
     if (cluster.workers.machines.contains(machine)) cluster.workers.machines.at(machine).fault.hung = false;
     cluster.restart(cluster.old_leader);
     cluster.run(20);
@@ -426,7 +434,7 @@
                                            NamedCase<double>{"OverALease", 60.0}),
                          case_name<NamedCase<double>>);
 
-// Heartbeats held back until a new leader has acted arrive there.
+// Heartbeats are held back across a failover and reach the new leader after it has already acted.
 TEST(CombinedFaults, HeartbeatsDelayedAcrossFailoverRestartNoCancelledTask) {
     CombinedFaultsCluster cluster("held_heartbeats");
     cluster.start_jobs({"j-1", "j-2"});
@@ -444,7 +452,7 @@
     EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
 
-// Transactions get no answer and are carried out late, after newer ones of the same controller.
+// Transactions get no response and are applied late, after newer ones of the same controller.
 class DelayedTransactions : public ::testing::TestWithParam<NamedCase<double>> {};
 
 TEST_P(DelayedTransactions, DoNotRevertNewerState) {
@@ -475,8 +483,8 @@
                                            NamedCase<double>{"ManySeconds", 8.0}),
                          case_name<NamedCase<double>>);
 
-// All controllers are down, up to longer than a lease, just after a cancellation; one returns before the
-// others.
+// All controllers crash just after a cancellation, for a moment or for longer than a lease, and one of them
+// restarts before the others.
 class AllControllersDown : public ::testing::TestWithParam<NamedCase<double>> {};
 
 TEST_P(AllControllersDown, CancellationSurvivesRestart) {
@@ -501,7 +509,7 @@
                                            NamedCase<double>{"LongerThanALease", 50.0}),
                          case_name<NamedCase<double>>);
 
-// The tasks of a job end far apart, with a change of leader between the ends.
+// The tasks of a job exit far apart, with a failover between the exits.
 TEST(CombinedFaults, TasksFinishingUnderDifferentLeadersCompleteTheJob) {
     CombinedFaultsCluster cluster("ends_far_apart");
     cluster.workers.task_run_s = {{"j-1/0", 5}, {"j-1/1", 35}, {"j-1/2", 75}};
@@ -521,8 +529,8 @@
     EXPECT_EQ(cluster.workers.starts, 3);
 }
 
-// A zone with workers and the leader is partitioned for longer than a lease, and a job there is cancelled.
-// Tasks of a job that is bound to the other zone lose their machine meanwhile.
+// A zone with the leader and some workers is partitioned for longer than a lease, and a job there is
+// cancelled. During the partition a job that is bound to the other zone loses a machine.
 TEST(CombinedFaults, ZonePartitionedWithTheLeader) {
     CombinedFaultsCluster cluster("zone_partitioned");
     cluster.workers.task_run_s = {{"j-3/0", 90}, {"j-3/1", 90}, {"j-3/2", 90}};
@@ -549,12 +557,12 @@
     cluster.expect_status_everywhere("j-3", "done");
 }
 
-// The store is slow, then refuses the leader alone, then everybody for longer than cancel_s, while users
-// cancel and ask.
+// The store is slow, then rejects only the leader, and then fails for all for longer than cancel_s, while
+// users cancel jobs and ask for their status.
 TEST(CombinedFaults, StoreSlowThenRejectingLeaderThenUnavailable) {
     CombinedFaultsCluster cluster("store_slow_then_out");
     cluster.start_jobs({"j-1", "j-2", "j-3"});
-    // Renewals wait as long as everything else: a slow store ends no term, and work goes on.
+    // Lease renewals are delayed like all requests. A slow store ends no term, and new jobs still start.
     cluster.store_delay_s = 1.2;
     cluster.run(20);
     EXPECT_EQ(cluster.leader(), cluster.old_leader);
@@ -586,8 +594,8 @@
     EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
 
-// More work than room, urgent and not, and half of the machines are lost with the leader: afterwards nothing
-// waits while a machine that fits has room.
+// There are more jobs, of high and low priority, than the machines can run at once, and a machine is lost
+// together with the leader. Afterwards no job may wait while a machine that fits it has free capacity.
 TEST(CombinedFaults, AllJobsFinishAfterOverloadAndLeaderCrash) {
     CombinedFaultsCluster cluster("more_than_room");
     cluster.workers.cloud_capacity = 3;
@@ -609,8 +617,8 @@
         EXPECT_NE(cluster.poll(0, "j-" + std::to_string(i))->body.find("done"), std::string::npos) << i;
 }
 
-// An invalid request is refused at once, whatever the store does; what can't be decided is 503; and repeats
-// are answered by the present state.
+// An invalid request is rejected at once, also during a store outage. A request that cannot be decided
+// without the store gets 503, and a repeated request gets the current state of the job.
 TEST(CombinedFaults, InvalidRequestsDuringAStoreOutage) {
     CombinedFaultsCluster cluster("invalid_requests");
     cluster.workers.task_run_s["j-1/0"] = 5;
@@ -629,7 +637,7 @@
         EXPECT_EQ(cluster.submit(1, "j-9", {{"Crew", "capped"}, {"Accelerators", 3}})->status,
                   during_outage ? 503 : 422);
         EXPECT_LT(cluster.now(), start_s + 5);
-        // Known from before the outage on every controller.
+        // Every controller knows from before the outage that j-1 is done.
         for (int n = 0; n < 3; ++n) {
             EXPECT_NE(cluster.cancel(n, "j-1")->body.find("done"), std::string::npos);
             EXPECT_NE(cluster.submit(n, "j-1")->body.find("done"), std::string::npos);
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -1,4 +1,4 @@
-// The dependencies between jobs, without anything around them.
+// Unit tests of model::DependencyGraph.
 #include "model/dependency_graph.hpp"
 
 #include <gtest/gtest.h>
@@ -34,14 +34,15 @@
     EXPECT_TRUE(graph.is_ready("j-1"));
     EXPECT_FALSE(graph.is_ready("j-3"));
     EXPECT_TRUE(graph.end("j-1", {FinalStatus::done, 500}).ready.empty());
-    EXPECT_TRUE(graph.end("j-1", {FinalStatus::done, 500}).ready.empty());  // told again
+    EXPECT_TRUE(graph.end("j-1", {FinalStatus::done, 500}).ready.empty());  // recorded twice
     EXPECT_FALSE(graph.is_ready("j-3"));
     EXPECT_EQ(graph.end("j-2", {FinalStatus::done, 300}).ready, Ids{"j-3"});
     EXPECT_TRUE(graph.is_ready("j-3"));
     EXPECT_EQ(graph.ready_since_ms("j-3"), 500);
 }
 
-// Absence from the live records proves nothing: a job whose dependency can't be found isn't ready.
+// A missing live record does not prove that a dependency is done: a job whose dependency is unknown is not
+// ready.
 TEST(DependencyGraph, UnknownDependencyIsNotDone) {
     DependencyGraph graph;
     graph.add(job_depending_on("j-2", {"j-1"}));
@@ -50,7 +51,7 @@
     EXPECT_EQ(graph.unresolved(), Ids{"j-1"});
     graph.add(job_depending_on("j-3", {"j-2"}));
     EXPECT_EQ(graph.unresolved_before("j-3"), Ids{"j-1"});
-    graph.add(job_depending_on("j-1", {}));  // in whatever order records are read
+    graph.add(job_depending_on("j-1", {}));  // records may be read in any order
     EXPECT_TRUE(graph.unresolved().empty());
     graph.remove("j-1");
     EXPECT_EQ(graph.unresolved(), Ids{"j-1"});
@@ -67,13 +68,13 @@
     EXPECT_EQ(sorted(graph.end("j-1", {FinalStatus::cancelled}).cancelled), (Ids{"j-2", "j-3", "j-4"}));
     EXPECT_FALSE(graph.is_ready("j-4"));
     EXPECT_EQ(graph.add(job_depending_on("j-5", {"j-4"})).cancelled, Ids{"j-5"});
-    // Its own final record says the same, and what comes after it stays cancelled without it.
+    // The final record of j-4 changes nothing, and j-5 stays cancelled after j-4 was removed.
     graph.remove("j-4");
     EXPECT_TRUE(graph.end("j-4", {FinalStatus::cancelled}).cancelled.empty());
     EXPECT_TRUE(graph.is_cancelled("j-5"));
 }
 
-// Forty diamonds in a row have a million million paths, and a deep chain would end a recursion.
+// 40 diamonds in a row have 2^40 paths, and recursion over a chain of 20,000 jobs would overflow the stack.
 TEST(DependencyGraph, VisitsEachJobOnce) {
     DependencyGraph graph;
     std::string last = "j-0";
@@ -98,7 +99,8 @@
     EXPECT_EQ(chain.end("j-0", {FinalStatus::cancelled}).cancelled.size(), 20000U);
 }
 
-// The highest priority and the earliest deadline of what comes after count, until that is over.
+// A job inherits the highest priority and the earliest deadline of the jobs that depend on it, directly or
+// not, as long as these are live.
 TEST(DependencyGraph, InheritsPriorityAndDeadline) {
     DependencyGraph graph;
     const auto first = job_depending_on("j-1", {});
@@ -120,7 +122,8 @@
     EXPECT_FALSE(graph.deadline_ms(first));
 }
 
-// A mirror read anew adds the live jobs again; how those before them ended is not forgotten meanwhile.
+// A reload of the watch cache clears the graph and adds the live jobs again. The outcomes of the jobs that
+// they depend on are kept meanwhile.
 TEST(DependencyGraph, OutcomesSurviveCacheReload) {
     DependencyGraph graph;
     graph.add(job_depending_on("j-1", {}));
@@ -136,7 +139,7 @@
     graph.clear();
     graph.forget_unneeded();
     graph.add(job_depending_on("j-2", {"j-1"}));
-    EXPECT_EQ(graph.unresolved(), Ids{"j-1"});  // forgotten: it has to be looked up
+    EXPECT_EQ(graph.unresolved(), Ids{"j-1"});  // its outcome was dropped and must be looked up
 }
 
 }  // namespace
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -1,6 +1,6 @@
-// Jobs that depend on others: what the leader starts and writes (LeaderSimulator), and what whole controllers
-// answer users during faults (ClusterSimulator). The invariant checker watches too_early and orphaned with
-// the other rules.
+// Jobs that depend on other jobs: what the leader starts and writes (LeaderSimulator), and how whole
+// controllers respond to users during faults (ClusterSimulator). The invariant checker verifies too_early and
+// orphaned besides its other rules.
 #include <boost/json.hpp>
 #include <ctime>
 
@@ -22,7 +22,7 @@
     return spec;
 }
 
-// The task is placed, started and running.
+// Places and starts the task, and reports it as running.
 void run_task(LeaderSimulator& simulator, const std::string& task, const std::string& machine) {
     simulator.plan_and_commit(machine);
     simulator.set_task_state(task, TaskState::running);
@@ -31,8 +31,9 @@
 
 // --- the leader --------------------------------------------------------------------------------------------
 
-// The last task of a dependency has ended and its leader knows; a failover comes before the record. The new
-// leader knows of the end by a heartbeat alone, and starts what waits only after its own commit.
+// The leader learns that the last task of a dependency has exited, and fails before it writes the final
+// record. The new leader knows of the exit only from a heartbeat, and must commit the final record before it
+// starts the dependent job.
 TEST(Dependencies, DependentStartsOnlyAfterFinalRecordIsCommitted) {
     LeaderSimulator simulator("dependency_end_in_failover");
     simulator.begin_term();
@@ -56,8 +57,8 @@
     EXPECT_EQ(simulator.starts, 2);
 }
 
-// A leader that took over after the dependency had ended reads that from its final record, not from its
-// absence among the live ones; until it has, nothing starts.
+// A dependency ended before the leader took over. The leader must read that from the final record and must
+// not infer it from the missing live record; until then the dependent job does not start.
 TEST(Dependencies, MissingLiveRecordDoesNotCountAsDone) {
     LeaderSimulator simulator("dependency_not_read");
     simulator.begin_term();
@@ -77,15 +78,16 @@
     EXPECT_EQ(simulator.starts, 1);
 }
 
-// A job that waits for others needs nothing: no room, no provisioning, no place in the queue. Its wait counts
-// from when it is ready, also under a later leader; its deadline from its submission.
+// A job that waits for its dependencies takes up no capacity, no provisioning and no place in the queue. Its
+// wait time counts from the moment it becomes ready, also under a later leader; its deadline counts from its
+// submission.
 TEST(Dependencies, WaitTimeCountsFromReadiness) {
     LeaderSimulator simulator("dependency_wait_counts");
     simulator.begin_term();
     simulator.add_worker("m-90");
     simulator.synchronize_worker("m-90");
     auto first = array_job("j-1", 1);
-    first.allowed_machine_types = std::vector<std::string>{"g2"};  // there is none
+    first.allowed_machine_types = std::vector<std::string>{"g2"};  // no g2 machine exists yet
     simulator.submit(first);
     auto second = job_depending_on("j-2", {"j-1"}, 6);
     second.estimate_s = 10;
@@ -109,7 +111,8 @@
     EXPECT_LT(simulator.leader_state().jobs().at("j-2").xfactor_at_start, 1.5);
 }
 
-// Jobs after a cancelled one get their final records in batches that keep to the limits, across a failover.
+// The dependents of a cancelled job get their final records in several batches, each within the store's
+// limits, with a failover in between.
 TEST(Dependencies, CancelledDependentsAreRecordedAcrossFailover) {
     LeaderSimulator simulator("dependency_fan_withdrawn");
     simulator.config.max_transaction_changes = 4;
@@ -130,7 +133,7 @@
     for (int i = 1; i <= 8; ++i) EXPECT_EQ(simulator.job_status("j-" + std::to_string(i)), "withdrawn");
 }
 
-// Some thousand waiting jobs cost a planning round next to nothing.
+// 4,000 jobs that wait for a dependency must not noticeably slow down planning.
 TEST(Dependencies, WaitingJobsDoNotSlowPlanning) {
     LeaderSimulator simulator("dependency_many_waiting");
     simulator.begin_term();
@@ -138,7 +141,7 @@
         simulator.add_worker("m-" + std::to_string(100 + i));
         simulator.synchronize_worker("m-" + std::to_string(100 + i));
     }
-    // Processor time: what else the machine does must not decide.
+    // CPU time, so that other load on the machine does not affect the result.
     const auto measure_planning_s = [&] {
         const auto start = std::clock();
         for (int i = 0; i < 20; ++i) {
@@ -157,13 +160,13 @@
         simulator.add_accepted_job(spec);
     }
     const double with_waiting_s = measure_planning_s();
-    // 20 rounds over 4,000 jobs; a snapshot of each would take many times as long, sanitizers or not.
+    // 20 rounds over 4,000 jobs; a snapshot of each job would take many times as long, with or without
+    // sanitizers.
     EXPECT_LT(with_waiting_s, without_waiting_s + 1.0);
     EXPECT_LE(simulator.leader_state().jobs().at("j-first").placements.size(), 1U);
 }
 
-// --- whole controllers
-// -------------------------------------------------------------------------------------------
+// --- whole controllers -------------------------------------------------------------------------------------
 
 json::object dependencies_field(const std::vector<std::string>& ids) {
     json::array list;
@@ -176,13 +179,15 @@
     explicit PipelineCluster(const std::string& trace, const ClusterOptions& options = {})
         : ClusterSimulator(trace, 3, options) {
         workers.cloud_capacity = 6;
-        run(5);  // a leader, and the controllers have seen each other
+        run(5);  // elects a leader, and every controller has heard from its peers
     }
+    // Submits a job with these dependencies. Returns the HTTP status, or 0 without a response.
     int submit_job(int controller, const std::string& id, const std::vector<std::string>& dependencies = {}) {
         const auto reply =
             submit(controller, id, dependencies.empty() ? json::object{} : dependencies_field(dependencies));
         return reply ? reply->status : 0;
     }
+    // Returns the job's status, or the HTTP status if that is not 200.
     std::string job_status(int controller, const std::string& id) {
         const auto reply = poll(controller, id);
         if (!reply || reply->status != 200) return reply ? std::to_string(reply->status) : "no answer";
@@ -198,13 +203,14 @@
     }
 };
 
-// Four stages, a diamond among them, through to the end; the last is submitted when the others are over.
+// A pipeline of four stages, including a diamond, runs to its end. The last stage is submitted when all
+// others are done.
 TEST(Pipelines, RunInOrder) {
     PipelineCluster cluster("pipeline_in_order");
     cluster.workers.default_task_run_s = 5;
     EXPECT_EQ(cluster.submit_job(0, "j-1"), 201);
-    EXPECT_EQ(cluster.submit_job(1, "j-2", {"j-1"}),
-              201);  // accepted a millisecond ago by another controller
+    // Another controller accepted j-1 a millisecond ago.
+    EXPECT_EQ(cluster.submit_job(1, "j-2", {"j-1"}), 201);
     EXPECT_EQ(cluster.submit_job(2, "j-3", {"j-1", "j-1"}), 201);
     EXPECT_EQ(cluster.submit_job(0, "j-4", {"j-2", "j-3"}), 201);
     EXPECT_EQ(cluster.job_status(1, "j-4"), "queued");
@@ -214,8 +220,8 @@
     EXPECT_EQ(cluster.workers.starts, 5);
 }
 
-// What is wrong with a list is answered at once, and a job that is known gets its status whatever the list
-// says.
+// An invalid dependency list is rejected at once with the reason. A repeated submission of a known job gets
+// the job's status, whatever its list contains.
 TEST(Pipelines, InvalidDependencyListsAreRejectedWithReason) {
     PipelineCluster cluster("pipeline_bad_lists");
     EXPECT_EQ(cluster.submit_job(0, "j-1"), 201);
@@ -246,8 +252,8 @@
     EXPECT_GT(undetermined->retry_after_s, 0);
 }
 
-// Right after a cancellation every controller answers the same about all dependent jobs, also from memory
-// alone.
+// Right after a cancellation every controller reports all dependent jobs as withdrawn, also when it responds
+// from memory alone.
 TEST(Pipelines, CancellationReachesAllDependentJobs) {
     PipelineCluster cluster("pipeline_cancelled");
     EXPECT_EQ(cluster.submit_job(0, "j-1"), 201);
@@ -270,8 +276,8 @@
     EXPECT_EQ(cluster.workers.starts, 1);
 }
 
-// Cancelled and confirmed as an outage of the store begins: a peer that was informed confirms it too, and all
-// dependent jobs stay withdrawn across the outage, a failover and a restart of every process.
+// A cancellation is confirmed just before a store outage. A peer that was informed confirms it as well, and
+// all dependent jobs stay withdrawn across the outage, a failover and a restart of every process.
 TEST(Pipelines, DependentsStayCancelledAcrossOutageAndFailover) {
     PipelineCluster cluster("pipeline_fan_in_outage");
     EXPECT_EQ(cluster.submit_job(0, "j-1"), 201);
@@ -294,7 +300,7 @@
     cluster.restart(old_leader);
     cluster.run(12);
     cluster.expect_status_everywhere("j-f250", "withdrawn");
-    for (int n = 0; n < 3; ++n) cluster.restart(n);  // no process has anything in memory
+    for (int n = 0; n < 3; ++n) cluster.restart(n);  // nothing is left in memory
     cluster.run(8);
     cluster.expect_status_everywhere("j-f499", "withdrawn");
     cluster.run(90);
@@ -302,7 +308,7 @@
     EXPECT_EQ(cluster.workers.starts_after_confirmed_cancellation, 0);
 }
 
-// A cancellation races with the end of a dependency: whichever is first holds for all dependent jobs.
+// A cancellation of a job races with its completion: whichever comes first decides for its dependents.
 TEST(Pipelines, CancellationRacingWithCompletionAppliesToDependents) {
     PipelineCluster cluster("pipeline_cancel_at_end");
     std::vector<std::string> jobs;
@@ -326,8 +332,8 @@
         EXPECT_EQ(cluster.job_status(0, id) == "done", cluster.job_status(1, id + "next") == "done") << id;
 }
 
-// Dependencies that ended long ago are in no memory: every process was restarted since. A list may name one
-// of another team, and a job may arrive while what it needs is being cancelled.
+// The dependencies ended before every process was restarted, so no controller has them in memory. A list may
+// name a job of another team, and a job may be submitted while its dependency is being cancelled.
 TEST(Pipelines, DependenciesEndedBeforeRestartAreResolved) {
     PipelineCluster cluster("pipeline_long_ago");
     cluster.workers.task_run_s["j-1/0"] = 2;
@@ -350,12 +356,12 @@
     cluster.run(1);
     ASSERT_TRUE(*pending_reply);
     cluster.expect_status_everywhere("j-8", "withdrawn");
-    cluster.run_until_done("j-4", 120);  // its first dependency was over before the new leader began
+    cluster.run_until_done("j-4", 120);  // j-1 had ended before the new leader's term began
     cluster.run_until_done("j-5", 60);
 }
 
-// The first answer of a new process, a moment after it has read the live records: the end of the first job is
-// not among these, so that it has to be looked up before any answer.
+// A restarted process responds for the first time just after it has read the live records. The outcome of j-1
+// is not among these, so the process must look it up before it responds.
 TEST(Pipelines, FirstReplyAfterRestartResolvesDependencies) {
     PipelineCluster cluster("pipeline_first_answer");
     for (int n = 0; n < 3; ++n) cluster.kill(n);
@@ -378,8 +384,8 @@
     EXPECT_EQ(first_status, "withdrawn");
 }
 
-// A few hundred names are accepted at the smallest limits, in one transaction; beyond the bound the user gets
-// an error, and the job is not known.
+// At the smallest limits of the store, a list of 500 names is accepted in one transaction. A list with more
+// names or more bytes is rejected with an error, and its job stays unknown.
 TEST(Pipelines, LongDependencyListsAreAcceptedWholeOrRejected) {
     ClusterOptions small_limits;
     small_limits.adjust = [](config::Settings& s) { s.value_kb = 2, s.max_transaction_changes = 4; };
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -1,12 +1,12 @@
-// A new leader rebuilds its state from the store and from heartbeats; what it does not know yet may still
-// run.
+// A new leader rebuilds its state from the store and from heartbeats. A task that it has no report of yet may
+// still run.
 #include "leader_simulator.hpp"
 
 namespace pineroad::test {
 namespace {
 
-// Unknown means possibly still running: no heartbeat of the machine of an earlier term's placement has
-// arrived, so its task waits for proof.
+// A task that was placed in an earlier term may still run while its machine has sent no heartbeat in the new
+// term. It is placed again only after proof that it has ended.
 TEST(Failover, DoesNotRestartTasksThatMayStillRun) {
     StartedLeader simulator("failover_unknown_tasks", {"m-1"});
     simulator.add_worker("m-2");
@@ -21,22 +21,22 @@
     }
     simulator.advance(10);
     simulator.send_heartbeat("m-2");
-    simulator.plan();  // silent for long, while m-2 is not
+    simulator.plan();  // m-1 has been silent for long while m-2 reports
     simulator.release_machines();
     simulator.plan_and_commit();
     EXPECT_EQ(simulator.send_heartbeat("m-2").size(), 1U);
     EXPECT_EQ(simulator.starts, 2);
 }
 
-// A provisioning request without an answer is repeated under its name by the next leader (an idempotent
-// request): it provisions once, and is not forgotten.
+// The next leader repeats a provisioning request that got no response, under the same name. The request is
+// idempotent, so the machines are provisioned once, and it is not lost.
 TEST(Failover, RepeatsAnUnansweredProvisioningRequest) {
     StartedLeader simulator("provisioning_across_failover");
     simulator.submit(gang_job("j-1", 1));
     simulator.plan_and_commit();
     const auto first = simulator.provision_machines();
     ASSERT_EQ(first.size(), 1U);
-    simulator.begin_term();  // before the answer was written down
+    simulator.begin_term();  // before the response was recorded
     simulator.plan_and_commit();
     const auto repeated = simulator.provision_machines();
     ASSERT_EQ(repeated.size(), 1U);
@@ -47,8 +47,8 @@
     for (const auto& request : simulator.provision_machines()) EXPECT_NE(request.name, first[0].name);
 }
 
-// A failover long after provisioning: no machine has sent a heartbeat in the new term, and none is given
-// up for that.
+// A failover happens long after provisioning. Running machines that have sent no heartbeat in the new term
+// yet must not be released for that; a machine that is still booting is.
 TEST(Failover, ReleasesNoRunningMachine) {
     StartedLeader simulator("failover_keeps_machines", {"m-1"});
     simulator.advance(400);
@@ -68,8 +68,9 @@
     simulator.release_machines();
 }
 
-// Spot machines reclaimed between two leaders: their notice never reaches the new one. What the list does
-// not show once its lag has passed is gone, and a release proves it without waiting for silence.
+// A spot machine is reclaimed between two terms, so that its interruption notice never reaches the new
+// leader. A machine that is still missing from the machine list when the list's lag has passed is gone.
+// Releasing it proves that its tasks have ended, without waiting for the machine to count as silent.
 TEST(Failover, SpotMachineReclaimedBetweenTwoTermsIsReleased) {
     StartedLeader simulator("reclaimed_between_terms");
     simulator.add_worker("m-1", "g4", "a", true);
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -1,4 +1,4 @@
-// Gang scheduling: all tasks of an attempt together, on every path.
+// Gang scheduling: all tasks of an attempt are placed, started, stopped and restarted together.
 #include "leader_simulator.hpp"
 
 namespace pineroad::test {
@@ -7,7 +7,7 @@
 using model::ExitCause;
 using model::TaskState;
 
-// A gang that is placed on the machines and started there.
+// Submits the gang, places it on the machines and starts it there.
 void start_gang(LeaderSimulator& simulator, const model::JobSpec& spec,
                 const std::vector<std::string>& machines) {
     simulator.submit(spec);
@@ -15,13 +15,13 @@
     simulator.send_heartbeats(machines);
 }
 
-// Both tasks of the gang j-1, which its machines have not reported yet.
+// Sets the state of both tasks of the gang j-1; the next heartbeats of its machines report it.
 void set_both_tasks(LeaderSimulator& simulator, TaskState state, ExitCause cause = ExitCause::none) {
     simulator.set_task_state("j-1/0", state, cause);
     simulator.set_task_state("j-1/1", state, cause);
 }
 
-// A gang waits until all its tasks have room, and then starts on every machine.
+// A gang waits until there is capacity for all its tasks, and then starts on all machines.
 TEST(Gang, IsPlacedWholeOrNotAtAll) {
     StartedLeader simulator("gang_whole", {"m-1"});
     simulator.submit(gang_job("j-1", 2));
@@ -33,8 +33,8 @@
     EXPECT_EQ(simulator.send_heartbeat("m-2").size(), 1U);
 }
 
-// A task lost before the gang runs is replaced within the same attempt, so that the waiting ones complete
-// with it.
+// A task that is lost before the gang runs is replaced within the same attempt, so that the tasks that wait
+// for the gang can start together with the replacement.
 TEST(Gang, ReplacesALostWaitingTask) {
     StartedLeader simulator("gang_replacement", {"m-1", "m-2", "m-3"});
     start_gang(simulator, gang_job("j-1", 2), {"m-1", "m-2", "m-3"});
@@ -51,10 +51,10 @@
     for (auto& [id, worker] : simulator.workers)
         for (auto& task : worker.tasks) attempts.insert(task.attempt), ++tasks;
     EXPECT_EQ(tasks, 2);
-    EXPECT_EQ(attempts.size(), 1U);  // the same attempt: the waiting task completes with it
+    EXPECT_EQ(attempts.size(), 1U);  // the replacement joins the attempt of the waiting task
 }
 
-// A running gang that lost a task starts a new attempt only when the last task of the old attempt is off
+// A running gang that lost a task starts a new attempt only when the last task of the old attempt has left
 // its machine.
 TEST(Gang, RestartsOnlyAfterTheLastTaskEnded) {
     StartedLeader simulator("gang_lost_task", {"m-1", "m-2"});
@@ -65,7 +65,7 @@
     simulator.expire_worker_lease("m-2");
     simulator.send_heartbeat("m-2");
     simulator.plan_and_commit();
-    EXPECT_TRUE(simulator.send_heartbeat("m-2").empty());  // the other task is still there
+    EXPECT_TRUE(simulator.send_heartbeat("m-2").empty());  // the other task still runs
     EXPECT_TRUE(simulator.send_heartbeat("m-3").empty());
     simulator.deliver_direct_commands();
     simulator.send_heartbeat("m-1");
@@ -79,7 +79,8 @@
     EXPECT_EQ(simulator.starts, 4);
 }
 
-// Orderly stop: every task gets a direct command in the same moment, with time to write its checkpoint.
+// Preemption stops all tasks of the victim by direct commands at the same time and leaves them time to write
+// their checkpoints.
 TEST(Gang, PreemptionStopsAllTasksAtOnce) {
     LeaderSimulator simulator("preemption");
     simulator.tuning.preemption_period_s = 1;
@@ -99,7 +100,7 @@
     simulator.plan();
     simulator.deliver_direct_commands();
     EXPECT_EQ(simulator.workers.at("m-1").tasks[0].state, TaskState::running)
-        << "xfactor 1.8: below the factor";
+        << "xfactor 1.8 is below the preemption factor";
     simulator.advance(4);
     simulator.send_heartbeats({"m-1", "m-2"});
     simulator.plan();
@@ -108,8 +109,8 @@
     EXPECT_EQ(simulator.workers.at("m-2").tasks[0].state, TaskState::checkpointing);
 }
 
-// A gang that lost a task after running for long has waited a moment only: after many losses at once the
-// widest would reserve machines at once, before all that came meanwhile.
+// The wait time of a gang that lost a task counts from its last run. If it counted from the submission, the
+// widest gang would reserve machines at once after many losses, ahead of all jobs submitted since.
 TEST(Gang, WaitTimeCountsFromLastRun) {
     StartedLeader simulator("waits_from_its_last_run", {"m-1", "m-2", "m-3"});
     start_gang(simulator, gang_job("j-1", 2), {"m-1", "m-2", "m-3"});
--- a/tests/heartbeat_test.cpp
+++ b/tests/heartbeat_test.cpp
@@ -1,4 +1,5 @@
-// Heartbeats out of order, lost, copied or sent under an older fencing token, and what each proves.
+// Heartbeats that are out of order, lost, duplicated or sent under an older fencing token, and what each of
+// them proves.
 #include "leader_simulator.hpp"
 
 namespace pineroad::test {
@@ -7,15 +8,15 @@
 using model::ExitCause;
 using model::TaskState;
 
-// A heartbeat that does not show the new fencing token proves no absence: the old leader's start may
-// still be on its way.
+// A heartbeat under an older fencing token does not prove that a task is absent: the old leader's start
+// command may still be in transit.
 TEST(Heartbeat, TaskMissingUnderOlderTokenIsNotRestarted) {
     StartedLeader simulator("absence_under_old_token", {"m-1"});
     simulator.add_worker("m-2");
     simulator.submit(array_job("j-1", 1));
     simulator.plan_and_commit();
     const auto late_commands =
-        simulator.leader_state().commands_for("m-1", true, simulator.now);  // the answer is slow on its way
+        simulator.leader_state().commands_for("m-1", true, simulator.now);  // the response is delayed
     simulator.begin_term();
     simulator.send_heartbeat("m-2");
     simulator.send_heartbeat("m-2");
@@ -31,8 +32,8 @@
     EXPECT_EQ(simulator.starts, 1);
 }
 
-// Guards the order by (agent epoch, sequence number): an older heartbeat that arrives late must not undo
-// what a newer one showed.
+// Heartbeats are ordered by (agent epoch, sequence number): an older one that arrives late must not undo what
+// a newer one reported.
 TEST(Heartbeat, StaleHeartbeatIsIgnored) {
     StartedLeader simulator("stale_heartbeat", {"m-1"});
     const auto stale_heartbeat = simulator.next_heartbeat(simulator.workers.at("m-1"));
@@ -44,7 +45,8 @@
         simulator.leader_state().write_due());  // an older empty heartbeat does not mark the task lost
 }
 
-// A command whose answer was lost is sent again with the next heartbeat, and starts its task once.
+// A command whose response was lost is sent again in response to the next heartbeat, and its task starts
+// once.
 TEST(Heartbeat, CommandIsResentAfterLostResponse) {
     StartedLeader simulator("lost_answer", {"m-1"});
     simulator.submit(array_job("j-1", 1));
@@ -55,7 +57,7 @@
     EXPECT_EQ(simulator.starts, 1);
 }
 
-// A new agent epoch proves that the tasks of the earlier one have ended: they are placed again.
+// A new agent epoch proves that the tasks of the earlier epoch have ended, so they are placed again.
 TEST(Heartbeat, NewAgentEpochRestartsTasks) {
     StartedLeader simulator("new_agent_epoch", {"m-1"});
     simulator.run_job(array_job("j-1", 1), "m-1");
@@ -66,7 +68,7 @@
     EXPECT_EQ(simulator.starts, 2);
 }
 
-// A task that no placement knows is stopped and then reaped.
+// A reported task that has no placement is stopped and then reaped.
 TEST(Heartbeat, UnknownTasksAreStopped) {
     LeaderSimulator simulator("unknown_tasks");
     simulator.specs["j-9"] = array_job("j-9", 1);
@@ -79,7 +81,8 @@
     EXPECT_TRUE(m.tasks.empty());
 }
 
-// Copies of a heartbeat, seconds or minutes late, keep no machine alive, and acknowledge no command.
+// Duplicates of a heartbeat that arrive seconds or minutes late neither keep a machine alive nor acknowledge
+// commands.
 TEST(Heartbeat, LateDuplicatesDoNotKeepMachineAlive) {
     StartedLeader simulator("late_copies", {"m-1", "m-2"});
     simulator.run_job(array_job("j-1", 1), "m-1");
@@ -106,17 +109,18 @@
     EXPECT_TRUE(simulator.leader_state().commands_for("m-1", true, simulator.now).empty());
     simulator.submit(array_job("j-2", 1));
     simulator.plan_and_commit();
-    EXPECT_TRUE(simulator.leader_state().machines().at("m-1").tasks.empty());  // it gets nothing
+    EXPECT_TRUE(simulator.leader_state().machines().at("m-1").tasks.empty());  // no task is placed on it
 }
 
-// A heartbeat's answer waits for work where there is room for the smallest task that came lately, beside
-// others too: a stage of a pipeline started up to a heartbeat period late on machines in use.
+// The response to a heartbeat is held for new tasks while the machine has free capacity for the smallest task
+// submitted recently, also beside running tasks. Without this, a stage of a pipeline started up to a
+// heartbeat period late on machines in use.
 TEST(Heartbeat, ResponseIsHeldOnlyWhileMachineHasFreeCapacity) {
     StartedLeader simulator("answers_wait_for_room", {"m-1"});
     simulator.submit(array_job("j-1", 1));
     simulator.plan_and_commit("m-1");
     EXPECT_FALSE(
-        simulator.leader_state().has_room("m-1", simulator.now));  // nothing came lately that would fit
+        simulator.leader_state().has_room("m-1", simulator.now));  // no task that fits was submitted recently
     scheduling::ClassDemand demand;
     demand.sample = array_job("j-2", 1);
     simulator.leader_state().plan(simulator.now, simulator.wall_ms(), {{"small", demand}});
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,5 +1,5 @@
-// The earlier version and this one, side by side and on each other's data. What version 0.4 writes is kept in
-// tests/fixtures, made by running that version (tests/fixtures/README.md).
+// The earlier version and the current one, side by side and on each other's data. tests/fixtures contains
+// data that version 0.4 wrote; tests/fixtures/README.md says how it was made.
 #include <boost/json.hpp>
 #include <fstream>
 
@@ -28,8 +28,8 @@
     return bytes;
 }
 
-// A store as version 0.4 left it: a job of 240 tasks in one entry of 4 KB, a gang, and progress of a
-// job that its user has withdrawn.
+// A store with the records of version 0.4: a job of 240 tasks in one entry of 4 KB, a gang, and the progress
+// of a job that its user has cancelled.
 class StoreOfVersion04 : public LeaderSimulator {
    public:
     explicit StoreOfVersion04(const std::string& trace) : LeaderSimulator(trace) {
@@ -43,7 +43,7 @@
             specs[id] = array_job(id, id == std::string("j-000001") ? 240 : 4);
         config.value_kb = 2, config.current_value_kb = 16, config.max_transaction_changes = 4;
     }
-    // What a leader would read now: the machine of each task.
+    // Returns the machine of each task as a new leader would read it from the store now.
     std::map<std::uint32_t, std::string> read_placements(const std::string& job) {
         store::WatchCache watch_cache;
         for (const auto& [key, row] : store.rows)
@@ -67,15 +67,16 @@
     EXPECT_EQ(wide_job.record.done_count(), 20U);
     EXPECT_EQ(wide_job.placements.size(), 197U);
     EXPECT_FALSE(wide_job.sharded);
-    EXPECT_EQ(simulator.leader_state().jobs().at("j-000002").placements.size(), 0U);  // found no room
+    EXPECT_EQ(simulator.leader_state().jobs().at("j-000002").placements.size(), 0U);  // no capacity
     const auto& cancelled_by_dependency = simulator.leader_state().jobs().at("j-000004");
     EXPECT_TRUE(cancelled_by_dependency.is_cancelled());
-    EXPECT_EQ(cancelled_by_dependency.placements.size(), 3U);  // still there until proven off
+    // Placements are kept until the tasks are proven to have ended.
+    EXPECT_EQ(cancelled_by_dependency.placements.size(), 3U);
     EXPECT_FALSE(simulator.leader_state().jobs().contains("j-000003"));
 }
 
-// The limit has fallen with large records in place. They are superseded in tasks that fit; whenever a new
-// leader comes, it reads every placement once.
+// The store's value limit is lowered while the store contains larger records. They are replaced by shards
+// that fit, and a leader that takes over at any point reads every placement exactly once.
 TEST(Upgrade, LargeRecordsAreReplacedByShards) {
     StoreOfVersion04 simulator("upgrade_split");
     simulator.record_parts_allowed = true;
@@ -87,14 +88,14 @@
     simulator.leader_state().machines_released({released_machine}, simulator.now);
     std::size_t batches = 0;
     while (const auto batch = simulator.next_write_batch()) {
-        ASSERT_TRUE(simulator.apply_batch(*batch));  // checked against the limits by the simulator
+        ASSERT_TRUE(simulator.apply_batch(*batch));  // the simulator checks the limits
         ++batches;
         for (const auto& [index, placement] : simulator.leader_state().jobs().at("j-000001").placements)
             EXPECT_EQ(simulator.read_placements("j-000001").at(index), placement.machine);
         for (const auto& [index, machine] : simulator.read_placements("j-000001"))
             EXPECT_EQ(original_placements.at(index), machine);
         if (batches != 1) continue;
-        simulator.begin_term();  // in the middle of it; the new leader learns of the release again
+        simulator.begin_term();  // between two batches; the new leader is told of the release again
         simulator.leader_state().machines_released({released_machine}, simulator.now);
     }
     EXPECT_GE(batches, 3U);
@@ -106,8 +107,9 @@
     EXPECT_EQ(simulator.leader_state().jobs().at("j-000001").placements.size(), remaining_placements.size());
 }
 
-// While another controller may be of the earlier version nothing is split: a record that is too large for the
-// limit to come is written under the one in force, and never again once that is refused.
+// No record is sharded while another controller may be of the earlier version. A record that is too large for
+// the announced limit is written whole under the current limit, and is not written again once the store has
+// rejected it.
 TEST(Upgrade, RecordsAreNotShardedBeforeAllControllersReadShards) {
     StoreOfVersion04 simulator("upgrade_not_split");
     simulator.begin_term();
@@ -139,7 +141,8 @@
               simulator.leader_state().jobs().at("j-000001").placements.size());
 }
 
-// The earlier version needs its nine fields and skips others; ours are read, and name no format.
+// The earlier version requires its nine fields and ignores others. Its messages are read; they name no record
+// format, which counts as format 1.
 TEST(Upgrade, MessagesOfVersion04AreRead) {
     const auto fixture_data = fixture();
     const auto earlier =
@@ -168,8 +171,9 @@
     return options;
 }
 
-// A job with dependencies waits for the last controller of the earlier version, which would start it at once;
-// then it is accepted within seconds. Other jobs never wait.
+// A job with dependencies is rejected with 503 while a controller of the earlier version is left, which would
+// start the job at once. It is accepted within seconds after that controller's upgrade. Other jobs are always
+// accepted.
 TEST(Upgrade, DependenciesAreRejectedUntilAllControllersAreUpgraded) {
     ClusterSimulator cluster("upgrade_gate", 3, earlier_version());
     cluster.workers.cloud_capacity = 6;
@@ -183,15 +187,15 @@
     EXPECT_EQ(rejected->status, 503);
     EXPECT_GT(rejected->retry_after_s, 0);
     EXPECT_EQ(cluster.submit(1, "j-3")->status, 201);
-    cluster.run(30);  // the one of the earlier version is not silent
+    cluster.run(30);  // the controller of the earlier version still responds
     EXPECT_EQ(cluster.submit(0, "j-2", depends_on_first)->status, 503);
     cluster.upgrade(2);
     cluster.run(8);
     EXPECT_EQ(cluster.submit(2, "j-2", depends_on_first)->status, 201);
 }
 
-// A controller that is away when the others are replaced, and was never seen since, is waited for until a
-// user asks, and then for some seconds only.
+// A controller is down while the others are upgraded, and they have not heard from it since. They reject the
+// first job with dependencies, but from then on wait only a few seconds for the missing controller.
 TEST(Upgrade, UnreachableControllerDoesNotBlockUpgrade) {
     ClusterSimulator cluster("upgrade_away", 3, earlier_version());
     cluster.workers.cloud_capacity = 6;
@@ -209,8 +213,9 @@
     EXPECT_EQ(cluster.poll(2, "j-2")->status, 200);
 }
 
-// Leaders of both versions in turn, with a wide job of which every task runs on; copies of heartbeats come
-// late, a leader crashes, and the limits fall with large records in place and a failover under way.
+// Leaders of both versions alternate while a job of 120 tasks runs, and no task is interrupted. Duplicates of
+// heartbeats arrive late, a leader crashes, and the store's limits are lowered during a failover while the
+// store contains larger records.
 TEST(Upgrade, TasksSurviveAlternatingLeaderVersions) {
     ClusterSimulator cluster("upgrade_alternating", 3, earlier_version());
     cluster.workers.cloud_capacity = 8;
@@ -229,7 +234,7 @@
         else
             cluster.kill(leader_index);
         cluster.run(9);
-        if (!by_current_version) cluster.restart(leader_index);  // as what it was
+        if (!by_current_version) cluster.restart(leader_index);  // with the version that it had
         cluster.run(3);
     };
     replace_leader(true);
@@ -243,8 +248,8 @@
     const int leader_index = cluster.leader();
     cluster.note("limits  of the state service fall");
     cluster.store.value_bytes = 2048, cluster.store.max_transaction_changes = 4;
-    cluster.workers.task_run_s["j-1/7"] = cluster.workers.task_run_s["j-1/70"] =
-        1;  // something is to be written
+    // Two tasks end, so that the next leader has records to write.
+    cluster.workers.task_run_s["j-1/7"] = cluster.workers.task_run_s["j-1/70"] = 1;
     cluster.kill(leader_index);
     cluster.run(1);
     cluster.restart(leader_index);
