--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -12,12 +12,12 @@
     StartedLeader simulator("cancel_in_flight", {"m-1"});
     simulator.submit(array_job("j-1", 1));
     simulator.plan_and_commit();
-    auto& m = simulator.workers.at("m-1");
-    simulator.leader_state().apply_heartbeat(simulator.next_heartbeat(m), simulator.now);
+    auto& worker = simulator.workers.at("m-1");
+    simulator.leader_state().apply_heartbeat(simulator.next_heartbeat(worker), simulator.now);
     const auto start = simulator.leader_state().commands_for("m-1", true, simulator.now);
     simulator.cancel("j-1");
     simulator.note("answer  m-1: the start, given before the cancellation");
-    simulator.execute(m, start, simulator.leader_state().fencing_token());
+    simulator.execute(worker, start, simulator.leader_state().fencing_token());
     const auto commands = simulator.send_heartbeat("m-1");
     ASSERT_EQ(commands.size(), 1U);
     EXPECT_EQ(commands[0].kind, model::Command::Kind::stop);
@@ -25,7 +25,7 @@
     simulator.commit_all();
     EXPECT_FALSE(simulator.leader_state().jobs().contains("j-1"));
     simulator.send_heartbeat("m-1");
-    EXPECT_TRUE(m.tasks.empty());
+    EXPECT_TRUE(worker.tasks.empty());
 }
 
 // A new leader finds progress without a job: the user cancelled, and the tasks have to be stopped.
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -8,7 +8,7 @@
 namespace pineroad::test {
 namespace {
 
-const std::string good = R"(host_name = "c-0"
+const std::string valid_settings = R"(host_name = "c-0"
 site = "a"
 front = "10.0.0.1:8080"
 mesh_addr = "10.0.0.1:8081"
@@ -38,7 +38,7 @@
 max_sockets = 4000
 )";
 
-std::string complaint(std::string text, const std::string& from, const std::string& to) {
+std::string settings_error(std::string text, const std::string& from, const std::string& to) {
     text.replace(text.find(from), from.size(), to);
     try {
         config::parse_settings(text, "f.toml");
@@ -49,38 +49,41 @@
 }
 
 TEST(Settings, UnknownKeysAreIgnored) {
-    const auto s = config::parse_settings(good, "f.toml");
-    EXPECT_EQ(s.public_endpoint.port, 8080);
-    EXPECT_EQ(s.max_transaction_changes, 20);
+    const auto parsed = config::parse_settings(valid_settings, "f.toml");
+    EXPECT_EQ(parsed.public_endpoint.port, 8080);
+    EXPECT_EQ(parsed.max_transaction_changes, 20);
 }
 
 const std::string txn_ops_line = "txn_ops = 20\n";  // the line before a table of announced limits
 
-std::string with_next(const std::string& next) {
-    std::string text = good;
+std::string with_announced_limits(const std::string& announced_limits) {
+    std::string text = valid_settings;
     return text.replace(text.find(txn_ops_line), txn_ops_line.size(),
-                        txn_ops_line + "[params.state.next]\n" + next);
+                        txn_ops_line + "[params.state.next]\n" + announced_limits);
 }
 
 // Limits announced for later: the smaller of each counts from the start. All of them are optional, and
 // checked.
-TEST(Settings, AnnouncedLimitsCountFromTheStart) {
-    const auto s = config::parse_settings(with_next("value_kb = 2.0\nwrite_rps = 40.0\n"), "f.toml");
-    EXPECT_EQ(s.value_kb, 2.0);
-    EXPECT_EQ(s.current_value_kb, 16.0);
-    EXPECT_EQ(s.store_writes_per_s, 25.0);
-    EXPECT_EQ(s.max_transaction_changes, 20);
-    EXPECT_EQ(config::parse_settings(with_next("txn_ops = 4\n"), "f.toml").max_transaction_changes, 4);
-    EXPECT_EQ(config::parse_settings(good, "f.toml").current_value_kb, 16.0);
-    EXPECT_NE(complaint(good, txn_ops_line, txn_ops_line + "next = 5\n").find("a table is needed"),
-              std::string::npos);
+TEST(Settings, SmallerOfPresentAndAnnouncedLimitApplies) {
+    const auto parsed =
+        config::parse_settings(with_announced_limits("value_kb = 2.0\nwrite_rps = 40.0\n"), "f.toml");
+    EXPECT_EQ(parsed.value_kb, 2.0);
+    EXPECT_EQ(parsed.current_value_kb, 16.0);
+    EXPECT_EQ(parsed.store_writes_per_s, 25.0);
+    EXPECT_EQ(parsed.max_transaction_changes, 20);
+    EXPECT_EQ(
+        config::parse_settings(with_announced_limits("txn_ops = 4\n"), "f.toml").max_transaction_changes, 4);
+    EXPECT_EQ(config::parse_settings(valid_settings, "f.toml").current_value_kb, 16.0);
+    EXPECT_NE(
+        settings_error(valid_settings, txn_ops_line, txn_ops_line + "next = 5\n").find("a table is needed"),
+        std::string::npos);
 }
 
 class InvalidAnnouncedLimit : public ::testing::TestWithParam<NamedCase<std::string>> {};
 
 TEST_P(InvalidAnnouncedLimit, IsRefused) {
-    const auto text = with_next(GetParam().value);
-    EXPECT_NE(complaint(text, "host_name", "host_name").find("state.next."), std::string::npos);
+    const auto text = with_announced_limits(GetParam().value);
+    EXPECT_NE(settings_error(text, "host_name", "host_name").find("state.next."), std::string::npos);
 }
 
 INSTANTIATE_TEST_SUITE_P(Settings, InvalidAnnouncedLimit,
@@ -89,28 +92,29 @@
                                            NamedCase<std::string>{"NoWrites", "write_rps = 0\n"}),
                          case_name<NamedCase<std::string>>);
 
-TEST(Settings, AnyNumberOfPeers) {
-    EXPECT_TRUE(config::parse_settings(good, "f.toml").peers.empty());
-    std::string text = good;
+TEST(Settings, AnyNumberOfPeersIsRead) {
+    EXPECT_TRUE(config::parse_settings(valid_settings, "f.toml").peers.empty());
+    std::string text = valid_settings;
     for (int i = 1; i < 5; ++i)
         text += "[[peers]]\nhost_name = \"c-" + std::to_string(i) +
                 "\"\nsite = \"a\"\nnews = [1]\nendpoint = \"10.0.0." + std::to_string(i + 1) + ":8081\"\n";
-    const auto s = config::parse_settings(text, "f.toml");
-    ASSERT_EQ(s.peers.size(), 4U);
-    EXPECT_EQ(s.peers[3].name, "c-4");
-    EXPECT_NE(complaint(text, "10.0.0.5:8081", "10.0.0.5"), "");
+    const auto parsed = config::parse_settings(text, "f.toml");
+    ASSERT_EQ(parsed.peers.size(), 4U);
+    EXPECT_EQ(parsed.peers[3].name, "c-4");
+    EXPECT_NE(settings_error(text, "10.0.0.5:8081", "10.0.0.5"), "");
 }
 
-TEST(Settings, ComplaintsNameKeyAndLine) {
-    EXPECT_EQ(complaint(good, "report_s = 3.0", "report_s = \"x\""),
+TEST(Settings, ErrorsNameKeyAndLine) {
+    EXPECT_EQ(settings_error(valid_settings, "report_s = 3.0", "report_s = \"x\""),
               "f.toml:12: params.workers.report_s: a number is needed");
-    EXPECT_EQ(complaint(good, "10.0.0.1:8080", "10.0.0.1"), "f.toml:3: front: HOST:PORT is needed");
-    EXPECT_NE(complaint(good, "rps = 100.0", ""), "");
-    EXPECT_NE(complaint(good, "lease_s = 36.0", "lease_s = nan"), "");
-    EXPECT_NE(complaint(good, "site = \"a\"", "site = "), "");
+    EXPECT_EQ(settings_error(valid_settings, "10.0.0.1:8080", "10.0.0.1"),
+              "f.toml:3: front: HOST:PORT is needed");
+    EXPECT_NE(settings_error(valid_settings, "rps = 100.0", ""), "");
+    EXPECT_NE(settings_error(valid_settings, "lease_s = 36.0", "lease_s = nan"), "");
+    EXPECT_NE(settings_error(valid_settings, "site = \"a\"", "site = "), "");
 }
 
-std::string tuning_complaint(const std::string& text) {
+std::string tuning_error(const std::string& text) {
     try {
         config::parse_tuning(text, "t.sexp");
     } catch (const config::SettingsError& e) {
@@ -119,19 +123,20 @@
     return "";
 }
 
-TEST(Tuning, EveryValueIsChecked) {
-    const auto t = config::parse_tuning("(pineroad\n  (suspension-factor 3)\n  (idle-hold 90))", "t.sexp");
-    EXPECT_EQ(t.preemption_factor, 3);
-    EXPECT_EQ(t.idle_timeout_s, 90);
-    EXPECT_EQ(tuning_complaint("(pineroad\n  (sf 3))"), "t.sexp:2: sf: unknown key");
-    EXPECT_EQ(tuning_complaint("(pineroad\n (idle-hold 9)\n (suspension-factor 0.5))"),
+TEST(Tuning, ValuesAreReadAndKeysAndRangesChecked) {
+    const auto parsed =
+        config::parse_tuning("(pineroad\n  (suspension-factor 3)\n  (idle-hold 90))", "t.sexp");
+    EXPECT_EQ(parsed.preemption_factor, 3);
+    EXPECT_EQ(parsed.idle_timeout_s, 90);
+    EXPECT_EQ(tuning_error("(pineroad\n  (sf 3))"), "t.sexp:2: sf: unknown key");
+    EXPECT_EQ(tuning_error("(pineroad\n (idle-hold 9)\n (suspension-factor 0.5))"),
               "t.sexp:3: suspension-factor: must lie between 1 and 100");
 }
 
 class MalformedTuning : public ::testing::TestWithParam<NamedCase<std::string>> {};
 
 TEST_P(MalformedTuning, IsRefused) {
-    EXPECT_NE(tuning_complaint(GetParam().value), "") << GetParam().value;
+    EXPECT_NE(tuning_error(GetParam().value), "") << GetParam().value;
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -9,14 +9,15 @@
 
 namespace records = wire::records;
 
-model::Heartbeat idle_report(std::uint64_t sequence, std::uint64_t fencing_token = 0) {
-    model::Heartbeat r;
-    r.machine = "m-1", r.agent_epoch = 1, r.sequence = sequence, r.fencing_token = fencing_token;
-    return r;
+model::Heartbeat idle_heartbeat(std::uint64_t sequence, std::uint64_t fencing_token = 0) {
+    model::Heartbeat heartbeat;
+    heartbeat.machine = "m-1", heartbeat.agent_epoch = 1, heartbeat.sequence = sequence,
+    heartbeat.fencing_token = fencing_token;
+    return heartbeat;
 }
 
 // One leader; any controller accepts a job, and any other knows it at once.
-TEST(Controller, OneLeaderAndEveryControllerKnowsTheJob) {
+TEST(Controller, OneLeaderServesWorkersAndAllServeUsers) {
     ClusterSimulator cluster("controllers_quiet", 3);
     cluster.run(5);
     EXPECT_FALSE(cluster.store.leader().empty());
@@ -30,7 +31,7 @@
         EXPECT_NE(cluster.submit(n, "j-1")->body.find("withdrawn"), std::string::npos);
     }
     int answers = 0;
-    for (int n = 0; n < 3; ++n) answers += cluster.send_heartbeat(n, idle_report(1))->status == 200;
+    for (int n = 0; n < 3; ++n) answers += cluster.send_heartbeat(n, idle_heartbeat(1))->status == 200;
     EXPECT_EQ(answers, 1);  // the leader; the others name it
 }
 
@@ -39,47 +40,48 @@
 TEST(Controller, LeaderPartitionedAloneStepsDown) {
     ClusterSimulator cluster("leader_partitioned_alone", 3);
     cluster.run(5);
-    const int old = cluster.leader();
+    const int old_leader = cluster.leader();
     const auto fencing_token = cluster.store.fencing_token();
     std::uint64_t sequence = 0;
-    EXPECT_EQ(cluster.send_heartbeat(old, idle_report(++sequence))->status, 200);
-    EXPECT_EQ(cluster.submit((old + 1) % 3, "j-1")->status, 201);
-    cluster.note("cut     c-" + std::to_string(old) + " from the state service and its peers");
-    cluster.partitioned_from_store = cluster.partitioned_from_peers = {old};
+    EXPECT_EQ(cluster.send_heartbeat(old_leader, idle_heartbeat(++sequence))->status, 200);
+    EXPECT_EQ(cluster.submit((old_leader + 1) % 3, "j-1")->status, 201);
+    cluster.note("cut     c-" + std::to_string(old_leader) + " from the state service and its peers");
+    cluster.partitioned_from_store = cluster.partitioned_from_peers = {old_leader};
     double stepped_down_after = -1;
     const double partitioned_at = cluster.now();
     for (int i = 0; i < 30 && stepped_down_after < 0; ++i) {
         cluster.run(0.5);
-        const auto r = cluster.send_heartbeat(old, idle_report(++sequence, fencing_token));
-        ASSERT_TRUE(r);
-        EXPECT_EQ(r->body.find("start"), std::string::npos);
-        if (r->status == 421) stepped_down_after = cluster.now() - partitioned_at;
+        const auto response = cluster.send_heartbeat(old_leader, idle_heartbeat(++sequence, fencing_token));
+        ASSERT_TRUE(response);
+        EXPECT_EQ(response->body.find("start"), std::string::npos);
+        if (response->status == 421) stepped_down_after = cluster.now() - partitioned_at;
     }
-    cluster.note("report  m-1 at c-" + std::to_string(old) + ": 421");
+    cluster.note("report  m-1 at c-" + std::to_string(old_leader) + ": 421");
     EXPECT_GT(stepped_down_after, 4.0);  // the others may be without the store just as well
     EXPECT_LT(stepped_down_after,
               12.0);  // ... but before a cancellation confirmed elsewhere is in danger (66 - 36 - 4 s)
     cluster.run(5);
-    const int fresh = cluster.leader();
-    EXPECT_NE(fresh, old);
+    const int new_leader = cluster.leader();
+    EXPECT_NE(new_leader, old_leader);
     EXPECT_GT(cluster.store.fencing_token(), fencing_token);
-    const auto taken = cluster.send_heartbeat(fresh, idle_report(++sequence, fencing_token));
-    EXPECT_EQ(taken->status, 200);
-    const auto refused = cluster.poll(old, "j-1");
-    EXPECT_EQ(refused->status, 503);
-    EXPECT_TRUE(refused->close);  // the user's next try reaches another controller
-    EXPECT_GT(refused->retry_after_s, 0);
+    const auto response = cluster.send_heartbeat(new_leader, idle_heartbeat(++sequence, fencing_token));
+    EXPECT_EQ(response->status, 200);
+    const auto refused_response = cluster.poll(old_leader, "j-1");
+    EXPECT_EQ(refused_response->status, 503);
+    EXPECT_TRUE(refused_response->close);  // the user's next try reaches another controller
+    EXPECT_GT(refused_response->retry_after_s, 0);
     cluster.note("cut     ends");
     cluster.partitioned_from_store.clear(), cluster.partitioned_from_peers.clear();
     cluster.run(5);
-    EXPECT_EQ(cluster.leader(), fresh);
-    EXPECT_EQ(cluster.send_heartbeat(old, idle_report(++sequence, cluster.store.fencing_token()))->status,
-              421);
-    EXPECT_EQ(cluster.poll(old, "j-1")->status, 200);
+    EXPECT_EQ(cluster.leader(), new_leader);
+    EXPECT_EQ(
+        cluster.send_heartbeat(old_leader, idle_heartbeat(++sequence, cluster.store.fencing_token()))->status,
+        421);
+    EXPECT_EQ(cluster.poll(old_leader, "j-1")->status, 200);
 }
 
 // In an outage of the store, nobody else can lead: the leader goes on answering its workers.
-TEST(Controller, StoreOutageKeepsWorkers) {
+TEST(Controller, LeaderAnswersWorkersDuringAStoreOutage) {
     ClusterSimulator cluster("store_outage", 3);
     cluster.run(5);
     const int leader = cluster.leader();
@@ -88,11 +90,11 @@
     cluster.store_outage = true;
     for (int i = 0; i < 20; ++i) {
         cluster.run(1);
-        EXPECT_EQ(cluster.send_heartbeat(leader, idle_report(++sequence, 1))->status, 200) << i;
+        EXPECT_EQ(cluster.send_heartbeat(leader, idle_heartbeat(++sequence, 1))->status, 200) << i;
     }
-    const auto refused = cluster.submit(1, "j-1");
-    EXPECT_EQ(refused->status, 503);
-    EXPECT_GT(refused->retry_after_s, 0);
+    const auto refused_response = cluster.submit(1, "j-1");
+    EXPECT_EQ(refused_response->status, 503);
+    EXPECT_GT(refused_response->retry_after_s, 0);
     EXPECT_EQ(cluster.request(1, "GET", "/up")->status, 200);  // nobody would be better
     cluster.note("outage  ends");
     cluster.store_outage = false;
@@ -107,121 +109,133 @@
 TEST(Controller, PausedLeaderStartsNothing) {
     ClusterSimulator cluster("paused_leader", 3);
     cluster.run(5);
-    const int old = cluster.leader(), other = (old + 1) % 3;
+    const int old_leader = cluster.leader(), other = (old_leader + 1) % 3;
     const auto fencing_token = cluster.store.fencing_token();
     std::uint64_t sequence = 0;
-    EXPECT_EQ(cluster.send_heartbeat(old, idle_report(++sequence))->status, 200);
+    EXPECT_EQ(cluster.send_heartbeat(old_leader, idle_heartbeat(++sequence))->status, 200);
     cluster.run(1);
-    const auto held = cluster.send_request(
-        old, "POST", "/checkin", ClusterSimulator::heartbeat_body(idle_report(++sequence, fencing_token)));
+    const auto held_response =
+        cluster.send_request(old_leader, "POST", "/checkin",
+                             ClusterSimulator::heartbeat_body(idle_heartbeat(++sequence, fencing_token)));
     cluster.run(0.1);
-    cluster.holding_commits = {old};
+    cluster.holding_commits = {old_leader};
     EXPECT_EQ(cluster.submit(other, "j-1")->status, 201);
-    while (cluster.held_commits[old].empty()) cluster.run(0.01);  // the placement is on its way
+    while (cluster.held_commits[old_leader].empty()) cluster.run(0.01);  // the placement is on its way
     cluster.holding_commits.clear();
-    cluster.note("freeze  of c-" + std::to_string(old));
-    cluster.paused = {old};
+    cluster.note("freeze  of c-" + std::to_string(old_leader));
+    cluster.paused = {old_leader};
     cluster.run(12);
-    const int fresh = cluster.leader();
-    EXPECT_NE(fresh, old);
-    EXPECT_FALSE(*held);
+    const int new_leader = cluster.leader();
+    EXPECT_NE(new_leader, old_leader);
+    EXPECT_FALSE(*held_response);
     // The machine finds the new leader, which gives it the job.
-    const auto at_fresh = cluster.send_heartbeat(fresh, idle_report(++sequence, fencing_token));
-    EXPECT_EQ(at_fresh->status, 200);
+    const auto response_of_new_leader =
+        cluster.send_heartbeat(new_leader, idle_heartbeat(++sequence, fencing_token));
+    EXPECT_EQ(response_of_new_leader->status, 200);
     cluster.note("freeze  ends");
-    const auto& late = cluster.held_commits[old].front();
-    EXPECT_EQ(cluster.store.answer(late.method, late.target, late.body, cluster.now()).status, 409);
+    const auto& late_commit = cluster.held_commits[old_leader].front();
+    EXPECT_EQ(
+        cluster.store.answer(late_commit.method, late_commit.target, late_commit.body, cluster.now()).status,
+        409);
     cluster.paused.clear();
     cluster.run(0.2);
-    ASSERT_TRUE(*held);
-    EXPECT_EQ((*held)->body.find("start"), std::string::npos);
-    cluster.note("late    answer of c-" + std::to_string(old) +
-                 " to m-1: " + std::to_string((*held)->status));
-    const auto first = cluster.send_heartbeat(fresh, idle_report(++sequence, cluster.store.fencing_token()));
-    const auto second = cluster.send_heartbeat(fresh, idle_report(++sequence, cluster.store.fencing_token()));
-    EXPECT_EQ(cluster.send_heartbeat(old, idle_report(sequence, cluster.store.fencing_token()))->status, 421);
-    const bool started =
-        first->body.find("start") != std::string::npos || second->body.find("start") != std::string::npos;
+    ASSERT_TRUE(*held_response);
+    EXPECT_EQ((*held_response)->body.find("start"), std::string::npos);
+    cluster.note("late    answer of c-" + std::to_string(old_leader) +
+                 " to m-1: " + std::to_string((*held_response)->status));
+    const auto first_response =
+        cluster.send_heartbeat(new_leader, idle_heartbeat(++sequence, cluster.store.fencing_token()));
+    const auto second_response =
+        cluster.send_heartbeat(new_leader, idle_heartbeat(++sequence, cluster.store.fencing_token()));
+    EXPECT_EQ(
+        cluster.send_heartbeat(old_leader, idle_heartbeat(sequence, cluster.store.fencing_token()))->status,
+        421);
+    const bool started = first_response->body.find("start") != std::string::npos ||
+                         second_response->body.find("start") != std::string::npos;
     EXPECT_TRUE(started);
     cluster.run(3);
-    EXPECT_EQ(cluster.poll(old, "j-1")->status, 200);
+    EXPECT_EQ(cluster.poll(old_leader, "j-1")->status, 200);
 }
 
 // A candidate paused between its lease and its bid: the bid comes late, for a lease that has expired.
-TEST(Controller, PausedCandidateWinsNothing) {
+TEST(Controller, PausedCandidateCannotWinWithAnExpiredLease) {
     ClusterSimulator cluster("paused_candidate", 3);
     cluster.run(5);
-    const int first = cluster.leader();
-    const int one = (first + 1) % 3, two = (first + 2) % 3;
-    cluster.note("end     of c-" + std::to_string(first));
-    cluster.kill(first);
+    const int first_leader = cluster.leader();
+    const int candidate = (first_leader + 1) % 3, other_candidate = (first_leader + 2) % 3;
+    cluster.note("end     of c-" + std::to_string(first_leader));
+    cluster.kill(first_leader);
     const auto leases = cluster.store_requests["leases"];
     while (cluster.store_requests["leases"] == leases) cluster.run(0.01);  // one of them asks for a lease
     cluster.note("freeze  of both others");
-    cluster.paused = {one, two};
+    cluster.paused = {candidate, other_candidate};
     cluster.run(20);
     EXPECT_EQ(cluster.store.leader(), "");
-    cluster.paused = {two};
-    cluster.note("freeze  ends for c-" + std::to_string(one));
+    cluster.paused = {other_candidate};
+    cluster.note("freeze  ends for c-" + std::to_string(candidate));
     cluster.run(6);
-    EXPECT_EQ(cluster.leader(), one);
+    EXPECT_EQ(cluster.leader(), candidate);
     const auto fencing_token = cluster.store.fencing_token();
     cluster.paused.clear();
-    cluster.note("freeze  ends for c-" + std::to_string(two));
+    cluster.note("freeze  ends for c-" + std::to_string(other_candidate));
     cluster.run(6);
     EXPECT_EQ(cluster.store.fencing_token(), fencing_token);
-    EXPECT_EQ(cluster.send_heartbeat(one, idle_report(1))->status, 200);
-    EXPECT_EQ(cluster.send_heartbeat(two, idle_report(1))->status, 421);
+    EXPECT_EQ(cluster.send_heartbeat(candidate, idle_heartbeat(1))->status, 200);
+    EXPECT_EQ(cluster.send_heartbeat(other_candidate, idle_heartbeat(1))->status, 421);
 }
 
 // Restarted within a moment, in the middle of an election: the earlier process's bid comes late and wins a
 // term for a process that is gone. The new process must not renew that lease as its own.
-TEST(Controller, RestartDuringAnElection) {
+TEST(Controller, RestartedCandidateDoesNotUseAnEarlierLease) {
     ClusterSimulator cluster("restart_in_election", 3);
     cluster.run(5);
-    const int first = cluster.leader();
+    const int first_leader = cluster.leader();
     const auto fencing_token = cluster.store.fencing_token();
-    const int one = (first + 1) % 3, two = (first + 2) % 3;
-    cluster.note("hold    the commits of c-" + std::to_string(one) + " and c-" + std::to_string(two));
-    cluster.holding_commits = {one, two};
-    cluster.note("end     of c-" + std::to_string(first));
-    cluster.kill(first);
-    while (cluster.held_commits[one].empty() || cluster.held_commits[two].empty()) cluster.run(0.1);
+    const int candidate = (first_leader + 1) % 3, other_candidate = (first_leader + 2) % 3;
+    cluster.note("hold    the commits of c-" + std::to_string(candidate) + " and c-" +
+                 std::to_string(other_candidate));
+    cluster.holding_commits = {candidate, other_candidate};
+    cluster.note("end     of c-" + std::to_string(first_leader));
+    cluster.kill(first_leader);
+    while (cluster.held_commits[candidate].empty() || cluster.held_commits[other_candidate].empty())
+        cluster.run(0.1);
     cluster.note("end     of the other two, back at once");
     cluster.holding_commits.clear();
-    cluster.kill(one), cluster.kill(two);
-    for (const int n : {one, two})
-        for (const auto& r : cluster.held_commits[n]) {
-            const int status = cluster.store.answer(r.method, r.target, r.body, cluster.now()).status;
+    cluster.kill(candidate), cluster.kill(other_candidate);
+    for (const int n : {candidate, other_candidate})
+        for (const auto& held_commit : cluster.held_commits[n]) {
+            const int status =
+                cluster.store.answer(held_commit.method, held_commit.target, held_commit.body, cluster.now())
+                    .status;
             cluster.note("late    bid of the earlier c-" + std::to_string(n) +
                          " arrives: " + std::to_string(status));
         }
-    const auto dead = cluster.store.fencing_token();
-    cluster.restart(one), cluster.restart(two);
-    EXPECT_EQ(dead, fencing_token + 1);
+    const auto token_of_ended_process = cluster.store.fencing_token();
+    cluster.restart(candidate), cluster.restart(other_candidate);
+    EXPECT_EQ(token_of_ended_process, fencing_token + 1);
     cluster.run(2);
-    cluster.restart(first);
+    cluster.restart(first_leader);
     cluster.run(8);
-    EXPECT_GT(cluster.store.fencing_token(), dead);  // its lease was ended, not used
+    EXPECT_GT(cluster.store.fencing_token(), token_of_ended_process);  // its lease was ended, not used
     int leaders = 0;
-    for (int n = 0; n < 3; ++n) leaders += cluster.send_heartbeat(n, idle_report(1))->status == 200;
+    for (int n = 0; n < 3; ++n) leaders += cluster.send_heartbeat(n, idle_heartbeat(1))->status == 200;
     EXPECT_EQ(leaders, 1);
-    EXPECT_EQ(cluster.submit(one, "j-1")->status, 201);
+    EXPECT_EQ(cluster.submit(candidate, "j-1")->status, 201);
 }
 
 // The store serves all controllers together: what one reads for its users is paced by their number.
-TEST(Controller, ReadsKeepToTheirShare) {
+TEST(Controller, ReadsStayWithinTheStoreRateLimit) {
     ClusterSimulator cluster("reads_paced", 5);
     cluster.run(5);
     EXPECT_EQ(cluster.submit(0, "j-1")->status, 201);
     cluster.store_requests.clear();
-    const double from = cluster.now();
+    const double started_at = cluster.now();
     for (int i = 0; i < 60; ++i)
         for (int n = 0; n < 5; ++n) EXPECT_EQ(cluster.poll(n, "j-1")->status, 200);
     int total = 0;
     for (const auto& [kind, n] : cluster.store_requests) total += n;
-    EXPECT_LT(total / (cluster.now() - from), 70);  // of the 100 a second that the settings allow
-    EXPECT_GT(cluster.store_requests["leases"] / (cluster.now() - from), 0.5);  // renewals go on
+    EXPECT_LT(total / (cluster.now() - started_at), 70);  // of the 100 a second that the settings allow
+    EXPECT_GT(cluster.store_requests["leases"] / (cluster.now() - started_at), 0.5);  // renewals go on
 }
 
 }  // namespace
--- a/tests/durable_writes_test.cpp
+++ b/tests/durable_writes_test.cpp
@@ -20,9 +20,9 @@
 // Every write of a leader names the leadership key: applied late, after a newer term, it does nothing.
 TEST(DurableWrites, LateCommitOfAnEarlierTermIsRefused) {
     StartedLeader simulator("late_commit_old_term", {"m-1"});
-    const auto late = placement_batch(simulator, array_job("j-1", 1));
+    const auto late_batch = placement_batch(simulator, array_job("j-1", 1));
     simulator.begin_term();
-    EXPECT_FALSE(simulator.store.commit(late.txn));
+    EXPECT_FALSE(simulator.store.commit(late_batch.txn));
     simulator.note("commit  of term 1 arrives: refused");
     simulator.synchronize_worker("m-1");
     simulator.run_placed_tasks("m-1");
@@ -30,7 +30,7 @@
 }
 
 // Every record names its own revision: a second copy of a commit can't undo what came after it.
-TEST(DurableWrites, LateCopyOfACommitIsRefused) {
+TEST(DurableWrites, RepeatedCommitIsRefused) {
     StartedLeader simulator("late_copy", {"m-1"});
     const auto batch = placement_batch(simulator, array_job("j-1", 2));
     simulator.apply_batch(batch);
@@ -90,10 +90,10 @@
 
 // A segment is overwritten when nobody needs it; a second copy of the commit that wrote it first then
 // finds a newer revision, and what was true at that time does not come back.
-TEST(DurableWrites, LateCopyOfAnOverwrittenSegmentIsRefused) {
+TEST(DurableWrites, RepeatedCommitOfAnOverwrittenSegmentIsRefused) {
     StartedLeader simulator("segment_overwritten", {"m-1"});
-    const auto first = placement_batch(simulator, array_job("j-1", 1));
-    simulator.apply_batch(first);
+    const auto first_batch = placement_batch(simulator, array_job("j-1", 1));
+    simulator.apply_batch(first_batch);
     simulator.send_heartbeat("m-1");
     simulator.set_task_state("j-1/0", TaskState::exited, ExitCause::done);
     simulator.send_heartbeat("m-1");
@@ -102,7 +102,7 @@
         simulator.submit(array_job(id, 1));
         simulator.plan_and_commit();
     }
-    EXPECT_FALSE(simulator.store.commit(first.txn));
+    EXPECT_FALSE(simulator.store.commit(first_batch.txn));
     simulator.note("commit  the first again: refused");
     simulator.begin_term();
     EXPECT_FALSE(simulator.leader_state().jobs().contains("j-1"));  // over: a tombstone in a later segment
@@ -131,16 +131,16 @@
 
 // Version 0.1 kept a record a job. A new leader reads it, and moves it into a segment with the next
 // change.
-TEST(DurableWrites, RecordsOfTheEarlierVersionAreRead) {
+TEST(DurableWrites, RecordsOfVersionZeroOneAreReadAndMoved) {
     StartedLeader simulator("earlier_records");
     simulator.add_worker("m-1");
     simulator.add_worker("m-2");
     simulator.submit(array_job("j-1", 2));
-    model::Progress p;
-    p.placements = {{0, 1, "m-1"}};
-    p.next_attempt = 2;
-    p.task_resources = array_job("j-1", 2).task_resources, p.team = "team";
-    simulator.store.put(records::progress_key("j-1"), records::progress_json(p));
+    model::Progress progress;
+    progress.placements = {{0, 1, "m-1"}};
+    progress.next_attempt = 2;
+    progress.task_resources = array_job("j-1", 2).task_resources, progress.team = "team";
+    simulator.store.put(records::progress_key("j-1"), records::progress_json(progress));
     simulator.begin_term();
     simulator.synchronize_worker("m-2");
     simulator.plan_and_commit();
--- a/tests/machine_lifecycle_test.cpp
+++ b/tests/machine_lifecycle_test.cpp
@@ -9,15 +9,15 @@
 
 // The answer to a release proves a machine gone; a heartbeat held back by the network must not register
 // it again.
-TEST(MachineLifecycle, ReleasedMachineStaysGone) {
+TEST(MachineLifecycle, LateHeartbeatDoesNotRegisterAReleasedMachine) {
     StartedLeader simulator("released_stays_gone", {"m-1", "m-2"});
     simulator.run_job(gang_job("j-1", 1), "m-1");
-    const auto held = simulator.next_heartbeat(simulator.workers.at("m-1"));
+    const auto held_heartbeat = simulator.next_heartbeat(simulator.workers.at("m-1"));
     for (int i = 0; i < 5; ++i) simulator.advance(3), simulator.send_heartbeat("m-2");
     simulator.plan();
     simulator.release_machines();
     simulator.note("report  of m-1, held back, arrives");
-    EXPECT_FALSE(simulator.leader_state().apply_heartbeat(held, simulator.now));
+    EXPECT_FALSE(simulator.leader_state().apply_heartbeat(held_heartbeat, simulator.now));
     simulator.plan_and_commit();
     EXPECT_EQ(simulator.send_heartbeat("m-2").size(), 1U);
 }
@@ -71,7 +71,7 @@
 
 // Both at once: the job that fails everywhere is delayed, the machine on which everything fails is
 // quarantined, the others stay.
-TEST(MachineLifecycle, FailingJobBesideAFaultyMachine) {
+TEST(MachineLifecycle, FailingJobAndFaultyMachineAreToldApart) {
     StartedLeader simulator("failing_job_and_machine");
     const std::vector<std::string> machines{"m-1", "m-2", "m-3", "m-4"};
     for (const auto& m : machines) {
@@ -101,18 +101,18 @@
 }
 
 // A pool without capacity is left for a while; another zone is asked at once.
-TEST(MachineLifecycle, RefusedPoolBacksOff) {
+TEST(MachineLifecycle, PoolWithoutCapacityBacksOff) {
     StartedLeader simulator("refused_pool");
     simulator.submit(gang_job("j-1", 1));
     simulator.plan_and_commit();
-    const auto r = simulator.leader_state().next_provisioning_request();
-    ASSERT_TRUE(r);
-    simulator.leader_state().provisioning_refused(r->name, simulator.now);
+    const auto request = simulator.leader_state().next_provisioning_request();
+    ASSERT_TRUE(request);
+    simulator.leader_state().provisioning_refused(request->name, simulator.now);
     simulator.plan_and_commit();
-    const auto other = simulator.leader_state().next_provisioning_request();
-    ASSERT_TRUE(other);
-    EXPECT_NE(other->zone, r->zone);  // the other zone at once, this one later
-    simulator.note("cloud   " + r->zone + " has none, " + other->zone + " is asked");
+    const auto other_request = simulator.leader_state().next_provisioning_request();
+    ASSERT_TRUE(other_request);
+    EXPECT_NE(other_request->zone, request->zone);  // the other zone at once, this one later
+    simulator.note("cloud   " + request->zone + " has none, " + other_request->zone + " is asked");
 }
 
 // A provisioned machine without a heartbeat is released after its boot time, and not before.
@@ -131,7 +131,7 @@
 }
 
 // A leader that was partitioned receives no heartbeats; when it can act again, silence counts from then.
-TEST(MachineLifecycle, SilenceCountsFromListening) {
+TEST(MachineLifecycle, SilenceTimersRestartAfterAPartition) {
     StartedLeader simulator("silence_from_listening", {"m-1", "m-2"});
     simulator.run_job(array_job("j-1", 1), "m-1");
     simulator.note("        cut off for 60 s");
@@ -162,7 +162,7 @@
 
 // Half of all machines fall silent at once and come back later. Their tasks start elsewhere once the
 // machines' release was answered and not before; heartbeats held back by the partition prove nothing.
-TEST(MachineLifecycle, HalfOfAllMachinesPartitioned) {
+TEST(MachineLifecycle, TasksOfPartitionedMachinesRestartOnlyAfterRelease) {
     StartedLeader simulator("mass_silence");
     std::vector<std::string> silent, connected;
     const auto add_four = [&](std::vector<std::string>& list, int first) {
@@ -176,28 +176,29 @@
     simulator.submit(gang_job("j-1", 4));
     simulator.plan_and_commit();
     simulator.send_heartbeats(silent);
-    const auto before = simulator.starts;
-    EXPECT_EQ(before, 4);
+    const auto starts_before = simulator.starts;
+    EXPECT_EQ(starts_before, 4);
     add_four(connected, 5);
     simulator.note("        m-1 to m-4 are cut off, their packets held back");
-    std::vector<model::Heartbeat> held;
-    for (const auto& m : silent) held.push_back(simulator.next_heartbeat(simulator.workers.at(m)));
+    std::vector<model::Heartbeat> held_heartbeats;
+    for (const auto& m : silent) held_heartbeats.push_back(simulator.next_heartbeat(simulator.workers.at(m)));
     for (int i = 0; i < 8; ++i) {
         simulator.advance(3);
         simulator.send_heartbeats(connected);
         simulator.plan_and_commit();
-        EXPECT_EQ(simulator.starts, before);
+        EXPECT_EQ(simulator.starts, starts_before);
     }
     EXPECT_EQ(simulator.leader_state().machines_to_release(simulator.now).size(), 4U);
-    EXPECT_EQ(simulator.starts, before);
+    EXPECT_EQ(simulator.starts, starts_before);
     simulator.release_machines();
-    for (const auto& r : held) EXPECT_FALSE(simulator.leader_state().apply_heartbeat(r, simulator.now));
+    for (const auto& heartbeat : held_heartbeats)
+        EXPECT_FALSE(simulator.leader_state().apply_heartbeat(heartbeat, simulator.now));
     for (int i = 0; i < 3; ++i) {
         simulator.plan_and_commit();
         simulator.send_heartbeats(connected);
         simulator.advance(1);
     }
-    EXPECT_EQ(simulator.starts, before + 4);
+    EXPECT_EQ(simulator.starts, starts_before + 4);
 }
 
 }  // namespace
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -17,33 +17,33 @@
 using net::Request;
 
 // A server with few connections, and clients that each keep one.
-class AtTheLimit {
+class ServerWithClients {
    public:
-    explicit AtTheLimit(net::HttpServer::Limits limits)
+    explicit ServerWithClients(net::HttpServer::Limits limits)
         : server_(io_.get_executor(), {"127.0.0.1", 0}, std::move(limits),
-                  [](Request r) -> net::awaitable<Reply> {
+                  [](Request request) -> net::awaitable<Reply> {
                       Reply reply{200, "{}"};
-                      if (r.target == "/large") reply.body.assign(5000, ' ');
+                      if (request.target == "/large") reply.body.assign(5000, ' ');
                       co_return reply;
                   }) {
         server_.start();
     }
-    std::unique_ptr<net::HttpClient> client() {
+    std::unique_ptr<net::HttpClient> make_client() {
         return std::make_unique<net::HttpClient>(io_.get_executor(),
                                                  config::Endpoint{"127.0.0.1", server_.port()}, 4000);
     }
-    std::optional<Reply> ask(net::HttpClient& c, const std::string& target) {
-        std::optional<Reply> out;
+    std::optional<Reply> send_request(net::HttpClient& client, const std::string& target) {
+        std::optional<Reply> reply;
         bool answered = false;
         net::asio::co_spawn(
             io_,
             [&]() -> net::awaitable<void> {
-                out = co_await c.request("GET", target, {}, 10);
+                reply = co_await client.request("GET", target, {}, 10);
                 answered = true;
             },
             net::asio::detached);
         while (!answered) io_.run_one();
-        return out;
+        return reply;
     }
 
    private:
@@ -51,63 +51,66 @@
     net::HttpServer server_;
 };
 
-net::HttpServer::Limits few() {
-    net::HttpServer::Limits l;
-    l.connections = 5, l.ordinary = 2;
-    l.first_request_s = l.prioritized_idle_s = l.ordinary_idle_s = 60;
-    l.prioritized = [](const std::string& target) { return target == "/checkin"; };
-    return l;
+net::HttpServer::Limits small_limits() {
+    net::HttpServer::Limits limits;
+    limits.connections = 5, limits.ordinary = 2;
+    limits.first_request_s = limits.prioritized_idle_s = limits.ordinary_idle_s = 60;
+    limits.prioritized = [](const std::string& target) { return target == "/checkin"; };
+    return limits;
 }
 
 // Found by a day with half as many machines again: users and workers shared one limit below the number of
 // machines, so that new machines found no connection and were returned, one after the other.
-TEST(Server, UsersLeaveRoomForReports) {
-    AtTheLimit s(few());
+TEST(Server, UsersCannotTakeTheConnectionsOfWorkers) {
+    ServerWithClients server(small_limits());
     std::vector<std::unique_ptr<net::HttpClient>> users, workers;
-    for (int i = 0; i < 4; ++i) users.push_back(s.client());
+    for (int i = 0; i < 4; ++i) users.push_back(server.make_client());
     for (int i = 0; i < 2; ++i)
-        EXPECT_EQ(s.ask(*users[static_cast<std::size_t>(i)], "/submissions/j-1")->status, 200);
-    for (std::size_t i = 2; i < 4; ++i) EXPECT_EQ(s.ask(*users[i], "/submissions/j-1")->status, 503);
-    for (int i = 0; i < 3; ++i) workers.push_back(s.client());
-    for (auto& w : workers) EXPECT_EQ(s.ask(*w, "/checkin")->status, 200);
-    EXPECT_EQ(s.ask(*users[0], "/submissions/j-1")->status, 200);  // who has one keeps it
+        EXPECT_EQ(server.send_request(*users[static_cast<std::size_t>(i)], "/submissions/j-1")->status, 200);
+    for (std::size_t i = 2; i < 4; ++i)
+        EXPECT_EQ(server.send_request(*users[i], "/submissions/j-1")->status, 503);
+    for (int i = 0; i < 3; ++i) workers.push_back(server.make_client());
+    for (auto& worker : workers) EXPECT_EQ(server.send_request(*worker, "/checkin")->status, 200);
+    EXPECT_EQ(server.send_request(*users[0], "/submissions/j-1")->status, 200);  // who has one keeps it
     users.erase(users.begin());
-    EXPECT_EQ(s.ask(*workers[0], "/checkin")->status, 200);  // meanwhile the server learns of the end
-    while (s.ask(*users[2], "/submissions/j-1")->status != 200) {
+    EXPECT_EQ(server.send_request(*workers[0], "/checkin")->status,
+              200);  // meanwhile the server learns of the end
+    while (server.send_request(*users[2], "/submissions/j-1")->status != 200) {
     }
 }
 
-TEST(Server, NobodyIsServedBeyondTheLimit) {
-    AtTheLimit s(few());
+TEST(Server, ConnectionsBeyondTheLimitAreRefused) {
+    ServerWithClients server(small_limits());
     std::vector<std::unique_ptr<net::HttpClient>> workers;
-    for (int i = 0; i < 6; ++i) workers.push_back(s.client());
-    for (std::size_t i = 0; i < 5; ++i) EXPECT_EQ(s.ask(*workers[i], "/checkin")->status, 200);
-    EXPECT_FALSE(s.ask(*workers[5], "/checkin"));
+    for (int i = 0; i < 6; ++i) workers.push_back(server.make_client());
+    for (std::size_t i = 0; i < 5; ++i) EXPECT_EQ(server.send_request(*workers[i], "/checkin")->status, 200);
+    EXPECT_FALSE(server.send_request(*workers[5], "/checkin"));
 }
 
 // A watch after a long partition may hold more than memory does: such an answer differs from none.
-TEST(Server, AnswersAreBounded) {
-    AtTheLimit s(few());
-    const auto c = s.client();
-    EXPECT_FALSE(s.ask(*c, "/checkin")->too_large);
-    EXPECT_TRUE(s.ask(*c, "/large")->too_large);
-    EXPECT_EQ(s.ask(*c, "/checkin")->status, 200);
+TEST(Server, OversizedResponseIsReportedAsTooLarge) {
+    ServerWithClients server(small_limits());
+    const auto client = server.make_client();
+    EXPECT_FALSE(server.send_request(*client, "/checkin")->too_large);
+    EXPECT_TRUE(server.send_request(*client, "/large")->too_large);
+    EXPECT_EQ(server.send_request(*client, "/checkin")->status, 200);
 }
 
 // Shares come from the platform's limit alone; none is empty, and together they stay below it.
 class SocketBudget : public ::testing::TestWithParam<std::tuple<int, std::size_t>> {};
 
-TEST_P(SocketBudget, StayBelowTheLimit) {
-    const auto [all, peers] = GetParam();
-    config::Settings s;
-    s.max_sockets = all;
-    s.peers.resize(peers);
-    const auto shares = net::allocate_sockets(s);
+TEST_P(SocketBudget, SharesStayBelowTheLimit) {
+    const auto [max_sockets, peers] = GetParam();
+    config::Settings settings;
+    settings.max_sockets = max_sockets;
+    settings.peers.resize(peers);
+    const auto shares = net::allocate_sockets(settings);
     EXPECT_GE(shares.workers(), 2U);
     EXPECT_GE(shares.users, 2U);
     EXPECT_GE(shares.peer_api, 1U);
     EXPECT_GE(shares.direct_commands, 1U);
-    EXPECT_LT(shares.public_api + shares.peer_api + shares.direct_commands, static_cast<std::size_t>(all));
+    EXPECT_LT(shares.public_api + shares.peer_api + shares.direct_commands,
+              static_cast<std::size_t>(max_sockets));
 }
 
 INSTANTIATE_TEST_SUITE_P(Limits, SocketBudget,
@@ -119,10 +122,10 @@
                          });
 
 TEST(Server, WorkersGetMostSockets) {
-    config::Settings s;
-    s.max_sockets = 3362;
-    s.peers.resize(2);
-    EXPECT_GT(net::allocate_sockets(s).workers(),
+    config::Settings settings;
+    settings.max_sockets = 3362;
+    settings.peers.resize(2);
+    EXPECT_GT(net::allocate_sockets(settings).workers(),
               2090U);  // every machine of a deployment half as large again
 }
 
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -5,17 +5,17 @@
 namespace {
 
 // What a quarter of a minute costs in commits and changes, and that every job is placed.
-TEST(Scale, TwoThousandMachines) {
+TEST(Scale, PlacesAllJobsOn2300MachinesInFewChanges) {
     LeaderSimulator simulator("at_size");
     simulator.config.heartbeat_period_s = 8;
     simulator.begin_term();
     const int machines = 2300, jobs = 300;
     for (int i = 0; i < machines; ++i) {
         const auto id = "m-" + std::to_string(10000 + i);
-        auto& m = simulator.add_worker(id);
-        simulator.leader_state().apply_heartbeat(simulator.next_heartbeat(m), simulator.now);
-        m.fencing_token = simulator.leader_state().fencing_token();
-        simulator.leader_state().apply_heartbeat(simulator.next_heartbeat(m), simulator.now);
+        auto& worker = simulator.add_worker(id);
+        simulator.leader_state().apply_heartbeat(simulator.next_heartbeat(worker), simulator.now);
+        worker.fencing_token = simulator.leader_state().fencing_token();
+        simulator.leader_state().apply_heartbeat(simulator.next_heartbeat(worker), simulator.now);
     }
     for (int i = 0; i < jobs; ++i) {
         auto job = i % 3 ? array_job("j-" + std::to_string(1000 + i), 15)
@@ -37,15 +37,15 @@
         }
         simulator.advance(0.4);
     }
-    std::size_t placed = 0, whole = 0;
+    std::size_t placed = 0, fully_placed = 0;
     for (const auto& [id, job] : simulator.leader_state().jobs()) {
         placed += job.placements.size();
-        whole += job.placements.size() == job.spec->task_count;
+        fully_placed += job.placements.size() == job.spec->task_count;
     }
     simulator.note(std::to_string(jobs) + " jobs, " + std::to_string(machines) + " machines: " +
-                   std::to_string(placed) + " tasks placed, " + std::to_string(whole) + " jobs whole");
+                   std::to_string(placed) + " tasks placed, " + std::to_string(fully_placed) + " jobs whole");
     simulator.note(std::to_string(commits) + " commits, " + std::to_string(changes) + " changes");
-    EXPECT_EQ(whole, static_cast<std::size_t>(jobs));
+    EXPECT_EQ(fully_placed, static_cast<std::size_t>(jobs));
     EXPECT_LT(changes, 60U);  // one record a job took 300
     // Every machine's tasks are found without a walk over the jobs: the index agrees with the slots.
     std::size_t indexed = 0;
--- a/tests/watch_cache_test.cpp
+++ b/tests/watch_cache_test.cpp
@@ -9,7 +9,7 @@
 namespace records = wire::records;
 
 // A part is never given for the whole: a log that dropped some, or holds more than a message, says so.
-TEST(CancellationLog, GivesAllOrNothing) {
+TEST(CancellationLog, ReturnsAllEntriesOrNothing) {
     store::CancellationLog log;
     EXPECT_TRUE(log.add("j-1", 5));
     EXPECT_TRUE(log.add("j-2", 9));
@@ -33,36 +33,36 @@
 
 // A peer names a cancellation that the cache does not hold; it is passed on, the leader's state learns of
 // it, and a final state that is missing when the cache is read anew is not forgotten.
-TEST(WatchCache, LearnsFinalStatesFromAnyPeer) {
-    store::WatchCache m;
-    std::vector<std::string> learned;
-    m.on_cancelled = [&](const std::string& id, bool fresh) {
-        learned.push_back(id + (fresh ? " new" : ""));
+TEST(WatchCache, KeepsOutcomesLearnedFromPeers) {
+    store::WatchCache cache;
+    std::vector<std::string> notifications;
+    cache.on_cancelled = [&](const std::string& id, bool is_new) {
+        notifications.push_back(id + (is_new ? " new" : ""));
     };
-    m.record_outcome("j-1", {model::FinalStatus::cancelled}, 8);
-    m.record_outcome("j-2", {model::FinalStatus::done}, 9);
-    m.clear();
-    EXPECT_EQ(m.outcome_of("j-1"), model::FinalStatus::cancelled);
-    EXPECT_EQ(m.cancellations().after(7)->size(), 1U);
-    m.apply({{{records::outcome_key("j-1"), records::outcome_json({model::FinalStatus::cancelled}), 8}}, 9},
-            0);
-    EXPECT_EQ(learned, (std::vector<std::string>{"j-1 new", "j-1"}));
+    cache.record_outcome("j-1", {model::FinalStatus::cancelled}, 8);
+    cache.record_outcome("j-2", {model::FinalStatus::done}, 9);
+    cache.clear();
+    EXPECT_EQ(cache.outcome_of("j-1"), model::FinalStatus::cancelled);
+    EXPECT_EQ(cache.cancellations().after(7)->size(), 1U);
+    cache.apply(
+        {{{records::outcome_key("j-1"), records::outcome_json({model::FinalStatus::cancelled}), 8}}, 9}, 0);
+    EXPECT_EQ(notifications, (std::vector<std::string>{"j-1 new", "j-1"}));
 }
 
 // Two watches may answer out of order: what is known is not undone by an older revision.
-TEST(WatchCache, OverlappingWatchesApplyOnce) {
-    store::WatchCache m;
+TEST(WatchCache, OlderRevisionsAreIgnored) {
+    store::WatchCache cache;
     auto spec = array_job("j-1", 1);
     spec.accepted_ms = 1;
-    m.apply({{{records::job_key("j-1"), records::job_json(spec), 5}}, 5}, 0);
-    m.apply({{{records::job_key("j-1"), std::nullopt, 7},
-              {records::outcome_key("j-1"), records::outcome_json({model::FinalStatus::cancelled}), 7}},
-             7},
-            0);
-    m.apply({{{records::job_key("j-1"), records::job_json(spec), 5}}, 6}, 0);
-    EXPECT_TRUE(m.jobs.empty());
-    EXPECT_EQ(m.outcome_of("j-1"), model::FinalStatus::cancelled);
-    EXPECT_EQ(m.revision, 7U);
+    cache.apply({{{records::job_key("j-1"), records::job_json(spec), 5}}, 5}, 0);
+    cache.apply({{{records::job_key("j-1"), std::nullopt, 7},
+                  {records::outcome_key("j-1"), records::outcome_json({model::FinalStatus::cancelled}), 7}},
+                 7},
+                0);
+    cache.apply({{{records::job_key("j-1"), records::job_json(spec), 5}}, 6}, 0);
+    EXPECT_TRUE(cache.jobs.empty());
+    EXPECT_EQ(cache.outcome_of("j-1"), model::FinalStatus::cancelled);
+    EXPECT_EQ(cache.revision, 7U);
 }
 
 }  // namespace
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -12,35 +12,35 @@
 namespace pineroad::test {
 namespace {
 
-const std::string good =
+const std::string valid_submission =
     R"({"NameId":"j-000412","Jobclass":"train","Crew":"team","Shape":"group","Urgency":"high","Pieces":16,)"
     R"("Vcpus":8.0,"Accelerators":1.0,"MemGb":64.0,"Bundle":"img-07","SizeGb":6.2,"Breeds":["g4"],"Yard":null,)"
     R"("Together":true,"Spread":false,"Loaners":true,"GuessS":240.0,"NotchS":30.0,"StashS":4.0,"DueS":900.0,"New":[1]})";
 
-std::string with(const std::string& key, const std::string& value) {
-    auto doc = boost::json::parse(good).as_object();
+std::string with_field(const std::string& key, const std::string& value) {
+    auto doc = boost::json::parse(valid_submission).as_object();
     if (value.empty())
         doc.erase(key);
     else
         doc[key] = boost::json::parse(value);
     return boost::json::serialize(doc);
 }
-bool accepted(const std::string& body) {
+bool is_accepted(const std::string& body) {
     return wire::parse_submission(body).has_value();
 }
 
-TEST(Submission, IsRead) {
-    ASSERT_TRUE(accepted(good));
-    const auto s = wire::parse_submission(good).value();
-    EXPECT_EQ(s.shape, model::Shape::gang);
-    EXPECT_EQ(s.task_count, 16U);
-    EXPECT_FALSE(s.zone);
+TEST(Submission, ReadsShapeTaskCountAndOptionalZone) {
+    ASSERT_TRUE(is_accepted(valid_submission));
+    const auto submission = wire::parse_submission(valid_submission).value();
+    EXPECT_EQ(submission.shape, model::Shape::gang);
+    EXPECT_EQ(submission.task_count, 16U);
+    EXPECT_FALSE(submission.zone);
 }
 
 class MalformedSubmission : public ::testing::TestWithParam<NamedCase<std::string>> {};
 
 TEST_P(MalformedSubmission, IsRefused) {
-    EXPECT_FALSE(accepted(GetParam().value)) << GetParam().value;
+    EXPECT_FALSE(is_accepted(GetParam().value)) << GetParam().value;
 }
 
 INSTANTIATE_TEST_SUITE_P(Body, MalformedSubmission,
@@ -55,7 +55,7 @@
 class OptionalField : public ::testing::TestWithParam<std::string> {};
 
 TEST_P(OptionalField, MayBeMissing) {
-    EXPECT_TRUE(accepted(with(GetParam(), "")));
+    EXPECT_TRUE(is_accepted(with_field(GetParam(), "")));
 }
 
 INSTANTIATE_TEST_SUITE_P(Submission, OptionalField, ::testing::Values("Breeds", "Yard", "DueS"),
@@ -63,11 +63,11 @@
 
 class MandatoryField : public ::testing::TestWithParam<std::string> {};
 
-TEST_P(MandatoryField, HasToBePresentAndOfItsType) {
+TEST_P(MandatoryField, IsRequiredWithItsType) {
     const auto& key = GetParam();
-    EXPECT_FALSE(accepted(with(key, ""))) << key << " missing";
-    EXPECT_FALSE(accepted(with(key, "null"))) << key << " null";
-    EXPECT_FALSE(accepted(with(key, "{}"))) << key << " of the wrong type";
+    EXPECT_FALSE(is_accepted(with_field(key, ""))) << key << " missing";
+    EXPECT_FALSE(is_accepted(with_field(key, "null"))) << key << " null";
+    EXPECT_FALSE(is_accepted(with_field(key, "{}"))) << key << " of the wrong type";
 }
 
 INSTANTIATE_TEST_SUITE_P(Submission, MandatoryField,
@@ -85,7 +85,7 @@
 
 TEST_P(InvalidField, IsRefused) {
     const auto& [name, key, value] = GetParam();
-    EXPECT_FALSE(accepted(with(key, value))) << key << " " << value;
+    EXPECT_FALSE(is_accepted(with_field(key, value))) << key << " " << value;
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -134,7 +134,7 @@
             R"({"Host":"m-1","Address":"a","Breed":"g","Yard":"a","Loaners":true,"Stint":1,"Tick":1,"Baton":1,"Pieces":[{"Piece":"x","Try":1,"Status":"running"}]})"}),
     case_name<NamedCase<std::string>>);
 
-TEST(Wire, AnswersHaveTheProtocolsForm) {
+TEST(Wire, ResponsesFollowTheProtocol) {
     using model::Command;
     EXPECT_EQ(
         wire::heartbeat_response(41, {{Command::Kind::start, {"j-1", 4}, 2, 0},
@@ -147,47 +147,47 @@
     EXPECT_EQ(wire::watch_target("pr/", 7, 2000), "/follow?Under=pr/&Since=7&BlockMs=2000");
 }
 
-TEST(Wire, StoreAnswersAreRead) {
-    const auto e = wire::parse_watch_events(
+TEST(Wire, ParsesStoreResponses) {
+    const auto watch_events = wire::parse_watch_events(
         R"({"Epoch":433,"Events":[{"Write":"c/9","Value":{"a":1},"Stamp":433},{"Drop":"c/d","Stamp":432}]})");
-    ASSERT_TRUE(e);
-    EXPECT_EQ(e->events.size(), 2U);
-    EXPECT_FALSE(e->events[1].value);
+    ASSERT_TRUE(watch_events);
+    EXPECT_EQ(watch_events->events.size(), 2U);
+    EXPECT_FALSE(watch_events->events[1].value);
     EXPECT_FALSE(wire::parse_watch_events(R"({"Events":[]})"));
     EXPECT_FALSE(wire::parse_rows("<html>"));
     EXPECT_EQ(wire::parse_failed_conditions(R"({"failed":["a/b"],"Epoch":431})"),
               std::vector<std::string>{"a/b"});
 }
 
-TEST(Records, ComeBackAsTheyWere) {
+TEST(Records, SurviveARoundTrip) {
     auto spec = gang_job("j-1", 3);
     spec.accepted_ms = 1234567;
     spec.allowed_machine_types = std::vector<std::string>{"g4"};
     spec.zone = "b";
     spec.deadline_s = 90;
-    const auto back = wire::records::parse_job("j-1", wire::records::job_json(spec));
-    ASSERT_TRUE(back);
-    EXPECT_EQ(wire::records::job_json(*back), wire::records::job_json(spec));
-    model::Progress p;
-    p.done += boost::icl::discrete_interval<std::uint32_t>::closed(0, 4);
-    p.done += 9U;
-    p.placements = {{5, 7, "m-1"}};
-    p.next_attempt = 8;
-    p.team = "team";
-    const auto q = wire::records::parse_progress(wire::records::progress_json(p));
-    ASSERT_TRUE(q);
-    EXPECT_EQ(q->done_count(), 6U);
-    EXPECT_EQ(q->placements.at(0).machine, "m-1");
-    EXPECT_EQ(q->next_attempt, 8U);
+    const auto parsed = wire::records::parse_job("j-1", wire::records::job_json(spec));
+    ASSERT_TRUE(parsed);
+    EXPECT_EQ(wire::records::job_json(*parsed), wire::records::job_json(spec));
+    model::Progress progress;
+    progress.done += boost::icl::discrete_interval<std::uint32_t>::closed(0, 4);
+    progress.done += 9U;
+    progress.placements = {{5, 7, "m-1"}};
+    progress.next_attempt = 8;
+    progress.team = "team";
+    const auto parsed_progress = wire::records::parse_progress(wire::records::progress_json(progress));
+    ASSERT_TRUE(parsed_progress);
+    EXPECT_EQ(parsed_progress->done_count(), 6U);
+    EXPECT_EQ(parsed_progress->placements.at(0).machine, "m-1");
+    EXPECT_EQ(parsed_progress->next_attempt, 8U);
 }
 
-TEST(PeerMessage, ComesBackAndGarbageDoesNot) {
-    wire::PeerMessage g{"c-1", 7, "c-2", 1000, 20, 30, 77, true, {{5, "j-1"}, {6, "j-2"}}};
-    const auto bytes = wire::encode_peer_message(g);
-    const auto back = wire::parse_peer_message(bytes);
-    ASSERT_TRUE(back);
-    EXPECT_EQ(back->fencing_token, 7U);
-    EXPECT_EQ(back->cancelled, g.cancelled);
+TEST(PeerMessage, SurvivesARoundTripAndGarbageIsRefused) {
+    wire::PeerMessage message{"c-1", 7, "c-2", 1000, 20, 30, 77, true, {{5, "j-1"}, {6, "j-2"}}};
+    const auto bytes = wire::encode_peer_message(message);
+    const auto parsed = wire::parse_peer_message(bytes);
+    ASSERT_TRUE(parsed);
+    EXPECT_EQ(parsed->fencing_token, 7U);
+    EXPECT_EQ(parsed->cancelled, message.cancelled);
     EXPECT_FALSE(wire::parse_peer_message(""));
     EXPECT_FALSE(wire::parse_peer_message("not cbor"));
     for (std::size_t n = 0; n < bytes.size(); ++n)
