--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -7,7 +7,8 @@
 using model::ExitCause;
 using model::TaskState;
 
-// A start that left before the cancellation is executed: the next answer has to stop it.
+// A start that was sent before the cancellation is still executed; the next heartbeat response has to stop
+// the task.
 TEST(Cancellation, StopsATaskWhoseStartIsInFlight) {
     StartedLeader simulator("cancel_in_flight", {"m-1"});
     simulator.submit(array_job("j-1", 1));
@@ -28,7 +29,8 @@
     EXPECT_TRUE(worker.tasks.empty());
 }
 
-// A new leader finds progress without a job: the user cancelled, and the tasks have to be stopped.
+// A new leader finds progress without a job record: the user cancelled the job, and its tasks have to be
+// stopped.
 TEST(Cancellation, HoldsAcrossAFailover) {
     StartedLeader simulator("cancel_during_failover", {"m-1"});
     simulator.run_job(array_job("j-1", 1), "m-1");
@@ -42,8 +44,8 @@
     EXPECT_FALSE(simulator.leader_state().jobs().contains("j-1"));
 }
 
-// Completion and cancellation race on one condition: whichever commits first wins, and the answer given
-// stands.
+// Completion and cancellation are conditional on the same key: whichever commits first wins, and the status
+// confirmed to the user stays.
 TEST(Cancellation, CommittedBeforeCompletionWins) {
     StartedLeader simulator("cancel_beats_done", {"m-1"});
     simulator.run_job(array_job("j-1", 1), "m-1");
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,4 @@
-// The settings file and the tuning file: what is read, and how errors are reported.
+// Parsing of the settings and tuning files, and the errors reported for invalid ones.
 #include <gtest/gtest.h>
 
 #include "config/settings.hpp"
@@ -54,7 +54,8 @@
     EXPECT_EQ(parsed.max_transaction_changes, 20);
 }
 
-const std::string txn_ops_line = "txn_ops = 20\n";  // the line before a table of announced limits
+// The table of announced limits is inserted after this line.
+const std::string txn_ops_line = "txn_ops = 20\n";
 
 std::string with_announced_limits(const std::string& announced_limits) {
     std::string text = valid_settings;
@@ -62,8 +63,8 @@
                         txn_ops_line + "[params.state.next]\n" + announced_limits);
 }
 
-// Limits announced for later: the smaller of each counts from the start. All of them are optional, and
-// checked.
+// The table [params.state.next] announces future limits. The smaller of each present and announced limit
+// applies from the start. Announced limits are optional, and they are validated.
 TEST(Settings, SmallerOfPresentAndAnnouncedLimitApplies) {
     const auto parsed =
         config::parse_settings(with_announced_limits("value_kb = 2.0\nwrite_rps = 40.0\n"), "f.toml");
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -1,5 +1,5 @@
-// The loops of whole controllers, in simulated time: elections, outages, partitions, and what users are
-// answered meanwhile.
+// Whole controllers in simulated time: elections, store outages and partitions, and the responses to users
+// and workers during them.
 #include <gtest/gtest.h>
 
 #include "cluster_simulator.hpp"
@@ -16,7 +16,7 @@
     return heartbeat;
 }
 
-// One leader; any controller accepts a job, and any other knows it at once.
+// Exactly one controller leads. Any controller accepts a job, and all others know it at once.
 TEST(Controller, OneLeaderServesWorkersAndAllServeUsers) {
     ClusterSimulator cluster("controllers_quiet", 3);
     cluster.run(5);
@@ -32,11 +32,11 @@
     }
     int answers = 0;
     for (int n = 0; n < 3; ++n) answers += cluster.send_heartbeat(n, idle_heartbeat(1))->status == 200;
-    EXPECT_EQ(answers, 1);  // the leader; the others name it
+    EXPECT_EQ(answers, 1);  // only the leader; the others redirect to it
 }
 
-// A leader that loses the store and its peers, but not its workers: it starts nothing, steps down
-// soon after its lease, and takes nothing back when it returns.
+// A leader loses the store and its peers, but not its workers. It starts no task, steps down soon after its
+// lease expires, and does not lead again when the partition ends.
 TEST(Controller, LeaderPartitionedAloneStepsDown) {
     ClusterSimulator cluster("leader_partitioned_alone", 3);
     cluster.run(5);
@@ -57,9 +57,9 @@
         if (response->status == 421) stepped_down_after = cluster.now() - partitioned_at;
     }
     cluster.note("report  m-1 at c-" + std::to_string(old_leader) + ": 421");
-    EXPECT_GT(stepped_down_after, 4.0);  // the others may be without the store just as well
-    EXPECT_LT(stepped_down_after,
-              12.0);  // ... but before a cancellation confirmed elsewhere is in danger (66 - 36 - 4 s)
+    EXPECT_GT(stepped_down_after, 4.0);  // the store may be down for the peers as well
+    // A cancellation confirmed by a peer still takes effect in time (66 - 36 - 4 s).
+    EXPECT_LT(stepped_down_after, 12.0);
     cluster.run(5);
     const int new_leader = cluster.leader();
     EXPECT_NE(new_leader, old_leader);
@@ -68,7 +68,7 @@
     EXPECT_EQ(response->status, 200);
     const auto refused_response = cluster.poll(old_leader, "j-1");
     EXPECT_EQ(refused_response->status, 503);
-    EXPECT_TRUE(refused_response->close);  // the user's next try reaches another controller
+    EXPECT_TRUE(refused_response->close);  // the user's retry reaches another controller
     EXPECT_GT(refused_response->retry_after_s, 0);
     cluster.note("cut     ends");
     cluster.partitioned_from_store.clear(), cluster.partitioned_from_peers.clear();
@@ -80,7 +80,7 @@
     EXPECT_EQ(cluster.poll(old_leader, "j-1")->status, 200);
 }
 
-// In an outage of the store, nobody else can lead: the leader goes on answering its workers.
+// During a store outage no other controller can become leader, so the leader keeps answering its workers.
 TEST(Controller, LeaderAnswersWorkersDuringAStoreOutage) {
     ClusterSimulator cluster("store_outage", 3);
     cluster.run(5);
@@ -95,7 +95,7 @@
     const auto refused_response = cluster.submit(1, "j-1");
     EXPECT_EQ(refused_response->status, 503);
     EXPECT_GT(refused_response->retry_after_s, 0);
-    EXPECT_EQ(cluster.request(1, "GET", "/up")->status, 200);  // nobody would be better
+    EXPECT_EQ(cluster.request(1, "GET", "/up")->status, 200);  // no other controller would serve better
     cluster.note("outage  ends");
     cluster.store_outage = false;
     cluster.store.extend_leases(cluster.now());
@@ -104,8 +104,8 @@
     EXPECT_EQ(cluster.submit(1, "j-1")->status, 201);
 }
 
-// A leader paused with a start decided, its commit and its answer on their way, while its clock
-// runs on: when it goes on, the commit comes late and is refused, and the answer carries no start.
+// A leader is paused while the commit of a placement and the response to a heartbeat are in flight; its clock
+// runs on. When it resumes, the late commit is refused and the response carries no start.
 TEST(Controller, PausedLeaderStartsNothing) {
     ClusterSimulator cluster("paused_leader", 3);
     cluster.run(5);
@@ -120,7 +120,8 @@
     cluster.run(0.1);
     cluster.holding_commits = {old_leader};
     EXPECT_EQ(cluster.submit(other, "j-1")->status, 201);
-    while (cluster.held_commits[old_leader].empty()) cluster.run(0.01);  // the placement is on its way
+    // Until the commit of the placement is in flight.
+    while (cluster.held_commits[old_leader].empty()) cluster.run(0.01);
     cluster.holding_commits.clear();
     cluster.note("freeze  of c-" + std::to_string(old_leader));
     cluster.paused = {old_leader};
@@ -128,7 +129,7 @@
     const int new_leader = cluster.leader();
     EXPECT_NE(new_leader, old_leader);
     EXPECT_FALSE(*held_response);
-    // The machine finds the new leader, which gives it the job.
+    // The worker finds the new leader, which places the job on its machine.
     const auto response_of_new_leader =
         cluster.send_heartbeat(new_leader, idle_heartbeat(++sequence, fencing_token));
     EXPECT_EQ(response_of_new_leader->status, 200);
@@ -157,7 +158,8 @@
     EXPECT_EQ(cluster.poll(old_leader, "j-1")->status, 200);
 }
 
-// A candidate paused between its lease and its bid: the bid comes late, for a lease that has expired.
+// A candidate is paused after it requested its lease and before its election commit: the commit arrives late
+// and names an expired lease.
 TEST(Controller, PausedCandidateCannotWinWithAnExpiredLease) {
     ClusterSimulator cluster("paused_candidate", 3);
     cluster.run(5);
@@ -166,7 +168,8 @@
     cluster.note("end     of c-" + std::to_string(first_leader));
     cluster.kill(first_leader);
     const auto leases = cluster.store_requests["leases"];
-    while (cluster.store_requests["leases"] == leases) cluster.run(0.01);  // one of them asks for a lease
+    // Until one of the others requests a lease.
+    while (cluster.store_requests["leases"] == leases) cluster.run(0.01);
     cluster.note("freeze  of both others");
     cluster.paused = {candidate, other_candidate};
     cluster.run(20);
@@ -184,8 +187,8 @@
     EXPECT_EQ(cluster.send_heartbeat(other_candidate, idle_heartbeat(1))->status, 421);
 }
 
-// Restarted within a moment, in the middle of an election: the earlier process's bid comes late and wins a
-// term for a process that is gone. The new process must not renew that lease as its own.
+// Two candidates restart in the middle of an election. The election commit of an earlier process arrives late
+// and wins a term for a process that no longer exists; the new process must not renew that lease as its own.
 TEST(Controller, RestartedCandidateDoesNotUseAnEarlierLease) {
     ClusterSimulator cluster("restart_in_election", 3);
     cluster.run(5);
@@ -216,14 +219,15 @@
     cluster.run(2);
     cluster.restart(first_leader);
     cluster.run(8);
-    EXPECT_GT(cluster.store.fencing_token(), token_of_ended_process);  // its lease was ended, not used
+    // The lease of the ended process was revoked, not used.
+    EXPECT_GT(cluster.store.fencing_token(), token_of_ended_process);
     int leaders = 0;
     for (int n = 0; n < 3; ++n) leaders += cluster.send_heartbeat(n, idle_heartbeat(1))->status == 200;
     EXPECT_EQ(leaders, 1);
     EXPECT_EQ(cluster.submit(candidate, "j-1")->status, 201);
 }
 
-// The store serves all controllers together: what one reads for its users is paced by their number.
+// All controllers share the store's request rate: each limits the reads for its users by their number.
 TEST(Controller, ReadsStayWithinTheStoreRateLimit) {
     ClusterSimulator cluster("reads_paced", 5);
     cluster.run(5);
@@ -234,8 +238,9 @@
         for (int n = 0; n < 5; ++n) EXPECT_EQ(cluster.poll(n, "j-1")->status, 200);
     int total = 0;
     for (const auto& [kind, n] : cluster.store_requests) total += n;
-    EXPECT_LT(total / (cluster.now() - started_at), 70);  // of the 100 a second that the settings allow
-    EXPECT_GT(cluster.store_requests["leases"] / (cluster.now() - started_at), 0.5);  // renewals go on
+    EXPECT_LT(total / (cluster.now() - started_at), 70);  // the settings allow 100 requests/s
+    // Lease renewals continue.
+    EXPECT_GT(cluster.store_requests["leases"] / (cluster.now() - started_at), 0.5);
 }
 
 }  // namespace
--- a/tests/durable_writes_test.cpp
+++ b/tests/durable_writes_test.cpp
@@ -8,7 +8,7 @@
 using model::TaskState;
 namespace records = wire::records;
 
-// A job is submitted and planned; the batch that places it, which is not applied yet.
+// Submits and plans a job. Returns the batch that places it, which is not applied yet.
 cluster::WriteBatch placement_batch(LeaderSimulator& simulator, const model::JobSpec& spec) {
     simulator.submit(spec);
     simulator.plan();
@@ -17,7 +17,8 @@
     return batch.value();
 }
 
-// Every write of a leader names the leadership key: applied late, after a newer term, it does nothing.
+// Every transaction of a leader is conditional on the leadership key: one that arrives after a newer term has
+// begun has no effect.
 TEST(DurableWrites, LateCommitOfAnEarlierTermIsRefused) {
     StartedLeader simulator("late_commit_old_term", {"m-1"});
     const auto late_batch = placement_batch(simulator, array_job("j-1", 1));
@@ -29,7 +30,8 @@
     EXPECT_EQ(simulator.starts, 1);
 }
 
-// Every record names its own revision: a second copy of a commit can't undo what came after it.
+// Every change is conditional on the revision of its record, so that a repeated commit cannot undo later
+// changes.
 TEST(DurableWrites, RepeatedCommitIsRefused) {
     StartedLeader simulator("late_copy", {"m-1"});
     const auto batch = placement_batch(simulator, array_job("j-1", 2));
@@ -38,7 +40,7 @@
     simulator.note("commit  the same again: refused");
 }
 
-// 100,000 tasks: the record stays within one value and the scheduling snapshot within memory.
+// A job of 100,000 tasks: its progress record fits one store value, and the scheduling snapshot fits memory.
 TEST(DurableWrites, LargeArrayFitsItsRecord) {
     StartedLeader simulator("large_array");
     for (int i = 0; i < 60; ++i) {
@@ -54,7 +56,7 @@
     job.task_resources = {0.5, 0, 1};
     simulator.submit(job);
     simulator.plan();
-    simulator.commit_all();  // checked against value_kb by the simulator
+    simulator.commit_all();  // the simulator checks every value against value_kb
     std::size_t placed = 0;
     for (const auto& [key, row] : simulator.store.rows)
         if (records::under(key, records::segment_prefix))
@@ -63,8 +65,9 @@
     EXPECT_GT(placed, 150U);
 }
 
-// Found by a day of bursts: with the write budget spent, every commit was small, filled with placements,
-// and left no room for the end of a job. Users waited minutes for the done of work that had long ended.
+// Guards against late completions. Under bursts of jobs that used up the write budget, every commit was
+// small, full of placements, and had no room for final records: users waited minutes for the done status of
+// jobs whose tasks had long finished.
 TEST(DurableWrites, CompletionsComeBeforePlacements) {
     LeaderSimulator simulator("completions_before_placements");
     simulator.config.value_kb = 1;  // a segment holds few jobs
@@ -88,8 +91,8 @@
     EXPECT_EQ(simulator.job_status("j-1"), "done");
 }
 
-// A segment is overwritten when nobody needs it; a second copy of the commit that wrote it first then
-// finds a newer revision, and what was true at that time does not come back.
+// A segment that is no longer needed is overwritten. A repeat of the commit that first wrote it then finds a
+// newer revision and does not restore the outdated state.
 TEST(DurableWrites, RepeatedCommitOfAnOverwrittenSegmentIsRefused) {
     StartedLeader simulator("segment_overwritten", {"m-1"});
     const auto first_batch = placement_batch(simulator, array_job("j-1", 1));
@@ -105,13 +108,14 @@
     EXPECT_FALSE(simulator.store.commit(first_batch.txn));
     simulator.note("commit  the first again: refused");
     simulator.begin_term();
-    EXPECT_FALSE(simulator.leader_state().jobs().contains("j-1"));  // over: a tombstone in a later segment
+    // Finished: a later segment holds its tombstone.
+    EXPECT_FALSE(simulator.leader_state().jobs().contains("j-1"));
     EXPECT_EQ(simulator.leader_state().jobs().at("j-2").placements.size(), 1U);
     EXPECT_EQ(simulator.leader_state().jobs().at("j-3").placements.size(), 1U);
 }
 
-// A job that is over still stands in a segment that others need: a later segment holds a tombstone for
-// it, so that a new leader does not take its tasks for unknown ones.
+// A finished job may still have an entry in a segment that other jobs need. A later segment then holds a
+// tombstone for it, so that a new leader does not treat its tasks as unknown.
 TEST(DurableWrites, EndedJobGetsATombstone) {
     StartedLeader simulator("tombstone", {"m-1"});
     simulator.submit(array_job("j-1", 1));
@@ -121,7 +125,7 @@
     simulator.commit_all();
     simulator.submit(array_job("j-3", 1));
     simulator.plan();
-    EXPECT_TRUE(simulator.next_write_batch());  // refused by the store: the next one holds it again
+    EXPECT_TRUE(simulator.next_write_batch());  // never applied: the next batch holds the tombstone again
     simulator.commit_all();
     simulator.begin_term();
     EXPECT_FALSE(simulator.leader_state().jobs().contains("j-1"));
@@ -129,8 +133,8 @@
     EXPECT_EQ(simulator.leader_state().jobs().at("j-3").placements.size(), 1U);
 }
 
-// Version 0.1 kept a record a job. A new leader reads it, and moves it into a segment with the next
-// change.
+// Version 0.1 stored one progress record per job. A new leader reads such a record, and moves it into a
+// segment with the next change of the job.
 TEST(DurableWrites, RecordsOfVersionZeroOneAreReadAndMoved) {
     StartedLeader simulator("earlier_records");
     simulator.add_worker("m-1");
@@ -146,7 +150,7 @@
     simulator.plan_and_commit();
     const auto commands = simulator.send_heartbeat("m-2");
     ASSERT_EQ(commands.size(), 1U);
-    EXPECT_EQ(commands[0].task.index, 1U);  // the other may run on m-1
+    EXPECT_EQ(commands[0].task.index, 1U);  // task 0 may still run on m-1
     EXPECT_FALSE(simulator.store.rows.contains(records::progress_key("j-1")));
     simulator.begin_term();
     EXPECT_EQ(simulator.leader_state().jobs().at("j-1").placements.size(), 2U);
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -1,7 +1,7 @@
-// What goes over the wire and what is stored, byte for byte as tests/golden/*.golden have it: requests,
-// answers, messages between controllers, records and transactions, and what is read from good and bad input.
-// The kept text uses labels of its own, so that a change of names in the code leaves it as it is.
-// PINEROAD_KEEP_GOLDEN=1 writes the files anew after a change that was meant.
+// Compares wire and store formats byte for byte with tests/golden/*.golden: requests, responses, messages
+// between controllers, stored records and transactions, and the results of parsing valid and invalid input.
+// The golden files have labels of their own, so that renaming identifiers does not change them. After an
+// intended change, PINEROAD_KEEP_GOLDEN=1 rewrites the files.
 #include <gtest/gtest-spi.h>
 
 #include <boost/asio/co_spawn.hpp>
@@ -20,7 +20,7 @@
 namespace json = boost::json;
 namespace records = wire::records;
 
-// --- kept files --------------------------------------------------------------------------------------------
+// --- golden files ------------------------------------------------------------------------------------------
 
 std::string golden_path(const std::string& name) {
     return std::string(PINEROAD_GOLDEN) + "/" + name + ".golden";
@@ -37,7 +37,7 @@
     EXPECT_EQ(expected.str(), text) << "golden file of " << name << " differs";
 }
 
-// Lines of text that are compared with the kept file at the end of the scope.
+// Collects lines of text and compares them with the golden file at the end of its scope.
 class Golden {
    public:
     explicit Golden(std::string name) : name_(std::move(name)) {}
@@ -57,7 +57,7 @@
     std::ostringstream text_;
 };
 
-// --- text of values ----------------------------------------------------------------------------------------
+// --- printing of basic types -------------------------------------------------------------------------------
 
 std::string hex(const std::string& bytes) {
     static constexpr char digits[] = "0123456789abcdef";
@@ -97,12 +97,11 @@
     return out + "]";
 }
 template <class T>
-std::string print_optional(const std::optional<T>& value);  // defined where every print is known
+std::string print_optional(const std::optional<T>& value);  // defined after all overloads of print
 
-// --- adaptors: the code's types behind the kept text
-// ---------------------------------------------------------
+// --- printing of messages and records ----------------------------------------------------------------------
 
-// Every field of a job: its stored form and its name.
+// Prints the id of a job and its stored form, which holds every other field.
 std::string print(const model::JobSpec& job) {
     return job.id + " " + print(records::job_json(job));
 }
@@ -212,7 +211,7 @@
              true}};
 }
 
-// Without what is optional, and with all of it.
+// A job without optional fields, and one with all of them.
 model::JobSpec plain_job() {
     return array_job("j-plain", 3);
 }
@@ -311,7 +310,7 @@
     return value ? print(*value) : "nothing";
 }
 
-// The stored rows, without the leader's random number.
+// Prints the stored rows, with the leader's random nonce masked.
 void put_store_rows(Golden& golden, const std::map<std::string, StoreSimulator::Row>& rows) {
     for (const auto& [key, row] : rows) {
         auto value = row.value;
@@ -321,7 +320,7 @@
     }
 }
 
-// Reads a table of JSON values with one of the readers of records.
+// Prints what `read` makes of each input that is valid JSON.
 template <class Read>
 void put_parsed_values(Golden& golden, const std::string& label, const std::vector<std::string>& inputs,
                        Read read) {
@@ -336,7 +335,7 @@
     for (const auto& text : inputs) golden.put(label + " " + text, read(text));
 }
 
-// --- bodies ------------------------------------------------------------------------------------------------
+// --- request bodies ----------------------------------------------------------------------------------------
 
 constexpr const char* full_submission =
     R"({"NameId":"j-000412","Jobclass":"wide","Crew":"team","Shape":"group","Urgency":"high","Pieces":16,)"
@@ -347,7 +346,7 @@
     R"({"Host":"m-1","Address":"10.1.0.2:9000","Breed":"g4","Yard":"a","Loaners":true,"Stint":1,"Tick":88,)"
     R"("Baton":41,"WarningS":12.5,"Pieces":[{"Piece":"j-000412/3","Try":2,"Status":"running"}],"New":{}})";
 
-// The body with one field replaced, or left out if there is no value.
+// Returns the body with one field replaced, or removed if `value` is empty.
 std::string with_field(const char* body, const std::string& key, const std::string& value) {
     auto doc = json::parse(body).as_object();
     if (value.empty())
@@ -361,7 +360,8 @@
 const std::vector<std::string> test_values{"",   "null", "{}",    "[]",   "[1]",      "[\"\"]", "7",     "0",
                                            "-1", "1.5",  "1e999", "true", "\"word\"", "\"\"",   "100001"};
 
-// Every field with every odd value; then the words that a field knows.
+// Returns malformed bodies, the body itself, the body with each field set to each test value, and the body
+// with each of the known values.
 std::vector<std::string> body_variants(const char* body, const std::vector<std::string>& keys,
                                        const std::vector<std::pair<std::string, std::string>>& known_values) {
     std::vector<std::string> out = malformed_bodies;
@@ -373,7 +373,7 @@
     return out;
 }
 
-// --- the tests ---------------------------------------------------------------------------------------------
+// --- formats -----------------------------------------------------------------------------------------------
 
 TEST(Golden, MissingGoldenFileFails) {
     EXPECT_NONFATAL_FAILURE(compare_golden("no_such_subject", "text"), "is missing");
@@ -768,8 +768,7 @@
                       [](const wire::Json& v) { return print_optional(records::parse_outcome(v)); });
 }
 
-// --- a whole controller
-// --------------------------------------------------------------------------------------
+// --- responses of whole controllers ------------------------------------------------------------------------
 
 constexpr const char* minimal_submission =
     R"({"NameId":"j-new","Jobclass":"small","Crew":"team","Shape":"batch","Urgency":"standard","Pieces":1,)"
@@ -785,7 +784,7 @@
         golden_.put(method + " " + target + (body.empty() ? "" : " ") + body,
                     reply ? print(*reply) : "no answer");
     }
-    // A small job, with one field replaced.
+    // Submits a minimal job with one field replaced.
     void submit(const std::string& key, const std::string& value, int node = 0) {
         record_request(node, "POST", "/submissions", with_field(minimal_submission, key, value));
     }
@@ -995,8 +994,7 @@
     put_store_rows(golden, cluster.store.rows());
 }
 
-// --- transactions of a term
-// ----------------------------------------------------------------------------------
+// --- transactions of a leader ------------------------------------------------------------------------------
 
 class TransactionRecorder : public LeaderSimulator {
    public:
@@ -1013,7 +1011,8 @@
         golden_.put("answer to " + machine,
                     wire::heartbeat_response(leader_state().fencing_token(), send_heartbeat(machine)));
     }
-    // Two seconds on: a plan, what it writes, rents and tells the workers.
+    // Advances the time by two seconds and plans. Prints the transactions, provisioning requests and
+    // heartbeat responses that result.
     void step() {
         advance(2);
         plan();
@@ -1088,7 +1087,7 @@
     for (int i = 0; i < 4; ++i) simulator.step();
 }
 
-// Last, since it needs a file that the others write.
+// Runs last, since it needs a golden file that the other tests write.
 TEST(Golden, DifferingGoldenFileFails) {
     EXPECT_NONFATAL_FAILURE(compare_golden("users", "text"), "differs");
 }
--- a/tests/job_lifecycle_test.cpp
+++ b/tests/job_lifecycle_test.cpp
@@ -1,4 +1,4 @@
-// From submission to the final record: what is written before it is acted on.
+// The life of a job from submission to its final record: state is durable before the leader acts on it.
 #include "leader_simulator.hpp"
 
 namespace pineroad::test {
@@ -21,15 +21,15 @@
     simulator.set_task_state("j-1/0", TaskState::exited, ExitCause::done);
     simulator.set_task_state("j-1/1", TaskState::exited, ExitCause::done);
     simulator.send_heartbeat("m-1");
-    EXPECT_EQ(simulator.job_status("j-1"), "accepted");  // not done before it is written
+    EXPECT_EQ(simulator.job_status("j-1"), "accepted");  // not done before its final record is written
     simulator.commit_all();
     EXPECT_EQ(simulator.job_status("j-1"), "done");
     simulator.send_heartbeat("m-1");
     EXPECT_TRUE(simulator.workers.at("m-1").tasks.empty());
 }
 
-// Guards the order write, then act: a start in an answer before its placement is durable could run twice
-// after a failover whose leader never read of it.
+// Guards against a start that is sent before its placement is durable: after a failover, a new leader that
+// never read of the placement would start the task a second time.
 TEST(JobLifecycle, StartWaitsForItsCommit) {
     StartedLeader simulator("start_waits_for_commit", {"m-1"});
     simulator.submit(array_job("j-1", 1));
@@ -39,13 +39,14 @@
     EXPECT_EQ(simulator.send_heartbeat("m-1").size(), 1U);
 }
 
-// Reaping erases the only other record of a completion: it waits until the store holds it.
+// Reaping a task deletes the worker's record of its completion, so it must wait until the store holds the
+// completion.
 TEST(JobLifecycle, CompletionIsDurableBeforeReap) {
     StartedLeader simulator("done_before_reap", {"m-1"});
     simulator.run_job(array_job("j-1", 1), "m-1");
     simulator.set_task_state("j-1/0", TaskState::exited, ExitCause::done);
     EXPECT_TRUE(simulator.send_heartbeat("m-1").empty());
-    simulator.begin_term();  // the leader is gone before it could write: the next one finds the task ended
+    simulator.begin_term();  // the leader ended before it could write; the next one finds the exited task
     simulator.synchronize_worker("m-1");
     simulator.commit_all();
     EXPECT_EQ(simulator.job_status("j-1"), "done");
--- a/tests/machine_lifecycle_test.cpp
+++ b/tests/machine_lifecycle_test.cpp
@@ -7,8 +7,8 @@
 using model::ExitCause;
 using model::TaskState;
 
-// The answer to a release proves a machine gone; a heartbeat held back by the network must not register
-// it again.
+// The response to a release proves that the machine is gone. A heartbeat delayed by the network must not
+// register the machine again.
 TEST(MachineLifecycle, LateHeartbeatDoesNotRegisterAReleasedMachine) {
     StartedLeader simulator("released_stays_gone", {"m-1", "m-2"});
     simulator.run_job(gang_job("j-1", 1), "m-1");
@@ -22,7 +22,7 @@
     EXPECT_EQ(simulator.send_heartbeat("m-2").size(), 1U);
 }
 
-// On a reclamation notice tasks write their checkpoints, and the machine gets no new work.
+// After an interruption notice, tasks write their checkpoints and the machine gets no new tasks.
 TEST(MachineLifecycle, SpotNoticeCheckpointsTasks) {
     StartedLeader simulator("spot_notice");
     simulator.add_worker("m-1", "g4", "a", true);
@@ -35,7 +35,7 @@
     EXPECT_EQ(simulator.workers.at("m-1").tasks[0].state, TaskState::checkpointing);
     simulator.submit(array_job("j-2", 1));
     simulator.plan_and_commit();
-    EXPECT_EQ(simulator.starts, 1);  // nothing new on a machine about to go
+    EXPECT_EQ(simulator.starts, 1);  // no new task on a machine about to be interrupted
 }
 
 // Failures of two jobs on one machine are evidence against the machine.
@@ -50,7 +50,7 @@
     EXPECT_EQ(simulator.leader_state().machines_to_release(simulator.now).size(), 1U);
 }
 
-// Failures of one job on several machines are evidence against the job: the machines stay, the job is
+// Failures of one job on several machines are evidence against the job: the machines are kept, and the job is
 // retried with a growing delay.
 TEST(MachineLifecycle, FailingJobQuarantinesNoMachine) {
     StartedLeader simulator("failing_job", {"m-1", "m-2", "m-3", "m-4"});
@@ -65,12 +65,12 @@
     EXPECT_TRUE(simulator.leader_state().machines_to_release(simulator.now).empty());
     simulator.plan_and_commit();
     simulator.send_heartbeats({"m-1", "m-2", "m-3", "m-4"});
-    EXPECT_EQ(simulator.starts, 3);  // not again at once
+    EXPECT_EQ(simulator.starts, 3);  // not retried at once
     for (const auto& [id, m] : simulator.leader_state().machines()) EXPECT_FALSE(m.quarantined) << id;
 }
 
-// Both at once: the job that fails everywhere is delayed, the machine on which everything fails is
-// quarantined, the others stay.
+// One job fails on every machine, and on one machine every task fails: the job is delayed, that machine is
+// quarantined, and the other machines are kept.
 TEST(MachineLifecycle, FailingJobAndFaultyMachineAreToldApart) {
     StartedLeader simulator("failing_job_and_machine");
     const std::vector<std::string> machines{"m-1", "m-2", "m-3", "m-4"};
@@ -78,8 +78,8 @@
         simulator.add_worker(m);
         simulator.synchronize_worker(m);
     }
-    simulator.submit(array_job("j-1", 1));  // fails everywhere
-    simulator.submit(array_job("j-2", 6));  // sound, but everything on m-1 fails
+    simulator.submit(array_job("j-1", 1));  // fails on every machine
+    simulator.submit(array_job("j-2", 6));  // fails on m-1 only
     for (int round = 0; round < 4; ++round) {
         simulator.plan_and_commit();
         simulator.send_heartbeats(machines);
@@ -100,7 +100,7 @@
         EXPECT_EQ(m.quarantined, id == "m-1") << id;
 }
 
-// A pool without capacity is left for a while; another zone is asked at once.
+// A pool without capacity is not asked again for a while; another zone is tried at once.
 TEST(MachineLifecycle, PoolWithoutCapacityBacksOff) {
     StartedLeader simulator("refused_pool");
     simulator.submit(gang_job("j-1", 1));
@@ -111,11 +111,11 @@
     simulator.plan_and_commit();
     const auto other_request = simulator.leader_state().next_provisioning_request();
     ASSERT_TRUE(other_request);
-    EXPECT_NE(other_request->zone, request->zone);  // the other zone at once, this one later
+    EXPECT_NE(other_request->zone, request->zone);  // the other zone is tried first
     simulator.note("cloud   " + request->zone + " has none, " + other_request->zone + " is asked");
 }
 
-// A provisioned machine without a heartbeat is released after its boot time, and not before.
+// A provisioned machine without a heartbeat is released after its boot timeout, and not before.
 TEST(MachineLifecycle, MachineThatNeverBootsIsReleased) {
     StartedLeader simulator("never_boots");
     simulator.submit(gang_job("j-1", 1));
@@ -130,7 +130,7 @@
     simulator.release_machines();
 }
 
-// A leader that was partitioned receives no heartbeats; when it can act again, silence counts from then.
+// A partitioned leader receives no heartbeats. When it can act again, it measures silence from that moment.
 TEST(MachineLifecycle, SilenceTimersRestartAfterAPartition) {
     StartedLeader simulator("silence_from_listening", {"m-1", "m-2"});
     simulator.run_job(array_job("j-1", 1), "m-1");
@@ -140,12 +140,13 @@
     simulator.send_heartbeat("m-2");
     simulator.plan();
     EXPECT_EQ(simulator.leader_state().machines_to_release(simulator.now),
-              std::vector<std::string>{"m-2"});  // idle; m-1 is not given up
+              std::vector<std::string>{"m-2"});  // m-2 is idle; the silent m-1 is kept
     simulator.release_machines();
     simulator.send_heartbeat("m-1");
 }
 
-// A spot machine whose notice has run out is proven gone by a release, not by waiting for the list.
+// A spot machine whose interruption notice has run out is released: the release proves it gone, without
+// waiting for the machine list.
 TEST(MachineLifecycle, ReclaimedSpotMachineIsReleasedAtOnce) {
     StartedLeader simulator("spot_reclaimed");
     simulator.add_worker("m-1", "g4", "a", true);
@@ -160,8 +161,8 @@
     EXPECT_EQ(simulator.leader_state().machines_to_release(simulator.now).size(), 1U);
 }
 
-// Half of all machines fall silent at once and come back later. Their tasks start elsewhere once the
-// machines' release was answered and not before; heartbeats held back by the partition prove nothing.
+// A partition silences half of all machines for a while. Their tasks start on other machines only after the
+// release of the silent machines was confirmed; heartbeats that the partition delayed prove nothing.
 TEST(MachineLifecycle, TasksOfPartitionedMachinesRestartOnlyAfterRelease) {
     StartedLeader simulator("mass_silence");
     std::vector<std::string> silent, connected;
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP server at its limits, over loopback, and how sockets are shared out.
+// The HTTP server at its connection and body limits, over loopback, and the allocation of sockets.
 #include <gtest/gtest.h>
 
 #include <boost/asio/co_spawn.hpp>
@@ -16,7 +16,7 @@
 using net::Reply;
 using net::Request;
 
-// A server with few connections, and clients that each keep one.
+// A server with the given limits, and clients that each keep one connection to it.
 class ServerWithClients {
    public:
     explicit ServerWithClients(net::HttpServer::Limits limits)
@@ -59,8 +59,9 @@
     return limits;
 }
 
-// Found by a day with half as many machines again: users and workers shared one limit below the number of
-// machines, so that new machines found no connection and were returned, one after the other.
+// Guards against users who take every connection. When users and workers shared one limit below the number of
+// machines, a run with half as many machines again left new machines without a connection, and they were
+// released one after the other.
 TEST(Server, UsersCannotTakeTheConnectionsOfWorkers) {
     ServerWithClients server(small_limits());
     std::vector<std::unique_ptr<net::HttpClient>> users, workers;
@@ -71,10 +72,10 @@
         EXPECT_EQ(server.send_request(*users[i], "/submissions/j-1")->status, 503);
     for (int i = 0; i < 3; ++i) workers.push_back(server.make_client());
     for (auto& worker : workers) EXPECT_EQ(server.send_request(*worker, "/checkin")->status, 200);
-    EXPECT_EQ(server.send_request(*users[0], "/submissions/j-1")->status, 200);  // who has one keeps it
+    EXPECT_EQ(server.send_request(*users[0], "/submissions/j-1")->status, 200);  // an open connection is kept
     users.erase(users.begin());
-    EXPECT_EQ(server.send_request(*workers[0], "/checkin")->status,
-              200);  // meanwhile the server learns of the end
+    // Lets the server notice the closed connection.
+    EXPECT_EQ(server.send_request(*workers[0], "/checkin")->status, 200);
     while (server.send_request(*users[2], "/submissions/j-1")->status != 200) {
     }
 }
@@ -87,7 +88,8 @@
     EXPECT_FALSE(server.send_request(*workers[5], "/checkin"));
 }
 
-// A watch after a long partition may hold more than memory does: such an answer differs from none.
+// After a long partition, a watch response may be larger than memory allows. The client reports it as too
+// large, which differs from no response.
 TEST(Server, OversizedResponseIsReportedAsTooLarge) {
     ServerWithClients server(small_limits());
     const auto client = server.make_client();
@@ -96,7 +98,8 @@
     EXPECT_EQ(server.send_request(*client, "/checkin")->status, 200);
 }
 
-// Shares come from the platform's limit alone; none is empty, and together they stay below it.
+// The shares depend only on the platform's socket limit and the number of peers. None is empty, and their sum
+// stays below the limit.
 class SocketBudget : public ::testing::TestWithParam<std::tuple<int, std::size_t>> {};
 
 TEST_P(SocketBudget, SharesStayBelowTheLimit) {
@@ -125,8 +128,8 @@
     config::Settings settings;
     settings.max_sockets = 3362;
     settings.peers.resize(2);
-    EXPECT_GT(net::allocate_sockets(settings).workers(),
-              2090U);  // every machine of a deployment half as large again
+    // The machines of a deployment half as large again.
+    EXPECT_GT(net::allocate_sockets(settings).workers(), 2090U);
 }
 
 }  // namespace
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -1,15 +1,16 @@
-// Quotas, one zone, spread: constraints that count what may still run unseen.
+// Team quotas, one-zone and spread constraints. They count tasks that may still run on machines
+// without a heartbeat.
 #include "leader_simulator.hpp"
 
 namespace pineroad::test {
 namespace {
 
-// The quota counts what may still run on machines without a heartbeat in this term.
+// The quota counts tasks that may still run on machines without a heartbeat in this term.
 TEST(PlacementConstraints, QuotaCountsUnknownTasks) {
     StartedLeader simulator("quota_unknown_tasks", {"m-1"});
     simulator.add_worker("m-2");
     auto job = array_job("j-1", 3);
-    job.team = "capped";  // 2 GPUs
+    job.team = "capped";  // its quota is 2 GPUs
     simulator.run_job(job, "m-1");
     EXPECT_EQ(simulator.starts, 2);
     simulator.begin_term();
@@ -18,8 +19,8 @@
     EXPECT_EQ(simulator.starts, 2);
 }
 
-// One zone counts tasks on machines without a heartbeat too: until such a machine's zone is known, no
-// zone is allowed.
+// The one-zone constraint also counts tasks on machines without a heartbeat in this term: until the zone of
+// such a machine is known, no zone is allowed.
 TEST(PlacementConstraints, OneZoneCountsUnknownTasks) {
     StartedLeader simulator("one_zone");
     simulator.add_worker("m-1", "g4", "a");
@@ -38,7 +39,7 @@
     EXPECT_EQ(simulator.starts, 4);
 }
 
-// Of a spread job at most half, rounded up, is placed in one zone.
+// At most half of the tasks of a spread job, rounded up, are placed in one zone.
 TEST(PlacementConstraints, SpreadPlacesAtMostHalfInOneZone) {
     StartedLeader simulator("spread");
     simulator.add_worker("m-1", "g4", "a");
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -4,7 +4,7 @@
 namespace pineroad::test {
 namespace {
 
-// What a quarter of a minute costs in commits and changes, and that every job is placed.
+// Counts the commits and changes of 16 s of scheduling, and checks that every job is placed.
 TEST(Scale, PlacesAllJobsOn2300MachinesInFewChanges) {
     LeaderSimulator simulator("at_size");
     simulator.config.heartbeat_period_s = 8;
@@ -32,7 +32,7 @@
                       static_cast<std::size_t>(simulator.config.max_transaction_changes));
             ++commits, changes += batch->txn.changes.size();
             const auto revision = simulator.store.commit(batch->txn);
-            if (!revision) break;  // the finals: this simulator's jobs were never accepted through it
+            if (!revision) break;  // a final record: the store holds no record of these jobs
             simulator.leader_state().apply_commit(*batch, *revision, simulator.now, simulator.wall_ms());
         }
         simulator.advance(0.4);
@@ -46,8 +46,8 @@
                    std::to_string(placed) + " tasks placed, " + std::to_string(fully_placed) + " jobs whole");
     simulator.note(std::to_string(commits) + " commits, " + std::to_string(changes) + " changes");
     EXPECT_EQ(fully_placed, static_cast<std::size_t>(jobs));
-    EXPECT_LT(changes, 60U);  // one record a job took 300
-    // Every machine's tasks are found without a walk over the jobs: the index agrees with the slots.
+    EXPECT_LT(changes, 60U);  // one record per job took 300
+    // The index of tasks by machine, which saves a search through all jobs, agrees with the jobs' placements.
     std::size_t indexed = 0;
     for (const auto& [id, m] : simulator.leader_state().machines()) indexed += m.tasks.size();
     EXPECT_EQ(indexed, placed);
--- a/tests/sched_test.cpp
+++ b/tests/sched_test.cpp
@@ -1,4 +1,4 @@
-// The scheduler without anything around it: order, placement, preemption, autoscaling.
+// The scheduling functions in isolation: job order, placement, preemption, reservations and autoscaling.
 #include <gtest/gtest.h>
 
 #include "leader_simulator.hpp"
@@ -80,9 +80,9 @@
     EXPECT_TRUE(scheduling::place_tasks(snapshot).empty());
 }
 
-// Found by late last stages: one or two of a stage's hundreds of tasks were lost with spot machines, and all
-// that came after waited. Spot machines and empty ones are for pipelines the last choice; for others they
-// aren't.
+// Guards against late pipelines: when one or two of the hundreds of tasks of a stage were lost with spot
+// machines, all later stages waited. Spot machines and empty machines are the last choice for jobs in a
+// pipeline, but not for other jobs.
 class SpotAndEmptyMachines : public Scheduler, public ::testing::WithParamInterface<NamedCase<bool>> {};
 
 TEST_P(SpotAndEmptyMachines, AreTheLastChoiceForPipelinesOnly) {
@@ -109,7 +109,7 @@
                                            NamedCase<bool>{"InAPipeline", true}),
                          case_name<NamedCase<bool>>);
 
-// The inherited priority decides whom a waiter may stop, and by whom a victim may be stopped.
+// Preemption compares inherited priorities, both of the preemptor and of the victim.
 TEST_F(Scheduler, InheritedPriorityDecidesPreemption) {
     add_machine("m-1");
     add_running_gang(gang_job("j-1", 1), "m-1", 1.2);
@@ -121,7 +121,7 @@
     EXPECT_FALSE(scheduling::select_preemption(snapshot));
 }
 
-// The last machine that a choosy class can use is not opened by work that has other places.
+// A job that can run in several pools does not take the last machine that a constrained job class can use.
 TEST_F(Scheduler, FlexibleJobLeavesHeadroomOfAConstrainedClass) {
     tuning.headroom = 1;
     add_machine("m-1");
@@ -159,13 +159,13 @@
     EXPECT_TRUE(scheduling::select_preemption(snapshot));
 }
 
-// PROTOCOL "Preemption" comes on top of the design.
+// The protocol's section "Preemption" adds this rule to the design's xfactor rule.
 TEST_F(Scheduler, EqualPriorityIsPreemptedOnlyForATeamGuarantee) {
     add_machine("m-1");
     add_running_gang(gang_job("j-1", 1), "m-1", 1);
     auto& preemptor = add_job(gang_job("j-2", 1), 50);
     EXPECT_FALSE(scheduling::select_preemption(snapshot));
-    specs[1]->team = "owed";  // guaranteed room, and the victim's team has no guarantee
+    specs[1]->team = "owed";  // has a guarantee, unlike the victim's team
     snapshot.usage["team"] = {28, 4};
     EXPECT_TRUE(scheduling::select_preemption(snapshot));
     snapshot.usage["owed"] = {64, 8};  // its guarantee is used up
@@ -179,7 +179,7 @@
     auto preemptor_spec = gang_job("j-2", 2);
     preemptor_spec.priority = model::Priority::high;
     add_job(preemptor_spec, 50);
-    EXPECT_FALSE(scheduling::select_preemption(snapshot)) << "one machine's room does not hold two tasks";
+    EXPECT_FALSE(scheduling::select_preemption(snapshot)) << "one machine has no room for two tasks";
     add_machine("m-2");
     EXPECT_TRUE(scheduling::select_preemption(snapshot));
 }
@@ -209,8 +209,9 @@
     EXPECT_EQ(scheduling::place_tasks(snapshot).size(), 1U);
 }
 
-// Found by a day of bursts: half of the widest gangs waited over four minutes, since machines of two zones
-// were held for a gang that must stay in one, and what was let go at last went to whoever had climbed higher.
+// Guards against the starvation of wide gangs. Under bursts of jobs, half of the widest gangs waited over
+// four minutes: machines of two zones were reserved for a gang that must stay in one, and the machines that
+// the reservation released at last went to jobs with a higher xfactor.
 TEST_F(Scheduler, ReservationKeepsOneZoneAndItsGangIsPlacedFirst) {
     add_machine("m-1", "g4", "a");
     add_machine("m-2", "g4", "b");
@@ -225,7 +226,7 @@
     EXPECT_TRUE(scheduling::plan_autoscaling(snapshot).scale_in.empty());
     auto trial_snapshot = snapshot;
     const auto others = scheduling::place_tasks(trial_snapshot);
-    ASSERT_EQ(others.size(), 1U);  // what is of no use to the holder is not kept
+    ASSERT_EQ(others.size(), 1U);  // a machine that the waiting gang cannot use is not reserved
     EXPECT_EQ(others[0].machine, "m-1");
     add_machine("m-4", "g4", "b");
     const auto starts = scheduling::place_tasks(snapshot);
@@ -233,7 +234,7 @@
     for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ(starts[i].job, "j-1");
 }
 
-// A team at its limit holds nothing: what it can't use would stand idle.
+// A gang beyond its team's limit gets no reservation, because the reserved machines would stay idle.
 TEST_F(Scheduler, NoReservationBeyondTheTeamLimit) {
     add_machine("m-1");
     auto spec = gang_job("j-1", 2);
--- a/tests/watch_cache_test.cpp
+++ b/tests/watch_cache_test.cpp
@@ -1,4 +1,4 @@
-// The watch cache of the store (control::Mirror) and its log of cancellations.
+// store::WatchCache and its log of cancellations.
 #include "store/watch_cache.hpp"
 
 #include "leader_simulator.hpp"
@@ -8,7 +8,8 @@
 
 namespace records = wire::records;
 
-// A part is never given for the whole: a log that dropped some, or holds more than a message, says so.
+// The log returns all entries after a revision or nothing: nothing if it has evicted some of them, or if they
+// exceed one message.
 TEST(CancellationLog, ReturnsAllEntriesOrNothing) {
     store::CancellationLog log;
     EXPECT_TRUE(log.add("j-1", 5));
@@ -23,16 +24,16 @@
     EXPECT_FALSE(log.after(8));  // one more than a message holds
     EXPECT_EQ(log.after(9)->size(), c::max_cancellations_per_message);
     for (std::uint64_t r = 100000; r < 100000 + c::max_cancellations_kept; ++r) log.add("j-0", r);
-    EXPECT_FALSE(log.after(2008));  // the last that was forgotten is 2009
-    EXPECT_FALSE(log.after(2009));  // still more than a message
+    EXPECT_FALSE(log.after(2008));  // the last evicted revision is 2009
+    EXPECT_FALSE(log.after(2009));  // still more than a message holds
     EXPECT_EQ(log.after(100000 + c::max_cancellations_kept - 3)->size(), 2U);
-    // An entry of an old revision that comes late is not dropped silently either.
+    // An entry with an old revision that arrives late is not dropped silently either.
     log.add("j-1", 5);
     EXPECT_FALSE(log.after(4));
 }
 
-// A peer names a cancellation that the cache does not hold; it is passed on, the leader's state learns of
-// it, and a final state that is missing when the cache is read anew is not forgotten.
+// A peer reports a cancellation that the cache does not hold: the cache logs it and notifies its observer.
+// Outcomes known before a reload are kept when the reloaded records lack them.
 TEST(WatchCache, KeepsOutcomesLearnedFromPeers) {
     store::WatchCache cache;
     std::vector<std::string> notifications;
@@ -49,7 +50,7 @@
     EXPECT_EQ(notifications, (std::vector<std::string>{"j-1 new", "j-1"}));
 }
 
-// Two watches may answer out of order: what is known is not undone by an older revision.
+// Responses of two watches may arrive out of order: an older revision does not undo a newer one.
 TEST(WatchCache, OlderRevisionsAreIgnored) {
     store::WatchCache cache;
     auto spec = array_job("j-1", 1);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// The forms on the wire and of stored records, both ways.
+// Parsing and serialization of wire messages and stored records.
 #include <gtest/gtest.h>
 
 #include <boost/json.hpp>
