--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -23,15 +23,16 @@
     EXPECT_FALSE(cluster.store.leader().empty());
     EXPECT_EQ(cluster.submit(0, "j-1")->status, 201);
     EXPECT_EQ(cluster.submit(1, "j-1")->status, 200);
-    for (int n = 0; n < 3; ++n) EXPECT_EQ(cluster.poll(n, "j-1")->status, 200);
+    for (int node = 0; node < 3; ++node) EXPECT_EQ(cluster.poll(node, "j-1")->status, 200);
     EXPECT_EQ(cluster.poll(2, "j-404")->status, 404);
     EXPECT_EQ(cluster.cancel(2, "j-1")->status, 200);
-    for (int n = 0; n < 3; ++n) {
-        EXPECT_NE(cluster.poll(n, "j-1")->body.find("withdrawn"), std::string::npos);
-        EXPECT_NE(cluster.submit(n, "j-1")->body.find("withdrawn"), std::string::npos);
+    for (int node = 0; node < 3; ++node) {
+        EXPECT_NE(cluster.poll(node, "j-1")->body.find("withdrawn"), std::string::npos);
+        EXPECT_NE(cluster.submit(node, "j-1")->body.find("withdrawn"), std::string::npos);
     }
     int answers = 0;
-    for (int n = 0; n < 3; ++n) answers += cluster.send_heartbeat(n, idle_heartbeat(1))->status == 200;
+    for (int node = 0; node < 3; ++node)
+        answers += cluster.send_heartbeat(node, idle_heartbeat(1))->status == 200;
     EXPECT_EQ(answers, 1);  // only the leader; the others redirect to it
 }
 
@@ -205,12 +206,12 @@
     cluster.note("end     of the other two, back at once");
     cluster.holding_commits.clear();
     cluster.kill(candidate), cluster.kill(other_candidate);
-    for (const int n : {candidate, other_candidate})
-        for (const auto& held_commit : cluster.held_commits[n]) {
+    for (const int node : {candidate, other_candidate})
+        for (const auto& held_commit : cluster.held_commits[node]) {
             const int status =
                 cluster.store.answer(held_commit.method, held_commit.target, held_commit.body, cluster.now())
                     .status;
-            cluster.note("late    bid of the earlier c-" + std::to_string(n) +
+            cluster.note("late    bid of the earlier c-" + std::to_string(node) +
                          " arrives: " + std::to_string(status));
         }
     const auto token_of_ended_process = cluster.store.fencing_token();
@@ -222,7 +223,8 @@
     // The lease of the ended process was revoked, not used.
     EXPECT_GT(cluster.store.fencing_token(), token_of_ended_process);
     int leaders = 0;
-    for (int n = 0; n < 3; ++n) leaders += cluster.send_heartbeat(n, idle_heartbeat(1))->status == 200;
+    for (int node = 0; node < 3; ++node)
+        leaders += cluster.send_heartbeat(node, idle_heartbeat(1))->status == 200;
     EXPECT_EQ(leaders, 1);
     EXPECT_EQ(cluster.submit(candidate, "j-1")->status, 201);
 }
@@ -235,7 +237,7 @@
     cluster.store_requests.clear();
     const double started_at = cluster.now();
     for (int i = 0; i < 60; ++i)
-        for (int n = 0; n < 5; ++n) EXPECT_EQ(cluster.poll(n, "j-1")->status, 200);
+        for (int node = 0; node < 5; ++node) EXPECT_EQ(cluster.poll(node, "j-1")->status, 200);
     int total = 0;
     for (const auto& [kind, n] : cluster.store_requests) total += n;
     EXPECT_LT(total / (cluster.now() - started_at), 70);  // the settings allow 100 requests/s
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -148,21 +148,22 @@
 
 std::string print(const std::vector<model::MachineType>& types) {
     std::string out;
-    for (const auto& t : types)
-        out += "{" + print(t.name) + " room " + print(t.capacity.cpus) + " " + print(t.capacity.gpus) + " " +
-               print(t.capacity.memory_gb) + " cache " + print(t.cache_gb) + " fetch " +
-               print(t.fetch_gb_per_s) + " price " + print(t.price) + " loaner " + print(t.spot_price) +
-               " boot " + print(t.boot_s) + " yards " + print(t.zones) + "}";
+    for (const auto& machine_type : types)
+        out += "{" + print(machine_type.name) + " room " + print(machine_type.capacity.cpus) + " " +
+               print(machine_type.capacity.gpus) + " " + print(machine_type.capacity.memory_gb) + " cache " +
+               print(machine_type.cache_gb) + " fetch " + print(machine_type.fetch_gb_per_s) + " price " +
+               print(machine_type.price) + " loaner " + print(machine_type.spot_price) + " boot " +
+               print(machine_type.boot_s) + " yards " + print(machine_type.zones) + "}";
     return "types " + out;
 }
 
 std::string print(const wire::MachineList& list) {
     static const char* states[] = {"booting", "running", "failed"};
     std::string out;
-    for (const auto& m : list.machines)
-        out += "{" + print(m.id) + " " + print(m.address) + " " + print(m.type) + " " + print(m.zone) +
-               " loaner " + print(m.spot) + " " + states[static_cast<int>(m.status)] + " held " +
-               print(m.age_s) + "}";
+    for (const auto& machine : list.machines)
+        out += "{" + print(machine.id) + " " + print(machine.address) + " " + print(machine.type) + " " +
+               print(machine.zone) + " loaner " + print(machine.spot) + " " +
+               states[static_cast<int>(machine.status)] + " held " + print(machine.age_s) + "}";
     return "machines " + out + " more " + print(list.truncated);
 }
 
@@ -235,28 +236,30 @@
     return job;
 }
 
-std::string print(const model::Progress& p) {
+std::string print(const model::Progress& progress) {
     std::string out = "done";
-    for (const auto& i : p.done)
+    for (const auto& i : progress.done)
         out += " " + std::to_string(boost::icl::first(i)) + "-" + std::to_string(boost::icl::last(i));
     out += " placed";
-    for (const auto& x : p.placements)
-        out += " " + std::to_string(x.index) + "#" + print(x.attempt) + "@" + print(x.machine);
-    return out + " next " + print(p.next_attempt) + " ran " + print(p.checkpointed_run_s) + " need " +
-           print(p.task_resources.cpus) + " " + print(p.task_resources.gpus) + " " +
-           print(p.task_resources.memory_gb) + " team " + print(p.team) + " partial " + print(p.partial);
+    for (const auto& placement : progress.placements)
+        out += " " + std::to_string(placement.index) + "#" + print(placement.attempt) + "@" +
+               print(placement.machine);
+    return out + " next " + print(progress.next_attempt) + " ran " + print(progress.checkpointed_run_s) +
+           " need " + print(progress.task_resources.cpus) + " " + print(progress.task_resources.gpus) + " " +
+           print(progress.task_resources.memory_gb) + " team " + print(progress.team) + " partial " +
+           print(progress.partial);
 }
 
 model::Progress sample_progress(bool partial) {
-    model::Progress p;
-    p.done += boost::icl::discrete_interval<std::uint32_t>::closed(0, 4);
-    p.done += 9U;
-    p.placements = {{5, 7, "m-1"}, {8, 12, "m-22"}};
-    p.next_attempt = 13;
-    p.checkpointed_run_s = 61.25;
-    p.task_resources = {8, 1, 32};
-    p.team = "team";
-    p.partial = partial;
+    model::Progress progress;
+    progress.done += boost::icl::discrete_interval<std::uint32_t>::closed(0, 4);
+    progress.done += 9U;
+    progress.placements = {{5, 7, "m-1"}, {8, 12, "m-22"}};
+    progress.next_attempt = 13;
+    progress.checkpointed_run_s = 61.25;
+    progress.task_resources = {8, 1, 32};
+    progress.team = "team";
+    progress.partial = partial;
     return p;
 }
 
@@ -270,16 +273,16 @@
 std::string print(const records::EntryName& name) {
     return name.job + " part " + std::to_string(name.shard);
 }
-std::string print(const records::Leader& l) {
-    return l.node + " token " + print(l.fencing_token) + " lease " + print(l.lease) + " nonce " +
-           print(l.nonce);
+std::string print(const records::Leader& leader) {
+    return leader.node + " token " + print(leader.fencing_token) + " lease " + print(leader.lease) +
+           " nonce " + print(leader.nonce);
 }
 std::string print(const std::set<std::string>& names) {
     return print(std::vector<std::string>(names.begin(), names.end()));
 }
-std::string print(const model::ProvisioningRequest& r) {
-    return "{" + r.name + " " + r.type + " " + r.zone + " loaner " + print(r.spot) + " count " +
-           std::to_string(r.count) + "}";
+std::string print(const model::ProvisioningRequest& request) {
+    return "{" + request.name + " " + request.type + " " + request.zone + " loaner " + print(request.spot) +
+           " count " + std::to_string(request.count) + "}";
 }
 std::string print(const std::vector<model::ProvisioningRequest>& provisioning_requests) {
     std::string out = "rentals";
@@ -348,12 +351,12 @@
 
 // Returns the body with one field replaced, or removed if `value` is empty.
 std::string with_field(const char* body, const std::string& key, const std::string& value) {
-    auto doc = json::parse(body).as_object();
+    auto object = json::parse(body).as_object();
     if (value.empty())
-        doc.erase(key);
+        object.erase(key);
     else
-        doc[key] = json::parse(value);
-    return json::serialize(doc);
+        object[key] = json::parse(value);
+    return json::serialize(object);
 }
 
 const std::vector<std::string> malformed_bodies{"", "{", "[]", "null", "7", "\"text\"", "{}", "<html>"};
@@ -530,14 +533,14 @@
     golden.put("lease", wire::lease_request(6000));
     golden.put("lease target", wire::lease_target(77));
     golden.put("touch", wire::renew_lease_target(77));
-    wire::Transaction txn;
-    golden.put("empty transaction", wire::commit_request(txn));
-    txn.conditions = {{"pr/a", 0}, {"pr/b", 18446744073709551615ULL}};
-    txn.changes = {{"pr/a", json::object{{"z", 1}, {"a", 2.5}}, std::nullopt},
-                   {"pr/b", std::nullopt, std::nullopt},
-                   {"pr/c", json::array{"x", nullptr, true}, 77},
-                   {"pr/d", json::value(nullptr), std::nullopt}};
-    golden.put("transaction", wire::commit_request(txn));
+    wire::Transaction transaction;
+    golden.put("empty transaction", wire::commit_request(transaction));
+    transaction.conditions = {{"pr/a", 0}, {"pr/b", 18446744073709551615ULL}};
+    transaction.changes = {{"pr/a", json::object{{"z", 1}, {"a", 2.5}}, std::nullopt},
+                           {"pr/b", std::nullopt, std::nullopt},
+                           {"pr/c", json::array{"x", nullptr, true}, 77},
+                           {"pr/d", json::value(nullptr), std::nullopt}};
+    golden.put("transaction", wire::commit_request(transaction));
 }
 
 TEST(Golden, StoreResponses) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -18,12 +18,12 @@
     R"("Together":true,"Spread":false,"Loaners":true,"GuessS":240.0,"NotchS":30.0,"StashS":4.0,"DueS":900.0,"New":[1]})";
 
 std::string with_field(const std::string& key, const std::string& value) {
-    auto doc = boost::json::parse(valid_submission).as_object();
+    auto body = boost::json::parse(valid_submission).as_object();
     if (value.empty())
-        doc.erase(key);
+        body.erase(key);
     else
-        doc[key] = boost::json::parse(value);
-    return boost::json::serialize(doc);
+        body[key] = boost::json::parse(value);
+    return boost::json::serialize(body);
 }
 bool is_accepted(const std::string& body) {
     return wire::parse_submission(body).has_value();
@@ -103,15 +103,15 @@
     case_name<FieldCase>);
 
 TEST(Wire, HeartbeatIsRead) {
-    const auto r = wire::parse_heartbeat(
+    const auto result = wire::parse_heartbeat(
         R"({"Host":"m-1","Address":"10.1.0.2:9000","Breed":"g4","Yard":"a","Loaners":true,"Stint":1,"Tick":88,"Baton":41,"WarningS":null,)"
         R"("Pieces":[{"Piece":"j-000412/3","Try":2,"Status":"running"},{"Piece":"j-000398/0","Try":1,"Status":"ended","Cause":"done"}]})");
-    ASSERT_TRUE(r.has_value());
-    const auto& report = *r;
-    EXPECT_EQ(report.fencing_token, 41U);
-    ASSERT_EQ(report.tasks.size(), 2U);
-    EXPECT_EQ(report.tasks[0].task.index, 3U);
-    EXPECT_EQ(report.tasks[1].cause, model::ExitCause::done);
+    ASSERT_TRUE(result.has_value());
+    const auto& heartbeat = *result;
+    EXPECT_EQ(heartbeat.fencing_token, 41U);
+    ASSERT_EQ(heartbeat.tasks.size(), 2U);
+    EXPECT_EQ(heartbeat.tasks[0].task.index, 3U);
+    EXPECT_EQ(heartbeat.tasks[1].cause, model::ExitCause::done);
 }
 
 class MalformedHeartbeat : public ::testing::TestWithParam<NamedCase<std::string>> {};
