--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -260,7 +260,7 @@
     progress.task_resources = {8, 1, 32};
     progress.team = "team";
     progress.partial = partial;
-    return p;
+    return progress;
 }
 
 std::string print(const records::Segment& segment) {
