--- a/tests/asymmetric_partition_test.cpp
+++ b/tests/asymmetric_partition_test.cpp
@@ -32,8 +32,8 @@
     EXPECT_EQ(simulator.starts, 4);
 }
 
-// A machine that still sends heartbeats in the same agent epoch when its lease would have expired must have
-// received responses again, so it gets tasks again.
+// Without responses, a machine's lease expires and a new agent epoch begins. A machine that still reports the
+// same epoch after that time must have received responses, so it gets tasks again.
 TEST(AsymmetricPartition, HealedMachineIsUsedAgain) {
     StartedLeader simulator("inbound_partition_healed", {"m-1"});
     simulator.run_job(array_job("j-1", 1), "m-1");
--- a/tests/cluster_simulator.hpp
+++ b/tests/cluster_simulator.hpp
@@ -40,8 +40,8 @@
 
     // --- time ---
     void run(double seconds);
-    /// Runs until `tasks` tasks execute, then until the first of them ends; stops waiting 30 s and 60 s after
-    /// the start of the test.
+    /// Runs until `tasks` tasks execute, then until the first of them ends. The first wait ends at the latest
+    /// 30 s after the start of the test, the second 60 s after it.
     void run_until_first_task_ends(std::size_t tasks);
     [[nodiscard]] double now() const;  ///< simulated time in seconds
     /// Adds a line to the trace.
@@ -89,7 +89,7 @@
     struct HeldRequest {
         std::string method, target, body;
     };
-    /// Controllers whose commits are held back, in order, in `held_commits` and get no response.
+    /// Controllers whose commits get no response and are kept, in order, in `held_commits`.
     std::set<int> controllers_with_held_commits;
     std::map<int, std::vector<HeldRequest>> held_commits;
 
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -44,8 +44,8 @@
         note("gone    " + job);
         return now() - start_s;
     }
-    // Checks that each controller reports this status of the job within 75 s. For use when all faults have
-    // ended.
+    // Waits up to 75 s for each controller to report a status of the job, and checks that it is this one. For
+    // use when all faults have ended.
     void expect_status_everywhere(const std::string& job, const std::string& status) {
         for (int n = 0; n < controllers(); ++n) {
             const double start_s = now();
@@ -151,9 +151,9 @@
                                            NamedCase<bool>{"Submission", true}),
                          case_name<NamedCase<bool>>);
 
-// A controller confirms a cancellation, crashes at once and restarts within a second or much later, without
-// any memory of the cancellation. The leader cannot prove that it knows all confirmed cancellations, so the
-// task must stop when its worker's lease expires.
+// A controller confirms a cancellation and crashes at once. It restarts during a store outage, within a
+// second or much later, without any memory of the cancellation. The leader cannot prove that it knows all
+// confirmed cancellations, so the task must stop when its worker's lease expires.
 class ConfirmingControllerCrash : public ::testing::TestWithParam<NamedCase<double>> {};
 
 TEST_P(ConfirmingControllerCrash, CancelledTaskStopsAtLeaseExpiry) {
@@ -335,7 +335,7 @@
         EXPECT_EQ(cluster.submit(0, jobs.back())->status, 201);
     }
     cluster.run_until_first_task_ends(jobs.size());
-    // Pauses in steps of 0.05 s spread the requests around the heartbeats and commits that report the exits.
+    // Pauses that grow by 0.05 s spread the requests around the heartbeats and commits that report the exits.
     for (int n = 0; const auto& id : jobs) {
         const auto reply = cluster.cancel(n % 3, id);
         EXPECT_EQ(reply->status, 200);
@@ -348,8 +348,8 @@
         for (int n = 0; n < 3; ++n) EXPECT_EQ(cluster.cancel(n, id)->status, 200);
 }
 
-// The leader crashes ten times in two minutes and restarts 0.3 s or 3 s later; in the second case some of the
-// crashes happen during a store outage.
+// The leader crashes ten times in two minutes and restarts 0.3 s or 3 s after each crash. In the case
+// WithOutages some of the crashes happen during a store outage.
 class TenFailoversInTwoMinutes : public ::testing::TestWithParam<NamedCase<bool>> {};
 
 TEST_P(TenFailoversInTwoMinutes, KeepTasksAndCancellation) {
@@ -406,8 +406,8 @@
     EXPECT_FALSE(cluster.workers.has_live_task_of(running));
 }
 
-// Duplicates of heartbeats arrive seconds to well over a lease late, including heartbeats of an earlier term,
-// agent epoch or attempt.
+// A duplicate of every heartbeat arrives later, by a few seconds up to well over the length of a lease. Some
+// belong to an earlier term, agent epoch or attempt.
 class DuplicatedHeartbeats : public ::testing::TestWithParam<NamedCase<double>> {};
 
 TEST_P(DuplicatedHeartbeats, AreIgnoredByNewLeader) {
@@ -484,8 +484,8 @@
                                            NamedCase<double>{"ManySeconds", 8.0}),
                          case_name<NamedCase<double>>);
 
-// All controllers crash just after a cancellation, for a moment or for longer than a lease, and one of them
-// restarts before the others.
+// All controllers crash just after a cancellation and stay down for a moment or for longer than a lease. One
+// of them restarts before the others.
 class AllControllersDown : public ::testing::TestWithParam<NamedCase<double>> {};
 
 TEST_P(AllControllersDown, CancellationSurvivesRestart) {
@@ -510,7 +510,7 @@
                                            NamedCase<double>{"LongerThanALease", 50.0}),
                          case_name<NamedCase<double>>);
 
-// The tasks of a job exit far apart, with a failover between the exits.
+// The tasks of a job exit far apart, with failovers between the exits.
 TEST(CombinedFaults, TasksFinishingUnderDifferentLeadersCompleteTheJob) {
     CombinedFaultsCluster cluster("ends_far_apart");
     cluster.workers.task_run_s = {{"j-1/0", 5}, {"j-1/1", 35}, {"j-1/2", 75}};
@@ -619,7 +619,7 @@
 }
 
 // An invalid request is rejected at once, also during a store outage. A request that cannot be decided
-// without the store gets 503, and a repeated request gets the current state of the job.
+// without the store gets 503. A repeated request about a finished job gets the job's status.
 TEST(CombinedFaults, InvalidRequestsDuringAStoreOutage) {
     CombinedFaultsCluster cluster("invalid_requests");
     cluster.workers.task_run_s["j-1/0"] = 5;
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -58,8 +58,9 @@
         if (response->status == 421) stepped_down_after = cluster.now() - partitioned_at;
     }
     cluster.note("report  m-1 at c-" + std::to_string(old_leader) + ": 421");
-    EXPECT_GT(stepped_down_after, 4.0);  // the store may be down for the peers as well
-    // A cancellation confirmed by a peer still takes effect in time (66 - 36 - 4 s).
+    EXPECT_GT(stepped_down_after, 4.0);  // it waits, since the store may be down for the peers as well
+    // Steps down before a cancellation that a peer confirms could take effect too late, which would be after
+    // 26 s: cancel_s (66) less lease_s (36) less the margin of 4 s.
     EXPECT_LT(stepped_down_after, 12.0);
     cluster.run(5);
     const int new_leader = cluster.leader();
@@ -121,7 +122,7 @@
     cluster.run(0.1);
     cluster.controllers_with_held_commits = {old_leader};
     EXPECT_EQ(cluster.submit(other, "j-1")->status, 201);
-    // Until the commit of the placement is in flight.
+    // Waits until the commit of the placement is in flight.
     while (cluster.held_commits[old_leader].empty()) cluster.run(0.01);
     cluster.controllers_with_held_commits.clear();
     cluster.note("freeze  of c-" + std::to_string(old_leader));
@@ -169,7 +170,7 @@
     cluster.note("end     of c-" + std::to_string(first_leader));
     cluster.kill(first_leader);
     const auto leases = cluster.store_request_counts["leases"];
-    // Until one of the others requests a lease.
+    // Waits until one of the others requests a lease.
     while (cluster.store_request_counts["leases"] == leases) cluster.run(0.01);
     cluster.note("freeze  of both others");
     cluster.paused = {candidate, other_candidate};
@@ -229,7 +230,8 @@
     EXPECT_EQ(cluster.submit(candidate, "j-1")->status, 201);
 }
 
-// All controllers share the store's request rate: each limits the reads for its users by their number.
+// All controllers share the request rate that the store allows. Each limits its reads for users to its share,
+// the rate divided by the number of controllers.
 TEST(Controller, ReadsStayWithinTheStoreRateLimit) {
     ClusterSimulator cluster("reads_paced", 5);
     cluster.run(5);
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -123,8 +123,8 @@
     EXPECT_FALSE(graph.deadline_ms(first));
 }
 
-// A reload of the watch cache clears the graph and adds the live jobs again. The outcomes of the jobs that
-// they depend on are kept meanwhile.
+// A reload of the watch cache clears the graph and adds the live jobs again. The graph keeps the outcomes of
+// the jobs that they depend on.
 TEST(DependencyGraph, OutcomesSurviveCacheReload) {
     DependencyGraph graph;
     graph.add(job_depending_on("j-1", {}));
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -78,9 +78,9 @@
     EXPECT_EQ(simulator.starts, 1);
 }
 
-// A job that waits for its dependencies takes up no capacity, no provisioning and no place in the queue. Its
-// wait time counts from the moment it becomes ready, also under a later leader; its deadline counts from its
-// submission.
+// A job that waits for its dependencies takes up no capacity and no place in the queue, and no machines are
+// provisioned for it. Its wait time counts from the moment it becomes ready, also under a later leader; its
+// deadline counts from its submission.
 TEST(Dependencies, WaitTimeCountsFromReadiness) {
     LeaderSimulator simulator("dependency_wait_counts");
     simulator.begin_term();
@@ -179,7 +179,7 @@
     explicit PipelineCluster(const std::string& trace, const ClusterOptions& options = {})
         : ClusterSimulator(trace, 3, options) {
         workers.cloud_capacity = 6;
-        run(5);  // elects a leader, and every controller has heard from its peers
+        run(5);  // until there is a leader and every controller has heard from its peers
     }
     // Submits a job with these dependencies. Returns the HTTP status, or 0 without a response.
     int submit_job(int controller, const std::string& id, const std::vector<std::string>& dependencies = {}) {
@@ -332,7 +332,7 @@
         EXPECT_EQ(cluster.job_status(0, id) == "done", cluster.job_status(1, id + "next") == "done") << id;
 }
 
-// The dependencies ended before every process was restarted, so no controller has them in memory. A list may
+// The dependencies ended before all processes were restarted, so no controller has them in memory. A list may
 // name a job of another team, and a job may be submitted while its dependency is being cancelled.
 TEST(Pipelines, DependenciesEndedBeforeRestartAreResolved) {
     PipelineCluster cluster("pipeline_long_ago");
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -48,7 +48,8 @@
 }
 
 // A failover happens long after provisioning. Running machines that have sent no heartbeat in the new term
-// yet must not be released for that; a machine that is still booting is.
+// yet must not be released for that reason. A machine that is still booting long after its provisioning is
+// released.
 TEST(Failover, ReleasesNoRunningMachine) {
     StartedLeader simulator("failover_keeps_machines", {"m-1"});
     simulator.advance(400);
@@ -69,8 +70,9 @@
 }
 
 // A spot machine is reclaimed between two terms, so that its interruption notice never reaches the new
-// leader. A machine that is still missing from the machine list when the list's lag has passed is gone.
-// Releasing it proves that its tasks have ended, without waiting for the machine to count as silent.
+// leader. A machine with tasks of an earlier term is gone if the machine list lacks it once that list cannot
+// be older than the term. Releasing it proves that its tasks have ended, without waiting for the machine to
+// count as silent.
 TEST(Failover, SpotMachineReclaimedBetweenTwoTermsIsReleased) {
     StartedLeader simulator("reclaimed_between_terms");
     simulator.add_worker("m-1", "g4", "a", true);
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -323,7 +323,7 @@
     }
 }
 
-// Prints what `read` makes of each input that is valid JSON.
+// Prints the result of `read` for each input, or "not JSON".
 template <class Read>
 void put_parsed_values(Golden& golden, const std::string& label, const std::vector<std::string>& inputs,
                        Read read) {
--- a/tests/job_lifecycle_test.cpp
+++ b/tests/job_lifecycle_test.cpp
@@ -28,8 +28,8 @@
     EXPECT_TRUE(simulator.workers.at("m-1").tasks.empty());
 }
 
-// Guards against a start that is sent before its placement is durable: after a failover, a new leader that
-// never read of the placement would start the task a second time.
+// Guards against a start that is sent before its placement is durable: after a failover, the new leader would
+// not find the placement in the store and would start the task a second time.
 TEST(JobLifecycle, StartWaitsForItsCommit) {
     StartedLeader simulator("start_waits_for_commit", {"m-1"});
     simulator.submit(array_job("j-1", 1));
--- a/tests/lease_guard_test.cpp
+++ b/tests/lease_guard_test.cpp
@@ -18,6 +18,7 @@
     // The store may since have failed for all controllers, and then no other controller can lead.
     EXPECT_FALSE(guard.should_step_down(106.1, outage, {{105, 0.5}, {-1, 0}}));
     EXPECT_TRUE(guard.should_step_down(107, {101, 106.95}, {{106, 0.2}, {-1, 0}}));
+    // The store has served neither peer since this controller's outage began: it is down for all controllers.
     EXPECT_FALSE(guard.should_step_down(110, {101, 109.9}, {{109, 9}, {109, 8}}));
     // No peer has responded lately, but the grace period of 4 s lasts until 108.5.
     EXPECT_FALSE(guard.should_step_down(108, {101, 107.9}, {{100, 0.5}, {-1, 0}}));
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -59,8 +59,8 @@
     return limits;
 }
 
-// Guards against users who take every connection. When users and workers shared one limit below the number of
-// machines, a run with half as many machines again left new machines without a connection, and they were
+// Guards against users who take every connection. Users and workers once shared one limit, which was below
+// the number of machines in a run with 1.5 times the usual number: new machines found no connection and were
 // released one after the other.
 TEST(Server, UsersCannotTakeTheConnectionsOfWorkers) {
     ServerWithClients server(small_limits());
@@ -128,7 +128,7 @@
     config::Settings settings;
     settings.max_sockets = 3362;
     settings.peers.resize(2);
-    // The machines of a deployment half as large again.
+    // One socket for every machine of a deployment 1.5 times as large.
     EXPECT_GT(net::allocate_sockets(settings).workers(), 2090U);
 }
 
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -32,7 +32,7 @@
                       static_cast<std::size_t>(simulator.config.max_transaction_changes));
             ++commits, changes += batch->txn.changes.size();
             const auto revision = simulator.store.commit(batch->txn);
-            if (!revision) break;  // a final record: the store holds no record of these jobs
+            if (!revision) break;  // a refused final record: the store has no record of its job
             simulator.leader_state().apply_commit(*batch, *revision, simulator.now, simulator.wall_ms());
         }
         simulator.advance(0.4);
--- a/tests/sched_test.cpp
+++ b/tests/sched_test.cpp
@@ -159,7 +159,8 @@
     EXPECT_TRUE(scheduling::select_preemption(snapshot));
 }
 
-// The protocol's section "Preemption" adds this rule to the design's xfactor rule.
+// The protocol's section "Preemption" adds this rule to the xfactor rule: a job preempts one of equal
+// priority only if its own team stays within its guarantee and the victim's team exceeds its own.
 TEST_F(Scheduler, EqualPriorityIsPreemptedOnlyForATeamGuarantee) {
     add_machine("m-1");
     add_running_gang(gang_job("j-1", 1), "m-1", 1);
