--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-net::Reply to_reply(const AdmissionError& error) {
+net::Response to_error_response(const AdmissionError& error) {
     return {error.status, wire::error_response(error.text), error.retry_after_s, error.close_connection};
 }
 
@@ -79,8 +79,8 @@
         return AdmissionError{AdmissionErrorKind::invalid_dependency, 422,
                               fmt::format("{} names itself in {}", spec.id, wire::dependencies_field)};
     // A controller of an earlier version would ignore the dependencies and start the job immediately.
-    if (!dependencies_.record_format.all_controllers_read_format()) {
-        dependencies_.record_format.record_dependency_request();
+    if (!dependencies_.record_format_tracker.all_controllers_read_format()) {
+        dependencies_.record_format_tracker.record_dependency_request();
         return retry_later_error("a controller of an earlier version still serves");
     }
     return {};
--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -11,7 +11,7 @@
 #include "config/settings.hpp"
 #include "model/model.hpp"
 #include "net/http.hpp"
-#include "peers/record_format.hpp"
+#include "peers/record_format_tracker.hpp"
 #include "store/store_client.hpp"
 #include "store/watch_cache.hpp"
 
@@ -36,7 +36,7 @@
 };
 
 // Returns the HTTP response that reports the error.
-net::Reply to_reply(const AdmissionError& error);
+net::Response to_error_response(const AdmissionError& error);
 
 using AdmissionResult = boost::system::result<void, AdmissionError>;
 
@@ -49,7 +49,7 @@
         store::StoreClient& store;
         store::WatchCache& watch_cache;
         JobLookup& job_lookup;
-        peers::RecordFormat& record_format;
+        peers::RecordFormatTracker& record_format_tracker;
         LoadShedding& load_shedding;
     };
     // Keeps the references.
--- a/src/api/health_check.cpp
+++ b/src/api/health_check.cpp
@@ -8,7 +8,7 @@
                          const peers::PeerDirectory& directory)
     : store_(store), watch_cache_(watch_cache), directory_(directory) {}
 
-net::Reply HealthCheck::check() const {
+net::Response HealthCheck::check() const {
     const bool ready = watch_cache_.ready && watch_cache_.machine_types;
     // During an outage of the store for all controllers, no other controller could serve users better.
     if (ready && (store_.recently_served() || directory_.store_down_for_all(store_.outage())))
--- a/src/api/health_check.hpp
+++ b/src/api/health_check.hpp
@@ -16,7 +16,7 @@
                 const peers::PeerDirectory& directory);
     // Returns 200 if this controller can serve users or no other controller could serve them better, 503
     // otherwise.
-    [[nodiscard]] net::Reply check() const;
+    [[nodiscard]] net::Response check() const;
 
    private:
     const store::StoreClient& store_;
--- a/src/api/load_shedding.cpp
+++ b/src/api/load_shedding.cpp
@@ -6,7 +6,7 @@
 namespace pineroad::api {
 
 namespace c = constants;
-using net::Reply;
+using net::Response;
 
 LoadShedding::LoadShedding(const store::StoreClient& store, const EventLoopLagMonitor& event_loop_lag,
                            std::mt19937_64& random)
@@ -28,15 +28,15 @@
 // A controller that the store does not serve, or that is overloaded, also closes the connection, so that the
 // user's next attempt may reach another controller. An open connection stays with this controller, which
 // would reject all of the user's requests until it has recovered.
-Reply LoadShedding::reject(std::string_view reason) {
+Response LoadShedding::reject(std::string_view reason) {
     return {503, wire::error_response(reason), retry_after_s(), closes_connection()};
 }
 
-Reply LoadShedding::reject_overloaded() {
+Response LoadShedding::reject_overloaded() {
     return {503, wire::error_response("too busy"), retry_after_s(), true};
 }
 
-Reply LoadShedding::reject_no_connection() {
+Response LoadShedding::reject_no_connection() {
     return {503, wire::error_response("no connection is free"), retry_after_s(), true};
 }
 
--- a/src/api/load_shedding.hpp
+++ b/src/api/load_shedding.hpp
@@ -33,13 +33,13 @@
     [[nodiscard]] net::ScopedCount count_poll() { return net::ScopedCount(polls_); }
 
     // Returns a 503 response with Retry-After and the reason.
-    net::Reply reject(std::string_view reason);
+    net::Response reject(std::string_view reason);
     // Returns the rejection used when the store does not respond.
-    net::Reply reject_unavailable() { return reject("state service unavailable"); }
+    net::Response reject_unavailable() { return reject("state service unavailable"); }
     // Returns the rejection used when this controller is overloaded.
-    net::Reply reject_overloaded();
+    net::Response reject_overloaded();
     // Returns the rejection used when the connection limit is reached.
-    net::Reply reject_no_connection();
+    net::Response reject_no_connection();
 
     // Returns a random number of seconds for Retry-After.
     int retry_after_s();
--- a/src/api/router.cpp
+++ b/src/api/router.cpp
@@ -6,7 +6,7 @@
 
 namespace pineroad::api {
 
-using net::Reply;
+using net::Response;
 
 Route parse_route(std::string_view target) {
     std::string_view path = target.substr(0, target.find('?'));
@@ -34,11 +34,11 @@
 Router::Router(UserApi& users, WorkerApi& workers, const HealthCheck& health)
     : users_(users), workers_(workers), health_(health) {}
 
-net::awaitable<Reply> Router::handle(net::Request request) {
+net::awaitable<Response> Router::handle(net::Request request) {
     auto route = parse_route(request.target);
-    if (route.endpoint == Endpoint::none) co_return Reply{404, wire::error_response("no such path")};
+    if (route.endpoint == Endpoint::none) co_return Response{404, wire::error_response("no such path")};
     if (request.method != allowed_method(route.endpoint))
-        co_return Reply{405, wire::error_response("method not allowed")};
+        co_return Response{405, wire::error_response("method not allowed")};
     switch (route.endpoint) {
         case Endpoint::heartbeat:
             co_return co_await workers_.heartbeat(std::move(request.body));
@@ -53,7 +53,7 @@
         case Endpoint::none:
             break;
     }
-    co_return Reply{404, wire::error_response("no such path")};
+    co_return Response{404, wire::error_response("no such path")};
 }
 
 }  // namespace pineroad::api
--- a/src/api/router.hpp
+++ b/src/api/router.hpp
@@ -33,7 +33,7 @@
     Router(UserApi& users, WorkerApi& workers, const HealthCheck& health);
     // Handles a request from a user, a worker or the balancer. Returns 404 for an unknown path and 405 for a
     // wrong method.
-    net::awaitable<net::Reply> handle(net::Request request);
+    net::awaitable<net::Response> handle(net::Request request);
 
    private:
     UserApi& users_;
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -7,36 +7,36 @@
 
 namespace pineroad::api {
 
-using net::Reply;
+using net::Response;
 
 namespace {
 // Maximum number of attempts to cancel a job that is changed concurrently.
 constexpr int max_cancellation_tries = 3;
 }  // namespace
 
-net::awaitable<Reply> UserApi::submit(std::string body) {
+net::awaitable<Response> UserApi::submit(std::string body) {
     const auto parsed = wire::parse_submission(body);
-    if (!parsed) co_return Reply{400, wire::error_response(parsed.error().message())};
+    if (!parsed) co_return Response{400, wire::error_response(parsed.error().message())};
     auto spec = *parsed;
     const std::string id = spec.id;
     auto& watch_cache = dependencies_.watch_cache;
     auto& job_lookup = dependencies_.job_lookup;
     auto& load_shedding = dependencies_.load_shedding;
-    if (const auto outcome = job_lookup.cached_outcome(id)) co_return job_status_reply(id, *outcome);
+    if (const auto outcome = job_lookup.cached_outcome(id)) co_return job_state_response(id, *outcome);
     if (load_shedding.submissions_overloaded()) co_return load_shedding.reject_overloaded();
     if (!watch_cache.ready || !watch_cache.machine_types) co_return load_shedding.reject("not ready");
     const auto in_flight_count = load_shedding.count_submission();
-    if (watch_cache.jobs.contains(id)) co_return job_status_reply(id, co_await job_lookup.look_up(id));
+    if (watch_cache.jobs.contains(id)) co_return job_state_response(id, co_await job_lookup.look_up(id));
     const auto admitted = co_await admit(std::move(spec));
-    if (admitted) co_return Reply{201, wire::job_status_response(id, wire::JobStatus::queued)};
+    if (admitted) co_return Response{201, wire::job_status_response(id, wire::JobStatus::queued)};
     // The job may have been accepted earlier, under other settings or by a controller that knew its
     // dependencies, and such a job stays accepted. The error is therefore returned only if no controller
     // knows the job.
     if (admitted.error().kind == AdmissionErrorKind::acceptance_uncertain)
-        co_return to_reply(admitted.error());
+        co_return to_error_response(admitted.error());
     const auto state = co_await job_lookup.look_up(id);
-    if (state == JobState::unknown) co_return to_reply(admitted.error());
-    co_return job_status_reply(id, state);
+    if (state == JobState::unknown) co_return to_error_response(admitted.error());
+    co_return job_state_response(id, state);
 }
 
 net::awaitable<AdmissionResult> UserApi::admit(model::JobSpec spec) {
@@ -59,40 +59,40 @@
     co_return AdmissionResult{};
 }
 
-net::awaitable<Reply> UserApi::poll(std::string id) {
+net::awaitable<Response> UserApi::poll(std::string id) {
     auto& load_shedding = dependencies_.load_shedding;
-    if (!wire::valid_job_id(id)) co_return job_status_reply(id, JobState::unknown);
+    if (!wire::valid_job_id(id)) co_return job_state_response(id, JobState::unknown);
     if (const auto outcome = dependencies_.job_lookup.cached_outcome(id))
-        co_return job_status_reply(id, *outcome);
+        co_return job_state_response(id, *outcome);
     if (load_shedding.polls_overloaded()) co_return load_shedding.reject_overloaded();
     const auto in_flight_count = load_shedding.count_poll();
-    co_return job_status_reply(id, co_await dependencies_.job_lookup.look_up(id));
+    co_return job_state_response(id, co_await dependencies_.job_lookup.look_up(id));
 }
 
-net::awaitable<Reply> UserApi::cancel(std::string id) {
+net::awaitable<Response> UserApi::cancel(std::string id) {
     auto& job_lookup = dependencies_.job_lookup;
     auto& load_shedding = dependencies_.load_shedding;
-    if (!wire::valid_job_id(id)) co_return job_status_reply(id, JobState::unknown);
-    if (const auto outcome = job_lookup.cached_outcome(id)) co_return job_status_reply(id, *outcome);
+    if (!wire::valid_job_id(id)) co_return job_state_response(id, JobState::unknown);
+    if (const auto outcome = job_lookup.cached_outcome(id)) co_return job_state_response(id, *outcome);
     if (load_shedding.cancellations_overloaded()) co_return load_shedding.reject_overloaded();
     const auto in_flight_count = load_shedding.count_submission();
     for (int tries = 0; tries < max_cancellation_tries; ++tries) {
         const auto state = co_await job_lookup.look_up(id);
-        if (state != JobState::live) co_return job_status_reply(id, state);
+        if (state != JobState::live) co_return job_state_response(id, state);
         const auto& jobs = dependencies_.watch_cache.jobs;
         const auto job = jobs.find(id);
         if (job == jobs.end()) continue;  // the job ended during the look-up
         const auto result = co_await dependencies_.job_writer.cancel(job->second);
         if (result.status == CancellationStatus::cancelled) {
             co_await dependencies_.peers.forward_cancellation(result.revision, id);
-            co_return job_status_reply(id, JobState::cancelled);
+            co_return job_state_response(id, JobState::cancelled);
         }
         if (result.status == CancellationStatus::uncertain) break;
     }
     co_return load_shedding.reject_unavailable();
 }
 
-Reply UserApi::job_status_reply(const std::string& id, JobState state) {
+Response UserApi::job_state_response(const std::string& id, JobState state) {
     switch (state) {
         case JobState::done:
             return {200, wire::job_status_response(id, wire::JobStatus::done)};
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -30,17 +30,17 @@
     explicit UserApi(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
     // Accepts the job in the request body. Idempotent: a repeated submission returns the job's state.
-    net::awaitable<net::Reply> submit(std::string body);
+    net::awaitable<net::Response> submit(std::string body);
     // Returns the job's state.
-    net::awaitable<net::Reply> poll(std::string id);
+    net::awaitable<net::Response> poll(std::string id);
     // Cancels the job if it is live, and returns its state.
-    net::awaitable<net::Reply> cancel(std::string id);
+    net::awaitable<net::Response> cancel(std::string id);
 
    private:
     // Checks the job and accepts it.
     net::awaitable<AdmissionResult> admit(model::JobSpec spec);
     // Returns the response that reports a job's state.
-    [[nodiscard]] net::Reply job_status_reply(const std::string& id, JobState state);
+    [[nodiscard]] net::Response job_state_response(const std::string& id, JobState state);
 
     Dependencies dependencies_;
 };
--- a/src/api/worker_api.cpp
+++ b/src/api/worker_api.cpp
@@ -13,7 +13,7 @@
 namespace pineroad::api {
 
 namespace c = constants;
-using net::Reply;
+using net::Response;
 using store::steady_now_s;
 
 namespace {
@@ -45,9 +45,9 @@
 WorkerApi::WorkerApi(std::string name, const Dependencies& dependencies)
     : name_(std::move(name)), dependencies_(dependencies) {}
 
-net::awaitable<Reply> WorkerApi::heartbeat(std::string body) {
+net::awaitable<Response> WorkerApi::heartbeat(std::string body) {
     const auto parsed = wire::parse_heartbeat(body);
-    if (!parsed) co_return Reply{400, wire::error_response(parsed.error().message())};
+    if (!parsed) co_return Response{400, wire::error_response(parsed.error().message())};
     const auto& heartbeat = *parsed;
     dependencies_.leadership.observe_token(heartbeat.fencing_token, "");
     const auto leader = dependencies_.active_term;
@@ -60,7 +60,7 @@
     // A duplicate of an earlier heartbeat carries no information, not even that the worker is alive. No
     // worker waits for this response, and it carries no commands, so it must not renew a lease.
     if (!cluster_state.apply_heartbeat(heartbeat, steady_now_s()))
-        co_return Reply{503, wire::error_response("an older report")};
+        co_return Response{503, wire::error_response("an older report")};
     dependencies_.peers.record_heartbeat();
     term.plan_due.notify();
     const double deadline = response_deadline(cluster_state, heartbeat, steady_now_s());
@@ -76,21 +76,21 @@
     // If the worker has abandoned this heartbeat and sent another, it does not wait for this response:
     // commands in the response must not count as sent, and a response without them must not renew a lease.
     if (!is_latest(cluster_state, heartbeat))
-        co_return Reply{503, wire::error_response("a newer report came meanwhile")};
+        co_return Response{503, wire::error_response("a newer report came meanwhile")};
     const auto commands =
         cluster_state.commands_for(heartbeat.machine, term.may_start_tasks(), steady_now_s());
-    co_return Reply{200, wire::heartbeat_response(term.fencing_token(), commands)};
+    co_return Response{200, wire::heartbeat_response(term.fencing_token(), commands)};
 }
 
 // The watch cache of a controller that is cut off from the store may hold an old leader, while a peer may
 // have reported a newer one.
-Reply WorkerApi::redirect() const {
+Response WorkerApi::redirect() const {
     const auto& recorded_leader = dependencies_.watch_cache.leader;
     const auto& leadership = dependencies_.leadership;
     const bool current =
         recorded_leader && recorded_leader->value.fencing_token >= leadership.highest_token();
     const auto& leader = current ? recorded_leader->value.node : leadership.known_leader();
-    return Reply{421, wire::redirect_response(leader == name_ ? "" : leader)};
+    return Response{421, wire::redirect_response(leader == name_ ? "" : leader)};
 }
 
 }  // namespace pineroad::api
--- a/src/api/worker_api.hpp
+++ b/src/api/worker_api.hpp
@@ -32,11 +32,11 @@
 
     // Applies the heartbeat in the request body and returns commands. A controller that does not lead returns
     // 421 with the leader's name.
-    net::awaitable<net::Reply> heartbeat(std::string body);
+    net::awaitable<net::Response> heartbeat(std::string body);
 
    private:
     // Returns 421 with the leader's name, if it is known.
-    [[nodiscard]] net::Reply redirect() const;
+    [[nodiscard]] net::Response redirect() const;
 
     const std::string name_;
     const Dependencies dependencies_;
--- a/src/cluster/durable_writes.hpp
+++ b/src/cluster/durable_writes.hpp
@@ -16,7 +16,7 @@
 class DurableWrites {
    public:
     // Everything that the state refers to must outlive this object.
-    explicit DurableWrites(const DurableState& state) : state_(state) {}
+    explicit DurableWrites(const DurableWritesDependencies& dependencies) : dependencies_(dependencies) {}
 
     // Returns whether a batch must be written now.
     [[nodiscard]] bool is_due() const;
@@ -39,7 +39,7 @@
     // Removes a job that is over and has no task left.
     void remove_if_over(const std::string& id);
 
-    DurableState state_;
+    DurableWritesDependencies dependencies_;
     int rejections_ = 0;
     std::vector<std::string> machines_with_durable_starts_;
 };
--- a/src/cluster/planner.cpp
+++ b/src/cluster/planner.cpp
@@ -33,10 +33,10 @@
 }
 
 bool Planner::has_free_capacity(const std::string& id, double now) const {
-    const Machine* machine = std::as_const(state_.machines).find(id);
-    if (!machine || !state_.machines.is_schedulable(*machine, now)) return false;
+    const Machine* machine = std::as_const(dependencies_.machines).find(id);
+    if (!machine || !dependencies_.machines.is_schedulable(*machine, now)) return false;
     if (machine->tasks.empty()) return true;
-    const auto* type = state_.machines.types().find(machine->type);
+    const auto* type = dependencies_.machines.types().find(machine->type);
     if (!type || !smallest_recent_request_) return false;
     auto free = type->capacity;
     for (const auto& [job, task] : machine->tasks) free -= job->progress.task_resources;
@@ -51,14 +51,14 @@
 }
 
 void Planner::place_task(const scheduling::PlacementDecision& decision, double xfactor) {
-    Job& job = state_.jobs.at(decision.job);
+    Job& job = dependencies_.jobs.at(decision.job);
     const bool is_first = job.placements.empty();
     if (!job.is_gang())
         job.latest_attempt = job.progress.next_attempt++;
     else if (is_first)
         job.begin_gang_attempt();
     if (is_first) job.xfactor_at_start = xfactor;
-    state_.jobs.mark_changed(job, decision.index);
+    dependencies_.jobs.mark_changed(job, decision.index);
     TaskPlacement placement;
     placement.index = decision.index;
     placement.attempt = job.latest_attempt;
@@ -66,11 +66,11 @@
     placement.version = job.version;
     spdlog::debug("task {}/{} attempt {} placed on {} (term {})", job.id, placement.index, placement.attempt,
                   placement.machine, context_.fencing_token);
-    state_.task_lifecycle.place(job, std::move(placement));
-    Machine& machine = state_.machines.find_or_add(decision.machine);
+    dependencies_.task_lifecycle.place(job, std::move(placement));
+    Machine& machine = dependencies_.machines.find_or_add(decision.machine);
     machine.idle_since_s = context_.now_s;
-    state_.machines.record_cached_image(machine, *job.spec);
-    state_.pending_changes.request_commit();
+    dependencies_.machines.record_cached_image(machine, *job.spec);
+    dependencies_.pending_changes.request_commit();
 }
 
 // After a failover, preemption waits until the machines have reported: an incomplete snapshot would cause a
@@ -84,25 +84,25 @@
     const auto preemption = scheduling::select_preemption(snapshot);
     if (!preemption) return;
     for (const auto& victim : preemption->victims) {
-        Job& job = state_.jobs.at(victim);
+        Job& job = dependencies_.jobs.at(victim);
         spdlog::info("job {} preempted for {} (term {})", victim, preemption->preemptor,
                      context_.fencing_token);
-        state_.stop_requests.request_all(job, job.spec->checkpoint_save_s + 1);
+        dependencies_.stop_requests.request_all(job, job.spec->checkpoint_save_s + 1);
     }
 }
 
 void Planner::autoscale(scheduling::Snapshot snapshot) {
     add_requested_machines(snapshot);
     const auto autoscaling = scheduling::plan_autoscaling(std::move(snapshot));
-    for (const auto& decision : autoscaling.scale_out) state_.provisioning.scale_out(decision);
-    if (!autoscaling.scale_out.empty()) state_.pending_changes.request_commit();
+    for (const auto& decision : autoscaling.scale_out) dependencies_.provisioning.scale_out(decision);
+    if (!autoscaling.scale_out.empty()) dependencies_.pending_changes.request_commit();
     for (const auto& machine : autoscaling.scale_in) scale_in(machine);
 }
 
 // Open provisioning requests count as capacity that will soon be available, so they are not requested again.
 void Planner::add_requested_machines(scheduling::Snapshot& snapshot) const {
-    for (const auto& request : state_.provisioning.open_requests()) {
-        const auto* type = state_.machines.types().find(request.type);
+    for (const auto& request : dependencies_.provisioning.open_requests()) {
+        const auto* type = dependencies_.machines.types().find(request.type);
         for (std::uint32_t number = 0; type && number < request.count; ++number) {
             scheduling::MachineSnapshot machine;
             machine.id = request.name + "#" + std::to_string(number);
@@ -116,10 +116,10 @@
 
 // An idle machine is kept for the minimum charge period, since releasing it earlier saves nothing.
 void Planner::scale_in(const std::string& id) {
-    Machine& machine = state_.machines.all().at(id);
+    Machine& machine = dependencies_.machines.all().at(id);
     const double age_s = context_.now_s - machine.provisioned_at_s;
     if (age_s > 0 && age_s < c::minimum_charge_s) return;
-    state_.failure_detector.release(machine, ReleaseReason::idle);
+    dependencies_.failure_detector.release(machine, ReleaseReason::idle);
 }
 
 }  // namespace pineroad::cluster
--- a/src/cluster/planner.hpp
+++ b/src/cluster/planner.hpp
@@ -34,10 +34,10 @@
 class Planner {
    public:
     // All arguments, and the objects that `state` refers to, must outlive this object.
-    Planner(const TermContext& context, const PlannerDependencies& state,
+    Planner(const TermContext& context, const PlannerDependencies& dependencies,
             const SnapshotBuilder& snapshot_builder)
         : context_(context),
-          state_(state),
+          dependencies_(dependencies),
           snapshot_builder_(snapshot_builder),
           last_preemption_s_(context.started_at_s) {}
 
@@ -66,7 +66,7 @@
     void scale_in(const std::string& machine);
 
     const TermContext& context_;
-    PlannerDependencies state_;
+    PlannerDependencies dependencies_;
     const SnapshotBuilder& snapshot_builder_;
     std::optional<model::Resources> smallest_recent_request_;  // by CPUs, of recent job classes
     double last_preemption_s_;
--- a/src/cluster/state_loader.cpp
+++ b/src/cluster/state_loader.cpp
@@ -8,21 +8,22 @@
 namespace pineroad::cluster {
 
 void StateLoader::load(const store::WatchCache& watch_cache, double now) {
-    state_.jobs.set_dependencies(watch_cache.dependencies());
-    state_.machines.types().load(watch_cache);
-    state_.averages.load(watch_cache);
-    for (const auto& [id, job] : watch_cache.jobs) state_.jobs.add(job.value, job.mod_revision, now);
+    dependencies_.jobs.set_dependencies(watch_cache.dependencies());
+    dependencies_.machines.types().load(watch_cache);
+    dependencies_.averages.load(watch_cache);
+    for (const auto& [id, job] : watch_cache.jobs) dependencies_.jobs.add(job.value, job.mod_revision, now);
     for (const auto& [name, progress] : watch_cache.progress) load_progress(watch_cache, name, progress);
-    state_.segments.load(watch_cache);
-    state_.provisioning.load(watch_cache);
-    for (const auto& [id, job] : std::as_const(state_.jobs).all()) reconcile_job(state_.jobs.at(id));
+    dependencies_.segments.load(watch_cache);
+    dependencies_.provisioning.load(watch_cache);
+    for (const auto& [id, job] : std::as_const(dependencies_.jobs).all())
+        reconcile_job(dependencies_.jobs.at(id));
     for (const auto& id : watch_cache.dependencies().cancelled())
-        state_.task_lifecycle.cancel_job_by_dependency(id);
+        dependencies_.task_lifecycle.cancel_job_by_dependency(id);
 }
 
 void StateLoader::load_progress(const store::WatchCache& watch_cache, const wire::records::EntryName& name,
                                 const store::WatchCache::Progress& progress) {
-    Job& job = state_.jobs.find_or_add(name.job);
+    Job& job = dependencies_.jobs.find_or_add(name.job);
     const auto& entry = progress.value;
     job.progress.done += entry.done;
     job.progress.next_attempt = std::max(job.progress.next_attempt, entry.next_attempt);
@@ -48,18 +49,18 @@
         placement.attempt = stored.attempt;
         placement.machine = stored.machine;
         placement.presence = Presence::inherited;
-        state_.task_lifecycle.place(job, std::move(placement));
+        dependencies_.task_lifecycle.place(job, std::move(placement));
         job.latest_attempt = std::max(job.latest_attempt, stored.attempt);
     }
 }
 
 void StateLoader::reconcile_job(Job& job) {
     if (!job.spec) {
-        state_.task_lifecycle.cancel_job(job.id);
+        dependencies_.task_lifecycle.cancel_job(job.id);
     } else if (job.complete_if_all_tasks_done()) {
-        state_.jobs.mark_changed(job);
+        dependencies_.jobs.mark_changed(job);
     } else {
-        state_.jobs.resume_sharding(job);
+        dependencies_.jobs.resume_sharding(job);
     }
 }
 
--- a/src/cluster/state_loader.hpp
+++ b/src/cluster/state_loader.hpp
@@ -12,7 +12,7 @@
 namespace pineroad::cluster {
 
 // The parts of the cluster state that a new term restores.
-struct LoadedState {
+struct StateLoaderDependencies {
     JobTable& jobs;
     MachineTable& machines;
     TaskLifecycle& task_lifecycle;
@@ -25,7 +25,7 @@
 class StateLoader {
    public:
     // Everything that the state refers to must outlive this object.
-    explicit StateLoader(const LoadedState& state) : state_(state) {}
+    explicit StateLoader(const StateLoaderDependencies& dependencies) : dependencies_(dependencies) {}
 
     // Loads the whole state. Progress without a job belongs to a cancelled job.
     void load(const store::WatchCache& watch_cache, double now);
@@ -40,7 +40,7 @@
     // Completes what an earlier term left unfinished for the job.
     void reconcile_job(Job& job);
 
-    LoadedState state_;
+    StateLoaderDependencies dependencies_;
 };
 
 }  // namespace pineroad::cluster
--- a/src/cluster/write_batch.hpp
+++ b/src/cluster/write_batch.hpp
@@ -34,7 +34,7 @@
 
 // A compare-and-swap transaction, and its meaning for the cluster state once it is applied.
 struct WriteBatch {
-    wire::Transaction txn;
+    wire::Transaction transaction;
     std::vector<WrittenShard> written_shards;
     std::vector<FinishedJob> finished_jobs;
     std::vector<std::string> removed_jobs;  // have nothing left to write
--- a/src/cluster/write_batch_builder.cpp
+++ b/src/cluster/write_batch_builder.cpp
@@ -34,48 +34,50 @@
     add_segments();
     add_finished_jobs();
     add_category_averages();
-    if (!batch_.txn.changes.empty()) add_leader_condition();
+    if (!batch_.transaction.changes.empty()) add_leader_condition();
     return std::move(batch_);
 }
 
 // --- one change --------------------------------------------------------------------------------------------
 
 bool WriteBatchBuilder::fits(std::size_t changes, std::size_t bytes) const {
-    return batch_.txn.changes.size() + changes <= limits_.changes &&
+    return batch_.transaction.changes.size() + changes <= limits_.changes &&
            bytes_ + bytes <= c::max_transaction_bytes;
 }
 
 void WriteBatchBuilder::put(const std::string& key, wire::Json value, std::uint64_t mod_revision,
                             std::size_t bytes) {
-    batch_.txn.conditions.push_back({key, mod_revision});
-    batch_.txn.changes.push_back({key, std::move(value), std::nullopt});
+    batch_.transaction.conditions.push_back({key, mod_revision});
+    batch_.transaction.changes.push_back({key, std::move(value), std::nullopt});
     bytes_ += bytes;
 }
 
 void WriteBatchBuilder::remove(const std::string& key, std::uint64_t mod_revision) {
-    batch_.txn.conditions.push_back({key, mod_revision});
-    batch_.txn.changes.push_back({key, std::nullopt, std::nullopt});
+    batch_.transaction.conditions.push_back({key, mod_revision});
+    batch_.transaction.changes.push_back({key, std::nullopt, std::nullopt});
     bytes_ += 2 * key.size() + c::removal_overhead_bytes;
 }
 
 void WriteBatchBuilder::add_leader_condition() {
-    batch_.txn.conditions.push_back({std::string(records::leader_key), state_.context.leader_revision});
+    batch_.transaction.conditions.push_back(
+        {std::string(records::leader_key), dependencies_.context.leader_revision});
     spdlog::debug(
         "commit of {} changes ({} allowed): {} segments, {} jobs over, {} provisioning requests; {} jobs "
         "changed",
-        batch_.txn.changes.size(), limits_.changes, batch_.segments.size(), batch_.finished_jobs.size(),
+        batch_.transaction.changes.size(), limits_.changes, batch_.segments.size(),
+        batch_.finished_jobs.size(),
         batch_.provisioning_requests ? batch_.provisioning_requests->open.size() : 0,
-        state_.pending_changes.jobs().size());
+        dependencies_.pending_changes.jobs().size());
 }
 
 // --- records of the whole cluster --------------------------------------------------------------------------
 
 void WriteBatchBuilder::add_machine_types() {
-    const auto& types = state_.machines.types();
+    const auto& types = dependencies_.machines.types();
     if (!types.needs_write()) return;
     auto value = wire::machine_types_json(types.all());
     const auto bytes = boost::json::serialize(value).size() + c::machine_types_overhead_bytes;
-    if (static_cast<double>(bytes) < state_.context.settings.value_kb * 1024)
+    if (static_cast<double>(bytes) < dependencies_.context.settings.value_kb * 1024)
         put(std::string(records::machine_types_key), std::move(value), types.mod_revision(), bytes);
     else
         spdlog::error("{} machine types do not fit one value of the store", types.all().size());
@@ -83,7 +85,7 @@
 }
 
 void WriteBatchBuilder::add_provisioning_requests() {
-    auto pending_record = state_.provisioning.pending_record(limits_.value_bytes);
+    auto pending_record = dependencies_.provisioning.pending_record(limits_.value_bytes);
     if (!pending_record) return;
     put(std::string(records::provisioning_requests_key), pending_record->value, pending_record->mod_revision,
         pending_record->bytes + c::provisioning_overhead_bytes);
@@ -92,8 +94,8 @@
 }
 
 void WriteBatchBuilder::add_category_averages() {
-    const auto& averages = state_.averages;
-    if (!averages.is_write_due(state_.context.now_s) || !fits(1, c::category_averages_bytes)) return;
+    const auto& averages = dependencies_.averages;
+    if (!averages.is_write_due(dependencies_.context.now_s) || !fits(1, c::category_averages_bytes)) return;
     put(std::string(records::category_averages_key), records::category_averages_json(averages.values()),
         averages.mod_revision(), c::category_averages_bytes);
     batch_.has_category_averages = true;
@@ -106,7 +108,7 @@
 // other shards follow in order, and none is skipped for a smaller one.
 void WriteBatchBuilder::add_segments() {
     const bool all_fit = add_changed_shards(true) && add_changed_shards(false);
-    if (!all_fit) state_.pending_changes.request_commit();
+    if (!all_fit) dependencies_.pending_changes.request_commit();
     add_tombstones();
     close_segment();
 }
@@ -124,8 +126,8 @@
 }
 
 bool WriteBatchBuilder::add_changed_shards(bool awaited_by_starts) {
-    for (const auto& id : state_.pending_changes.jobs()) {
-        Job& job = state_.jobs.at(id);
+    for (const auto& id : dependencies_.pending_changes.jobs()) {
+        Job& job = dependencies_.jobs.at(id);
         if (job.phase != JobPhase::active) continue;
         for (const auto& [shard_number, shard] : job.shards) {
             if (!shard.is_changed() || is_awaited_by_starts(job, shard_number, shard) != awaited_by_starts)
@@ -164,7 +166,7 @@
 // written under the limit currently in force until a batch is rejected; then the job waits until it is
 // sharded.
 bool WriteBatchBuilder::fits_value(const records::EntryName& entry, std::size_t bytes) const {
-    const double current_bytes = state_.context.settings.current_value_kb * 1024 * c::value_fill_ratio;
+    const double current_bytes = dependencies_.context.settings.current_value_kb * 1024 * c::value_fill_ratio;
     if (static_cast<double>(bytes) <= limits_.value_bytes) return true;
     if (limits_.current_limits_hold && static_cast<double>(bytes) <= current_bytes) return true;
     spdlog::error("the entry {} of {} bytes does not fit a value of the store", records::entry_name(entry),
@@ -174,7 +176,7 @@
 
 void WriteBatchBuilder::add_tombstones() {
     if (open_segment_entries_.empty()) return;
-    for (const auto& entry : state_.segments.pending_tombstones()) {
+    for (const auto& entry : dependencies_.segments.pending_tombstones()) {
         const auto name = records::entry_name(entry);
         if (static_cast<double>(open_segment_bytes_ + name.size() + c::tombstone_reserve_bytes) >=
             limits_.value_bytes)
@@ -188,10 +190,10 @@
 
 void WriteBatchBuilder::close_segment() {
     if (open_segment_entries_.empty()) return;
-    const auto name = state_.segments.writable_segment(reserved_segments_);
-    const auto sequence = state_.segments.next_sequence();
+    const auto name = dependencies_.segments.writable_segment(reserved_segments_);
+    const auto sequence = dependencies_.segments.next_sequence();
     put(records::segment_key(name), records::segment_json(sequence, std::move(open_segment_)),
-        state_.segments.mod_revision(name), open_segment_bytes_ + c::segment_overhead_bytes);
+        dependencies_.segments.mod_revision(name), open_segment_bytes_ + c::segment_overhead_bytes);
     batch_.segments.push_back({name, sequence, std::move(open_segment_entries_)});
     reserved_segments_.push_back(name);
     open_segment_ = {};
@@ -204,11 +206,11 @@
 // Jobs that are done come first, because others may wait for them. Jobs cancelled by a dependency follow,
 // because all controllers report them as cancelled already.
 void WriteBatchBuilder::add_finished_jobs() {
-    const auto& changed = state_.pending_changes.jobs();
+    const auto& changed = dependencies_.pending_changes.jobs();
     const std::vector<std::string> ids(changed.begin(), changed.end());
     for (const bool cancelled_by_dependency : {false, true})
         for (const auto& id : ids) {
-            Job& job = state_.jobs.at(id);
+            Job& job = dependencies_.jobs.at(id);
             if ((job.phase == JobPhase::cancelled_by_dependency) != cancelled_by_dependency) continue;
             if (!add_finished_job(job)) return;
         }
@@ -219,7 +221,7 @@
         const auto status =
             job.phase == JobPhase::completing ? model::FinalStatus::done : model::FinalStatus::cancelled;
         if (!add_outcome(job, status)) {
-            state_.pending_changes.request_commit();
+            dependencies_.pending_changes.request_commit();
             return false;
         }
     } else if (!job.is_final() || !job.placements.empty()) {
@@ -246,9 +248,9 @@
     // A user's cancellation compares the same revision, so only one of the two can be committed.
     remove(records::job_key(job.id), job.mod_revision);
     for (std::uint32_t record_number = 1; record_number <= dependency_records; ++record_number)
-        batch_.txn.changes.push_back(
+        batch_.transaction.changes.push_back(
             {records::dependencies_key(job.id, record_number), std::nullopt, std::nullopt});
-    const model::JobOutcome outcome{status, std::max<std::int64_t>(state_.context.wall_ms(), 0)};
+    const model::JobOutcome outcome{status, std::max<std::int64_t>(dependencies_.context.wall_ms(), 0)};
     put(records::outcome_key(job.id), records::outcome_json(outcome), 0, c::outcome_bytes);
     batch_.finished_jobs.push_back({job.id, outcome});
     return true;
--- a/src/cluster/write_batch_builder.hpp
+++ b/src/cluster/write_batch_builder.hpp
@@ -21,7 +21,7 @@
 namespace pineroad::cluster {
 
 // The parts of the cluster state that are written to the store.
-struct DurableState {
+struct DurableWritesDependencies {
     const TermContext& context;
     JobTable& jobs;
     MachineTable& machines;
@@ -48,8 +48,8 @@
 class WriteBatchBuilder {
    public:
     // The state must outlive the builder.
-    WriteBatchBuilder(const DurableState& state, const BatchLimits& limits)
-        : state_(state), limits_(limits) {}
+    WriteBatchBuilder(const DurableWritesDependencies& dependencies, const BatchLimits& limits)
+        : dependencies_(dependencies), limits_(limits) {}
 
     // Adds everything that must be written and fits, and returns the batch. A batch without changes means
     // that there is nothing to write, but it may still name jobs that have no record in the store.
@@ -96,7 +96,7 @@
     // Adds a removal of the key, on the condition that it still has this revision.
     void remove(const std::string& key, std::uint64_t mod_revision);
 
-    const DurableState& state_;
+    const DurableWritesDependencies& dependencies_;
     BatchLimits limits_;
     WriteBatch batch_;
     std::size_t bytes_ = 0;
--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -185,9 +185,9 @@
 // Maximum number of stop commands in flight to workers. A round may stop hundreds of tasks, and a machine
 // that hangs occupies its connection until the timeout: even if all of these hang, a gang of 32 still
 // receives its stops within two seconds.
-inline constexpr std::size_t max_inflight_stops = 64;
+inline constexpr std::size_t max_inflight_direct_commands = 64;
 // Maximum number of machines with unsent stop commands; dropped ones are sent in heartbeat responses instead.
-inline constexpr std::size_t max_queued_stops = 4096;
+inline constexpr std::size_t max_queued_direct_commands = 4096;
 // Maximum number of commands in one heartbeat response: a line has at most 64 KiB.
 inline constexpr std::size_t max_commands_per_response = 200;
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -22,42 +22,46 @@
 }
 
 Team read_team(const TomlSection& team) {
-    const auto amount = [&](const char* key) { return team.number(key, 0, max_amount).value_or(0); };
-    return {team.text("name"), amount("cpus"), amount("cpus_max"), amount("gpus"), amount("gpus_max")};
+    const auto amount = [&](const char* key) {
+        return team.read_optional_number(key, 0, max_amount).value_or(0);
+    };
+    return {team.read_text("name"), amount("cpus"), amount("cpus_max"), amount("gpus"), amount("gpus_max")};
 }
 
 Objective read_objective(const TomlSection& objective) {
-    return {parse_objective_kind(objective.text("kind")), objective.text("class"),
-            objective.number("within_s", 0, max_amount), objective.number("share", 0, 1),
-            objective.number("times", 0, max_amount)};
+    return {parse_objective_kind(objective.read_text("kind")), objective.read_text("class"),
+            objective.read_optional_number("within_s", 0, max_amount),
+            objective.read_optional_number("share", 0, 1),
+            objective.read_optional_number("times", 0, max_amount)};
 }
 
 void read_addresses(const TomlSection& root, Settings& settings) {
-    settings.name = root.text("host_name");
-    settings.zone = root.text("site");
-    settings.public_endpoint = root.endpoint("front");
-    settings.peer_endpoint = root.endpoint("mesh_addr");
-    for (const auto& peer : root.tables("peers"))
-        settings.peers.push_back({peer.text("host_name"), peer.text("site"), peer.endpoint("endpoint")});
-    const auto external = root.table("external");
-    settings.cloud_endpoint = external.endpoint("cloud");
-    settings.store_endpoint = external.endpoint("state");
+    settings.name = root.read_text("host_name");
+    settings.zone = root.read_text("site");
+    settings.public_endpoint = root.read_endpoint("front");
+    settings.peer_endpoint = root.read_endpoint("mesh_addr");
+    for (const auto& peer : root.read_tables("peers"))
+        settings.peers.push_back(
+            {peer.read_text("host_name"), peer.read_text("site"), peer.read_endpoint("endpoint")});
+    const auto external = root.read_table("external");
+    settings.cloud_endpoint = external.read_endpoint("cloud");
+    settings.store_endpoint = external.read_endpoint("state");
 }
 
 void read_teams_and_objectives(const TomlSection& params, Settings& settings) {
-    settings.zones = params.texts("zones");
-    settings.max_clock_error_ms = params.number("time_bound_ms", 0, 1e7).value_or(0);
-    for (const auto& team : params.tables("teams")) settings.teams.push_back(read_team(team));
-    for (const auto& objective : params.tables("objectives"))
+    settings.zones = params.read_texts("zones");
+    settings.max_clock_error_ms = params.read_optional_number("time_bound_ms", 0, 1e7).value_or(0);
+    for (const auto& team : params.read_tables("teams")) settings.teams.push_back(read_team(team));
+    for (const auto& objective : params.read_tables("objectives"))
         settings.objectives.push_back(read_objective(objective));
 }
 
 void read_workers(const TomlSection& workers, Settings& settings) {
-    settings.heartbeat_period_s = workers.required_number("report_s", 0.1, 3600);
-    settings.worker_lease_s = workers.required_number("lease_s", 1, max_duration_s);
-    settings.gang_start_timeout_s = workers.required_number("gang_wait_s", 0, max_duration_s);
-    settings.gang_failure_detection_s = workers.required_number("gang_peer_s", 0, max_duration_s);
-    settings.cancellation_timeout_s = workers.required_number("cancel_s", 1, max_duration_s);
+    settings.heartbeat_period_s = workers.read_number("report_s", 0.1, 3600);
+    settings.worker_lease_s = workers.read_number("lease_s", 1, max_duration_s);
+    settings.gang_start_timeout_s = workers.read_number("gang_wait_s", 0, max_duration_s);
+    settings.gang_failure_detection_s = workers.read_number("gang_peer_s", 0, max_duration_s);
+    settings.cancellation_timeout_s = workers.read_number("cancel_s", 1, max_duration_s);
 }
 
 // Lowers a current limit to the announced one, if there is one.
@@ -66,30 +70,30 @@
 }
 
 void read_store_limits(const TomlSection& state, Settings& settings) {
-    settings.store_requests_per_s = state.required_number("rps", 1, max_amount);
-    settings.store_writes_per_s = state.required_number("write_rps", 1, max_amount);
-    settings.value_kb = state.required_number("value_kb", 1, 1e6);
-    double transaction_changes = state.required_number("txn_ops", 4, 1e6);
+    settings.store_requests_per_s = state.read_number("rps", 1, max_amount);
+    settings.store_writes_per_s = state.read_number("write_rps", 1, max_amount);
+    settings.value_kb = state.read_number("value_kb", 1, 1e6);
+    double transaction_changes = state.read_number("txn_ops", 4, 1e6);
     settings.current_value_kb = settings.value_kb;
     if (state.has("next")) {
-        const auto next = state.table("next");
-        lower_to(settings.store_requests_per_s, next.number("rps", 1, max_amount));
-        lower_to(settings.store_writes_per_s, next.number("write_rps", 1, max_amount));
-        lower_to(settings.value_kb, next.number("value_kb", 1, 1e6));
-        lower_to(transaction_changes, next.number("txn_ops", 4, 1e6));
+        const auto next = state.read_table("next");
+        lower_to(settings.store_requests_per_s, next.read_optional_number("rps", 1, max_amount));
+        lower_to(settings.store_writes_per_s, next.read_optional_number("write_rps", 1, max_amount));
+        lower_to(settings.value_kb, next.read_optional_number("value_kb", 1, 1e6));
+        lower_to(transaction_changes, next.read_optional_number("txn_ops", 4, 1e6));
     }
     settings.max_transaction_changes = static_cast<int>(transaction_changes);
 }
 
 void read_cloud(const TomlSection& cloud, Settings& settings) {
-    settings.cloud_requests_per_s = cloud.required_number("rps", 0.1, max_amount);
-    settings.list_lag_s = cloud.required_number("list_lag_s", 0, max_duration_s);
+    settings.cloud_requests_per_s = cloud.read_number("rps", 0.1, max_amount);
+    settings.list_lag_s = cloud.read_number("list_lag_s", 0, max_duration_s);
 }
 
 void read_process_limits(const TomlSection& limits, Settings& settings) {
-    settings.cpu_share = limits.required_number("cpu_share", 0.001, 1024);
-    settings.memory_mb = limits.required_number("memory_mb", 16, 1e9);
-    settings.max_sockets = static_cast<int>(limits.required_number("max_sockets", 32, 1e7));
+    settings.cpu_share = limits.read_number("cpu_share", 0.001, 1024);
+    settings.memory_mb = limits.read_number("memory_mb", 16, 1e9);
+    settings.max_sockets = static_cast<int>(limits.read_number("max_sockets", 32, 1e7));
 }
 
 toml::table parse_document(const std::string& text, const std::string& path) {
@@ -122,12 +126,12 @@
     const TomlSection root(document, "", path);
     Settings settings;
     read_addresses(root, settings);
-    const auto params = root.table("params");
+    const auto params = root.read_table("params");
     read_teams_and_objectives(params, settings);
-    read_workers(params.table("workers"), settings);
-    read_store_limits(params.table("state"), settings);
-    read_cloud(params.table("cloud"), settings);
-    read_process_limits(params.table("limits"), settings);
+    read_workers(params.read_table("workers"), settings);
+    read_store_limits(params.read_table("state"), settings);
+    read_cloud(params.read_table("cloud"), settings);
+    read_process_limits(params.read_table("limits"), settings);
     return settings;
 }
 
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -20,7 +20,7 @@
     std::string host;
     std::uint16_t port = 0;
     // Returns the endpoint as HOST:PORT.
-    [[nodiscard]] std::string text() const { return host + ":" + std::to_string(port); }
+    [[nodiscard]] std::string to_string() const { return host + ":" + std::to_string(port); }
 };
 
 // Another controller of the deployment: an entry of `peers`.
--- a/src/config/toml_section.cpp
+++ b/src/config/toml_section.cpp
@@ -15,13 +15,13 @@
     throw SettingsError(out.str());
 }
 
-std::string TomlSection::text(const std::string& key) const {
+std::string TomlSection::read_text(const std::string& key) const {
     auto value = table_[key].value<std::string>();
     if (!value || value->empty()) fail(key, "a non-empty string is needed");
     return *value;
 }
 
-std::vector<std::string> TomlSection::texts(const std::string& key) const {
+std::vector<std::string> TomlSection::read_texts(const std::string& key) const {
     const auto* array = table_[key].as_array();
     if (!array) fail(key, "an array of strings is needed");
     std::vector<std::string> values;
@@ -33,7 +33,8 @@
     return values;
 }
 
-std::optional<double> TomlSection::number(const std::string& key, double low, double high) const {
+std::optional<double> TomlSection::read_optional_number(const std::string& key, double low,
+                                                        double high) const {
     if (!table_.contains(key)) return std::nullopt;
     auto value = table_[key].is_number() ? table_[key].value<double>() : std::nullopt;
     if (!value || !std::isfinite(*value)) fail(key, "a number is needed");
@@ -45,27 +46,27 @@
     return value;
 }
 
-double TomlSection::required_number(const std::string& key, double low, double high) const {
-    const auto value = number(key, low, high);
+double TomlSection::read_number(const std::string& key, double low, double high) const {
+    const auto value = read_optional_number(key, low, high);
     if (!value) fail(key, "is missing");
     return *value;
 }
 
-Endpoint TomlSection::endpoint(const std::string& key) const {
+Endpoint TomlSection::read_endpoint(const std::string& key) const {
     try {
-        return parse_endpoint(text(key));
+        return parse_endpoint(read_text(key));
     } catch (const std::invalid_argument& error) {
         fail(key, error.what());
     }
 }
 
-TomlSection TomlSection::table(const std::string& key) const {
+TomlSection TomlSection::read_table(const std::string& key) const {
     const auto* table = table_[key].as_table();
     if (!table) fail(key, "a table is needed");
     return {*table, path_ + key + ".", file_};
 }
 
-std::vector<TomlSection> TomlSection::tables(const std::string& key) const {
+std::vector<TomlSection> TomlSection::read_tables(const std::string& key) const {
     if (!has(key)) return {};
     const auto* array = table_[key].as_array();
     if (!array) fail(key, "an array of tables is needed");
--- a/src/config/toml_section.hpp
+++ b/src/config/toml_section.hpp
@@ -25,19 +25,20 @@
     // Returns whether the key exists, with a value of any type.
     [[nodiscard]] bool has(const std::string& key) const { return table_.contains(key); }
     // Returns a string, which must not be empty.
-    [[nodiscard]] std::string text(const std::string& key) const;
+    [[nodiscard]] std::string read_text(const std::string& key) const;
     // Returns an array of strings.
-    [[nodiscard]] std::vector<std::string> texts(const std::string& key) const;
+    [[nodiscard]] std::vector<std::string> read_texts(const std::string& key) const;
     // Returns a number from `low` to `high`, or nothing if the key is missing.
-    [[nodiscard]] std::optional<double> number(const std::string& key, double low, double high) const;
+    [[nodiscard]] std::optional<double> read_optional_number(const std::string& key, double low,
+                                                             double high) const;
     // Returns a number from `low` to `high`; the key is required.
-    [[nodiscard]] double required_number(const std::string& key, double low, double high) const;
+    [[nodiscard]] double read_number(const std::string& key, double low, double high) const;
     // Returns an endpoint, given as HOST:PORT.
-    [[nodiscard]] Endpoint endpoint(const std::string& key) const;
+    [[nodiscard]] Endpoint read_endpoint(const std::string& key) const;
     // Returns a nested table.
-    [[nodiscard]] TomlSection table(const std::string& key) const;
+    [[nodiscard]] TomlSection read_table(const std::string& key) const;
     // Returns the tables of an array; none if the key is missing.
-    [[nodiscard]] std::vector<TomlSection> tables(const std::string& key) const;
+    [[nodiscard]] std::vector<TomlSection> read_tables(const std::string& key) const;
 
    private:
     const toml::table& table_;
--- a/src/controller/cloud_client.cpp
+++ b/src/controller/cloud_client.cpp
@@ -20,8 +20,8 @@
     if (wait_s > 0) co_await net::sleep_for(wait_s);
 }
 
-net::awaitable<std::optional<net::Reply>> CloudClient::request(std::string method, std::string target,
-                                                               std::string body) {
+net::awaitable<std::optional<net::Response>> CloudClient::request(std::string method, std::string target,
+                                                                  std::string body) {
     co_return co_await client_->request(std::move(method), std::move(target), std::move(body),
                                         constants::cloud_timeout_s);
 }
--- a/src/controller/cloud_client.hpp
+++ b/src/controller/cloud_client.hpp
@@ -18,8 +18,8 @@
     net::awaitable<void> wait_for_rate_limit();
     // Returns the response, or nothing if none arrived within cloud_timeout_s. In that case the request may
     // have been executed.
-    net::awaitable<std::optional<net::Reply>> request(std::string method, std::string target,
-                                                      std::string body = {});
+    net::awaitable<std::optional<net::Response>> request(std::string method, std::string target,
+                                                         std::string body = {});
 
    private:
     std::unique_ptr<net::Client> client_;
--- a/src/controller/commit_loop.cpp
+++ b/src/controller/commit_loop.cpp
@@ -64,11 +64,11 @@
 // The outcome of a transaction that got no response is determined before anything else is committed.
 net::awaitable<void> CommitLoop::commit(std::shared_ptr<cluster::LeaderTerm> leader,
                                         const cluster::WriteBatch& batch) {
-    const auto body = wire::commit_request(batch.txn);
+    const auto body = wire::commit_request(batch.transaction);
     bool uncertain = false;  // an earlier copy may have been applied
     while (!leader->term->ended()) {
         const auto result = co_await store_.commit(body, c::commit_timeout_s);
-        leader->write_limiter.record_writes(batch.txn.changes.size());
+        leader->write_limiter.record_writes(batch.transaction.changes.size());
         if (leader->term->ended()) break;
         if (result.status == CommitStatus::no_response) uncertain = true;
         if (co_await handle_result(*leader, batch, result, uncertain) == RetryDecision::done) break;
@@ -123,7 +123,7 @@
             apply(leader, batch, found.revision);
             break;
         case BatchState::not_applied:
-            spdlog::info("commit of {} changes was not applied (term {})", batch.txn.changes.size(),
+            spdlog::info("commit of {} changes was not applied (term {})", batch.transaction.changes.size(),
                          leader.term->fencing_token());
             co_await linearizable_read_.catch_up();
             break;
@@ -137,7 +137,7 @@
 // atomic, so one record is sufficient: if the batch was applied, a record that it wrote holds its value, and
 // a record that it removed (only the leader removes these) is absent.
 net::awaitable<CommitLoop::ReadBackResult> CommitLoop::read_back(const cluster::WriteBatch& batch) {
-    const auto& changes = batch.txn.changes;
+    const auto& changes = batch.transaction.changes;
     const auto written = std::find_if(changes.begin(), changes.end(),
                                       [](const wire::Change& change) { return change.value.has_value(); });
     const auto& probe = written != changes.end() ? *written : changes.front();
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -27,7 +27,7 @@
 #include "net/socket_budget.hpp"
 #include "peers/peer_directory.hpp"
 #include "peers/peer_exchange.hpp"
-#include "peers/record_format.hpp"
+#include "peers/record_format_tracker.hpp"
 #include "store/linearizable_read.hpp"
 #include "store/steady_time.hpp"
 #include "store/store_client.hpp"
@@ -46,7 +46,7 @@
                                              const net::SocketBudget& sockets,
                                              api::LoadShedding& load_shedding) {
     net::HttpServer::Limits limits;
-    limits.connections = sockets.public_api;
+    limits.max_connections = sockets.public_api;
     limits.max_ordinary_connections = sockets.users;
     limits.first_request_timeout_s = c::first_request_timeout_s;
     limits.ordinary_idle_timeout_s = c::user_idle_timeout_s;
@@ -62,7 +62,7 @@
 
 net::HttpServer::Limits peer_server_limits(const net::SocketBudget& sockets) {
     net::HttpServer::Limits limits;
-    limits.connections = sockets.peer_api;
+    limits.max_connections = sockets.peer_api;
     limits.first_request_timeout_s = limits.prioritized_idle_timeout_s = c::first_request_timeout_s;
     return limits;
 }
@@ -93,7 +93,7 @@
     store::WatchLoop watch_loop;
 
     peers::PeerDirectory peer_directory;
-    peers::RecordFormat record_format;
+    peers::RecordFormatTracker record_format_tracker;
     peers::PeerExchange peer_exchange;
 
     api::EventLoopLagMonitor event_loop_lag;
@@ -131,18 +131,18 @@
       linearizable_read(store, watch_cache, leadership),
       watch_loop(store, watch_cache, leadership),
       peer_directory(settings),
-      record_format(settings, watch_cache, peer_directory, own_record_format, started_at),
+      record_format_tracker(settings, watch_cache, peer_directory, own_record_format, started_at),
       peer_exchange(settings.name, started_at,
-                    {store, watch_cache, lease_guard, leadership, peer_directory, record_format},
+                    {store, watch_cache, lease_guard, leadership, peer_directory, record_format_tracker},
                     client_factory),
       leader_loops({io, settings, tuning, client_factory, sockets.direct_commands, store, watch_cache,
-                    linearizable_read, cloud, record_format, event_loop_lag}),
+                    linearizable_read, cloud, record_format_tracker, event_loop_lag}),
       election(settings.name, {store, watch_cache, linearizable_read, lease_guard, leadership, peer_directory,
                                leader_loops, random}),
       load_shedding(store, event_loop_lag, random),
       job_lookup(store, linearizable_read, watch_cache),
       job_writer(settings, store, watch_cache),
-      admission({settings, store, watch_cache, job_lookup, record_format, load_shedding}),
+      admission({settings, store, watch_cache, job_lookup, record_format_tracker, load_shedding}),
       user_api({watch_cache, job_lookup, job_writer, admission, load_shedding, peer_exchange}),
       worker_api(settings.name, {io.get_executor(), watch_cache, leadership, leader_loops.active_term(),
                                  event_loop_lag, peer_exchange}),
@@ -167,7 +167,7 @@
     components_->peer_server.start();
     const auto& settings = components_->settings;
     spdlog::info("{} listens on {} for users and workers, on {} for peers", settings.name,
-                 settings.public_endpoint.text(), settings.peer_endpoint.text());
+                 settings.public_endpoint.to_string(), settings.peer_endpoint.to_string());
     run_loops();
 }
 
@@ -181,11 +181,11 @@
         spawn(io, components_->peer_exchange.run(peer));
 }
 
-net::awaitable<net::Reply> Controller::handle_public_request(net::Request request) {
+net::awaitable<net::Response> Controller::handle_public_request(net::Request request) {
     return components_->router.handle(std::move(request));
 }
 
-net::awaitable<net::Reply> Controller::handle_peer_request(net::Request request) {
+net::awaitable<net::Response> Controller::handle_peer_request(net::Request request) {
     return components_->peer_exchange.handle(std::move(request));
 }
 
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -30,9 +30,9 @@
     // Starts only the loops; requests are passed to handle_public_request() and handle_peer_request().
     void run_loops();
     // Handles a request from a user or a worker.
-    net::awaitable<net::Reply> handle_public_request(net::Request request);
+    net::awaitable<net::Response> handle_public_request(net::Request request);
     // Handles a request from a peer.
-    net::awaitable<net::Reply> handle_peer_request(net::Request request);
+    net::awaitable<net::Response> handle_peer_request(net::Request request);
 
    private:
     // All components of a controller.
--- a/src/controller/direct_command_dispatcher.cpp
+++ b/src/controller/direct_command_dispatcher.cpp
@@ -47,7 +47,7 @@
         else
             queue_.push_back(std::move(queued));
     }
-    while (queue_.size() > c::max_queued_stops) queue_.pop_back();
+    while (queue_.size() > c::max_queued_direct_commands) queue_.pop_back();
     send_queued();
 }
 
@@ -81,11 +81,11 @@
 
 net::awaitable<void> DirectCommandDispatcher::send_to_worker(const cluster::DirectCommands& commands) {
     const auto worker = dependencies_.client_factory(config::parse_endpoint(commands.address));
-    const auto reply = co_await worker->request(
+    const auto response = co_await worker->request(
         "POST", std::string(wire::direct_command_path),
         wire::direct_command_request(term_->fencing_token(), commands.agent_epoch, commands.commands),
         c::direct_command_timeout_s);
-    spdlog::debug("direct commands to {}: {}", commands.machine, reply ? reply->status : 0);
+    spdlog::debug("direct commands to {}: {}", commands.machine, response ? response->status : 0);
 }
 
 }  // namespace pineroad::controller
--- a/src/controller/format_loop.cpp
+++ b/src/controller/format_loop.cpp
@@ -16,18 +16,19 @@
 namespace records = wire::records;
 
 FormatLoop::FormatLoop(store::StoreClient& store, store::LinearizableRead& linearizable_read,
-                       const store::WatchCache& watch_cache, const peers::RecordFormat& record_format)
+                       const store::WatchCache& watch_cache,
+                       const peers::RecordFormatTracker& record_format_tracker)
     : store_(store),
       linearizable_read_(linearizable_read),
       watch_cache_(watch_cache),
-      record_format_(record_format) {}
+      record_format_tracker_(record_format_tracker) {}
 
 // A controller that was upgraded never returns to an earlier version, so the list only grows.
 net::awaitable<void> FormatLoop::run(std::shared_ptr<cluster::LeaderTerm> leader) {
-    if (!record_format_.reads_current_format()) co_return;
+    if (!record_format_tracker_.reads_current_format()) co_return;
     const auto& term = *leader->term;
-    while (!term.ended() && !record_format_.all_controllers_read_format()) {
-        auto readers = record_format_.readers();
+    while (!term.ended() && !record_format_tracker_.all_controllers_read_format()) {
+        auto readers = record_format_tracker_.readers();
         if (term.may_start_tasks() && readers != watch_cache_.record_format_readers.value)
             co_await record_readers(term, std::move(readers));
         co_await net::sleep_for(c::format_check_period_s);
--- a/src/controller/format_loop.hpp
+++ b/src/controller/format_loop.hpp
@@ -7,7 +7,7 @@
 
 #include "cluster/leader_term.hpp"
 #include "net/http.hpp"
-#include "peers/record_format.hpp"
+#include "peers/record_format_tracker.hpp"
 #include "store/linearizable_read.hpp"
 #include "store/store_client.hpp"
 #include "store/watch_cache.hpp"
@@ -19,7 +19,7 @@
    public:
     // All of these must outlive the object.
     FormatLoop(store::StoreClient& store, store::LinearizableRead& linearizable_read,
-               const store::WatchCache& watch_cache, const peers::RecordFormat& record_format);
+               const store::WatchCache& watch_cache, const peers::RecordFormatTracker& record_format_tracker);
     // Runs until all controllers read the format or the term has ended. Returns immediately if this process
     // itself does not read it.
     net::awaitable<void> run(std::shared_ptr<cluster::LeaderTerm> leader);
@@ -31,7 +31,7 @@
     store::StoreClient& store_;
     store::LinearizableRead& linearizable_read_;
     const store::WatchCache& watch_cache_;
-    const peers::RecordFormat& record_format_;
+    const peers::RecordFormatTracker& record_format_tracker_;
 };
 
 }  // namespace pineroad::controller
--- a/src/controller/leader_loops.cpp
+++ b/src/controller/leader_loops.cpp
@@ -15,10 +15,10 @@
     : dependencies_(dependencies),
       commit_loop_(dependencies.settings, dependencies.store, dependencies.linearizable_read,
                    dependencies.watch_cache),
-      planning_loop_(dependencies.settings, dependencies.watch_cache, dependencies.record_format,
+      planning_loop_(dependencies.settings, dependencies.watch_cache, dependencies.record_format_tracker,
                      dependencies.event_loop_lag),
       format_loop_(dependencies.store, dependencies.linearizable_read, dependencies.watch_cache,
-                   dependencies.record_format),
+                   dependencies.record_format_tracker),
       provisioning_loops_(dependencies.cloud) {}
 
 bool LeaderLoops::prepare(const std::shared_ptr<leadership::Term>& term) {
@@ -76,7 +76,7 @@
     auto dispatcher = std::make_shared<DirectCommandDispatcher>(
         leader->term,
         DirectCommandDispatcher::Dependencies{io, dependencies_.client_factory, dependencies_.settings,
-                                              dependencies_.max_direct_commands_in_flight});
+                                              dependencies_.max_inflight_direct_commands});
     spawn(io, commit_loop_.run(leader));
     spawn(io, planning_loop_.run(leader, std::move(dispatcher)));
     spawn(io, provisioning_loops_.poll_machine_list(leader));
@@ -86,7 +86,7 @@
     spawn(io, format_loop_.run(leader));
 }
 
-double LeaderLoops::last_heartbeat() const {
+double LeaderLoops::last_heartbeat_s() const {
     return active_term_->cluster_state.last_heartbeat_s();
 }
 
--- a/src/controller/leader_loops.hpp
+++ b/src/controller/leader_loops.hpp
@@ -20,7 +20,7 @@
 #include "leadership/election.hpp"
 #include "model/model.hpp"
 #include "net/http.hpp"
-#include "peers/record_format.hpp"
+#include "peers/record_format_tracker.hpp"
 #include "store/linearizable_read.hpp"
 #include "store/store_client.hpp"
 #include "store/watch_cache.hpp"
@@ -36,12 +36,12 @@
         const config::Settings& settings;
         const config::Tuning& tuning;
         const net::ClientFactory& client_factory;
-        std::size_t max_direct_commands_in_flight;
+        std::size_t max_inflight_direct_commands;
         store::StoreClient& store;
         store::WatchCache& watch_cache;
         store::LinearizableRead& linearizable_read;
         CloudClient& cloud;
-        const peers::RecordFormat& record_format;
+        const peers::RecordFormatTracker& record_format_tracker;
         const api::EventLoopLagMonitor& event_loop_lag;
     };
     // Constructs the loops without starting them.
@@ -56,7 +56,7 @@
     // Spawns the loops.
     void start_term() override;
     // Returns when the latest heartbeat was applied (seconds, steady clock).
-    [[nodiscard]] double last_heartbeat() const override;
+    [[nodiscard]] double last_heartbeat_s() const override;
     // Detaches the cluster state from the watch cache. The loops return by themselves once the term has
     // ended.
     void end_term() override;
--- a/src/controller/planning_loop.cpp
+++ b/src/controller/planning_loop.cpp
@@ -12,11 +12,11 @@
 using store::steady_now_s;
 
 PlanningLoop::PlanningLoop(const config::Settings& settings, const store::WatchCache& watch_cache,
-                           const peers::RecordFormat& record_format,
+                           const peers::RecordFormatTracker& record_format_tracker,
                            const api::EventLoopLagMonitor& event_loop_lag)
     : settings_(settings),
       watch_cache_(watch_cache),
-      record_format_(record_format),
+      record_format_tracker_(record_format_tracker),
       event_loop_lag_(event_loop_lag) {}
 
 // One round covers all heartbeats since the previous round: with one round per heartbeat, hundreds of
@@ -36,7 +36,7 @@
                         bool& lease_was_provable) {
     auto& term = *leader.term;
     auto& cluster_state = leader.cluster_state;
-    if (record_format_.all_controllers_read_format()) cluster_state.allow_sharding();
+    if (record_format_tracker_.all_controllers_read_format()) cluster_state.allow_sharding();
     if (term.may_start_tasks()) {
         // Without a valid lease this leader may have been partitioned: the silence of a machine during that
         // time does not indicate that the machine has failed.
--- a/src/controller/planning_loop.hpp
+++ b/src/controller/planning_loop.hpp
@@ -8,7 +8,7 @@
 #include "config/settings.hpp"
 #include "controller/direct_command_dispatcher.hpp"
 #include "net/http.hpp"
-#include "peers/record_format.hpp"
+#include "peers/record_format_tracker.hpp"
 #include "store/watch_cache.hpp"
 
 namespace pineroad::controller {
@@ -18,7 +18,8 @@
    public:
     // All of these must outlive the object.
     PlanningLoop(const config::Settings& settings, const store::WatchCache& watch_cache,
-                 const peers::RecordFormat& record_format, const api::EventLoopLagMonitor& event_loop_lag);
+                 const peers::RecordFormatTracker& record_format_tracker,
+                 const api::EventLoopLagMonitor& event_loop_lag);
     // Runs planning rounds until the term has ended.
     net::awaitable<void> run(std::shared_ptr<cluster::LeaderTerm> leader,
                              std::shared_ptr<DirectCommandDispatcher> dispatcher);
@@ -30,7 +31,7 @@
 
     const config::Settings& settings_;
     const store::WatchCache& watch_cache_;
-    const peers::RecordFormat& record_format_;
+    const peers::RecordFormatTracker& record_format_tracker_;
     const api::EventLoopLagMonitor& event_loop_lag_;
 };
 
--- a/src/controller/provisioning_loops.cpp
+++ b/src/controller/provisioning_loops.cpp
@@ -23,9 +23,9 @@
 
 // Returns whether the cloud will not provide these machines, because it has no capacity or the request is
 // malformed.
-bool is_refusal(const net::Reply& reply) {
-    const bool no_capacity = reply.status == 503 && reply.body.find("no capacity") != std::string::npos;
-    return no_capacity || reply.status == 400;
+bool is_refusal(const net::Response& response) {
+    const bool no_capacity = response.status == 503 && response.body.find("no capacity") != std::string::npos;
+    return no_capacity || response.status == 400;
 }
 
 }  // namespace
@@ -34,9 +34,10 @@
     auto& term = *leader->term;
     while (!term.ended()) {
         co_await cloud_.wait_for_rate_limit();
-        const auto reply = co_await cloud_.request("GET", std::string(wire::machine_types_path));
+        const auto response = co_await cloud_.request("GET", std::string(wire::machine_types_path));
         if (term.ended()) break;
-        const auto document = reply && reply->status == 200 ? wire::parse_json(reply->body) : std::nullopt;
+        const auto document =
+            response && response->status == 200 ? wire::parse_json(response->body) : std::nullopt;
         const auto types = document ? wire::parse_machine_types(*document) : std::nullopt;
         if (types && leader->cluster_state.set_machine_types(*types)) {
             spdlog::info("loaded {} machine types", types->size());
@@ -61,10 +62,10 @@
     std::string after;
     for (bool more = true; more && !term.ended();) {
         co_await cloud_.wait_for_rate_limit();
-        const auto reply =
+        const auto response =
             co_await cloud_.request("GET", wire::machine_list_target(after, machines_per_page));
         const auto page =
-            reply && reply->status == 200 ? wire::parse_machine_list(reply->body) : std::nullopt;
+            response && response->status == 200 ? wire::parse_machine_list(response->body) : std::nullopt;
         if (!page) co_return std::nullopt;
         more = page->truncated && !page->machines.empty();
         if (more) after = page->machines.back().id;
@@ -87,14 +88,15 @@
         const auto request =
             term.may_start_tasks() ? cluster_state.next_provisioning_request() : std::nullopt;
         if (!request) continue;
-        const auto reply = co_await cloud_.request("POST", std::string(wire::machines_path),
-                                                   wire::provisioning_request(*request));
+        const auto response = co_await cloud_.request("POST", std::string(wire::machines_path),
+                                                      wire::provisioning_request(*request));
         if (term.ended()) break;
-        const auto machines =
-            reply && reply->status == 200 ? wire::parse_provisioned_machines(reply->body) : std::nullopt;
+        const auto machines = response && response->status == 200
+                                  ? wire::parse_provisioned_machines(response->body)
+                                  : std::nullopt;
         if (machines) {
             cluster_state.machines_provisioned(request->name, *machines, steady_now_s());
-        } else if (reply && is_refusal(*reply)) {
+        } else if (response && is_refusal(*response)) {
             cluster_state.provisioning_refused(request->name, steady_now_s());
         } else {
             // No response, 429 or an outage: retry under the same name, for which the cloud provides machines
@@ -120,10 +122,10 @@
         const auto machines = term.may_start_tasks() ? cluster_state.machines_to_release(steady_now_s())
                                                      : std::vector<std::string>{};
         if (machines.empty()) continue;
-        const auto reply =
+        const auto response =
             co_await cloud_.request("POST", std::string(wire::release_path), wire::release_request(machines));
         if (term.ended()) break;
-        if (reply && reply->status == 200) {
+        if (response && response->status == 200) {
             cluster_state.machines_released(machines, steady_now_s());
             term.plan_due.notify();
         } else {
--- a/src/leadership/election.cpp
+++ b/src/leadership/election.cpp
@@ -138,12 +138,13 @@
 net::awaitable<void> Election::renew_lease(std::shared_ptr<Term> term) {
     while (!term->ended()) {
         const double sent_at = steady_now_s();
-        const auto reply = co_await store_.request("POST", wire::renew_lease_target(term->identity().lease));
+        const auto response =
+            co_await store_.request("POST", wire::renew_lease_target(term->identity().lease));
         if (term->ended()) break;
-        const bool renewed = reply && reply->status == 200;
+        const bool renewed = response && response->status == 200;
         if (renewed) {
             lease_guard_.lease_renewed(sent_at);
-        } else if (reply && reply->status == 404) {
+        } else if (response && response->status == 404) {
             term->end(EndReason::lease_expired);
             break;
         }
@@ -158,11 +159,10 @@
 
 std::optional<EndReason> Election::step_down_reason(const Term& term) const {
     const double now = steady_now_s();
-    if (lease_guard_.should_step_down(now, store_.outage(), peers_.store_contacts()))
-        return EndReason::isolated;
+    if (lease_guard_.is_isolated(now, store_.outage(), peers_.store_contacts())) return EndReason::isolated;
     // If workers reach a peer but not this controller, that peer should lead.
     const bool without_heartbeats = now - term.started_at() > c::no_heartbeat_step_down_s &&
-                                    leader_delegate_.last_heartbeat() < now - c::no_heartbeat_step_down_s;
+                                    leader_delegate_.last_heartbeat_s() < now - c::no_heartbeat_step_down_s;
     if (without_heartbeats && peers_.heartbeats_reach_peer()) return EndReason::no_heartbeats;
     return std::nullopt;
 }
--- a/src/leadership/election.hpp
+++ b/src/leadership/election.hpp
@@ -39,7 +39,7 @@
     // Starts the loops of the prepared term.
     virtual void start_term() = 0;
     // Returns when the latest heartbeat of the current term was applied (seconds, steady clock).
-    [[nodiscard]] virtual double last_heartbeat() const = 0;
+    [[nodiscard]] virtual double last_heartbeat_s() const = 0;
     // Called when the term has ended or its preparation has failed.
     virtual void end_term() = 0;
 };
--- a/src/leadership/lease_guard.cpp
+++ b/src/leadership/lease_guard.cpp
@@ -56,8 +56,8 @@
 // expiry proves nothing: if the store refuses first the leader and then everybody, the lease is still valid
 // in the store and nobody else can lead. In the operators' day-long test a leader ended its term 3 s into
 // such an outage, and thousands of tasks were stopped when their workers' leases expired.
-bool LeaseGuard::should_step_down(double now, const store::StoreOutage& own_outage,
-                                  const std::vector<PeerStoreContact>& peers) const {
+bool LeaseGuard::is_isolated(double now, const store::StoreOutage& own_outage,
+                             const std::vector<PeerStoreContact>& peers) const {
     if (peers.empty() || now < lease_valid_until_) return false;
     bool any_peer_responds = false;
     for (const auto& peer : peers) {
--- a/src/leadership/lease_guard.hpp
+++ b/src/leadership/lease_guard.hpp
@@ -46,8 +46,8 @@
                                                 const PeerStoreContact& peer);
     // Returns whether a leader whose lease may have expired should end its term, so that its workers find the
     // next leader.
-    [[nodiscard]] bool should_step_down(double now, const store::StoreOutage& own_outage,
-                                        const std::vector<PeerStoreContact>& peers) const;
+    [[nodiscard]] bool is_isolated(double now, const store::StoreOutage& own_outage,
+                                   const std::vector<PeerStoreContact>& peers) const;
     // Returns whether the leader may start tasks and do everything else that requires the lease.
     [[nodiscard]] bool may_start_tasks(double now) const;
     // Returns whether heartbeats may be answered; each response extends the lease of a worker.
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -20,7 +20,7 @@
 };
 
 // The response to a request, sent or received by this process.
-struct Reply {
+struct Response {
     int status = 0;
     std::string body;
     int retry_after_s = 0;   // 0: no Retry-After header
@@ -34,8 +34,8 @@
     virtual ~Client() = default;
     // Sends a request and returns the response. Returns std::nullopt if none was received; the outcome is
     // then unknown: the request may have been executed, may be executed later, or may never be.
-    virtual awaitable<std::optional<Reply>> request(std::string method, std::string target, std::string body,
-                                                    double timeout_s) = 0;
+    virtual awaitable<std::optional<Response>> request(std::string method, std::string target,
+                                                       std::string body, double timeout_s) = 0;
 };
 
 // Creates a client of an endpoint. Tests supply clients of simulated endpoints.
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -98,7 +98,7 @@
         http_request.version(11);
         http_request.method_string(method);
         http_request.target(target);
-        http_request.set(http::field::host, endpoint.text());
+        http_request.set(http::field::host, endpoint.to_string());
         if (!body.empty()) http_request.set(http::field::content_type, "application/json");
         http_request.body() = std::move(body);
         http_request.prepare_payload();
@@ -107,8 +107,8 @@
 
     // Sends the request and reads the response. A connection that can be reused is moved to the idle
     // connections.
-    awaitable<std::optional<Reply>> exchange(Stream& stream, const HttpRequest& http_request,
-                                             SteadyClock::time_point deadline) {
+    awaitable<std::optional<Response>> exchange(Stream& stream, const HttpRequest& http_request,
+                                                SteadyClock::time_point deadline) {
         stream->expires_at(deadline);
         auto [write_error, written] =
             co_await http::async_write(*stream, http_request, use_nothrow_awaitable);
@@ -120,23 +120,23 @@
         http::response_parser<http::string_body> parser;
         parser.body_limit(max_body_bytes);
         auto [read_error, read] = co_await http::async_read(*stream, buffer, parser, use_nothrow_awaitable);
-        Reply reply;
+        Response response;
         if (read_error == http::error::body_limit) {
-            reply.status = static_cast<int>(parser.get().result_int());
-            reply.too_large = true;
-            co_return reply;
+            response.status = static_cast<int>(parser.get().result_int());
+            response.too_large = true;
+            co_return response;
         }
         if (read_error) {
             close_idle_connections();
             co_return std::nullopt;
         }
-        auto response = parser.release();
-        reply.status = static_cast<int>(response.result_int());
-        reply.body = std::move(response.body());
+        auto http_response = parser.release();
+        response.status = static_cast<int>(http_response.result_int());
+        response.body = std::move(http_response.body());
         const bool reusable =
-            response.keep_alive() && idle_connections.size() < constants::max_connections_per_endpoint;
+            http_response.keep_alive() && idle_connections.size() < constants::max_connections_per_endpoint;
         if (reusable) keep_idle_connection(std::move(stream));
-        co_return reply;
+        co_return response;
     }
 };
 
@@ -144,8 +144,8 @@
     : state_(std::make_shared<State>(
           State{std::move(executor), std::move(endpoint), max_body_bytes, {}, 0, {}})) {}
 
-awaitable<std::optional<Reply>> HttpClient::request(std::string method, std::string target, std::string body,
-                                                    double timeout_s) {
+awaitable<std::optional<Response>> HttpClient::request(std::string method, std::string target,
+                                                       std::string body, double timeout_s) {
     const auto state = state_;
     const auto deadline = SteadyClock::now() + seconds(timeout_s);
     const bool may_connect = co_await state->wait_for_permit(deadline);
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -20,8 +20,8 @@
 
     // Also returns std::nullopt for a request that was not sent, because the queue was full, no connection
     // became free in time, or none could be opened.
-    awaitable<std::optional<Reply>> request(std::string method, std::string target, std::string body,
-                                            double timeout_s) override;
+    awaitable<std::optional<Response>> request(std::string method, std::string target, std::string body,
+                                               double timeout_s) override;
 
    private:
     struct State;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -33,14 +33,15 @@
 
 using HttpResponse = http::response<http::string_body>;
 
-HttpResponse to_http_response(Reply reply, bool keep_alive) {
-    HttpResponse response{static_cast<http::status>(reply.status), 11};
-    response.set(http::field::content_type, "application/json");
-    if (reply.retry_after_s > 0) response.set(http::field::retry_after, std::to_string(reply.retry_after_s));
-    response.body() = std::move(reply.body);
-    response.keep_alive(keep_alive && !reply.close);
-    response.prepare_payload();
-    return response;
+HttpResponse to_http_response(Response response, bool keep_alive) {
+    HttpResponse http_response{static_cast<http::status>(response.status), 11};
+    http_response.set(http::field::content_type, "application/json");
+    if (response.retry_after_s > 0)
+        http_response.set(http::field::retry_after, std::to_string(response.retry_after_s));
+    http_response.body() = std::move(response.body);
+    http_response.keep_alive(keep_alive && !response.close);
+    http_response.prepare_payload();
+    return http_response;
 }
 
 // Returns whether the error is a parse error, which is reported to the client. If the client closed the
@@ -56,9 +57,9 @@
     const bool body_too_large = error == http::error::body_limit;
     const char* const body =
         body_too_large ? R"({"error":"body too large"})" : R"({"error":"malformed request"})";
-    Reply reply{400, body, 0, true};
-    const auto response = to_http_response(std::move(reply), false);
-    co_await http::async_write(stream, response, use_nothrow_awaitable);
+    Response response{400, body, 0, true};
+    const auto http_response = to_http_response(std::move(response), false);
+    co_await http::async_write(stream, http_response, use_nothrow_awaitable);
 }
 
 // Tracks whether a connection is prioritized or ordinary, and counts it while it is ordinary.
@@ -127,16 +128,17 @@
         // Named because GCC 12 destroys a braced temporary inside a co_await expression twice.
         Request request{std::string(http_request.method_string()), std::string(http_request.target()),
                         std::move(http_request.body())};
-        Reply reply;
+        Response response;
         if (connection_class.admit(request.target)) {
-            reply = co_await handler(std::move(request));
+            response = co_await handler(std::move(request));
         } else {
-            reply = limits.make_rejection();
+            response = limits.make_rejection();
         }
-        auto response = to_http_response(std::move(reply), keep_alive);
-        const bool keep_open = response.keep_alive();
+        auto http_response = to_http_response(std::move(response), keep_alive);
+        const bool keep_open = http_response.keep_alive();
         stream.expires_after(seconds(constants::write_timeout_s));
-        auto [write_error, written] = co_await http::async_write(stream, response, use_nothrow_awaitable);
+        auto [write_error, written] =
+            co_await http::async_write(stream, http_response, use_nothrow_awaitable);
         if (write_error || !keep_open) break;
     }
     stream.socket().shutdown(tcp::socket::shutdown_both, ignored);
@@ -166,11 +168,11 @@
     for (;;) {
         auto [error, socket] = co_await state->acceptor.async_accept(use_nothrow_awaitable);
         if (error) {
-            spdlog::warn("accept on {} failed: {}", state->endpoint.text(), error.message());
+            spdlog::warn("accept on {} failed: {}", state->endpoint.to_string(), error.message());
             co_await sleep_for(constants::accept_retry_s);
             continue;
         }
-        if (state->connections >= state->limits.connections) {
+        if (state->connections >= state->limits.max_connections) {
             // Closed immediately instead of queued, so that the load balancer tries another controller.
             boost::system::error_code ignored;
             socket.close(ignored);
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -17,12 +17,12 @@
 class HttpServer {
    public:
     // Handles a request and returns the response. An exception closes the connection.
-    using Handler = std::function<awaitable<Reply>(Request)>;
+    using Handler = std::function<awaitable<Response>(Request)>;
 
     // Limits of the connections. Connections belong to one of two classes, prioritized or ordinary, depending
     // on their latest request. The separate limit of ordinary ones leaves room for prioritized ones.
     struct Limits {
-        std::size_t connections = 0;  // in total, including those without a request so far
+        std::size_t max_connections = 0;  // in total, including those without a request so far
         std::size_t max_ordinary_connections = SIZE_MAX;  // maximum of the ordinary ones among these
         // Longest time to wait for the first request of a connection, and then for the next one, depending on
         // the class of the latest. The connection is closed afterwards.
@@ -32,7 +32,7 @@
             return true;
         };
         // Returns the response to an ordinary request over the limit.
-        std::function<Reply()> make_rejection = [] { return Reply{503, {}, 1, true}; };
+        std::function<Response()> make_rejection = [] { return Response{503, {}, 1, true}; };
     };
 
     // Does not bind yet. Port 0 selects any free port.
--- a/src/peers/peer_exchange.cpp
+++ b/src/peers/peer_exchange.cpp
@@ -9,7 +9,7 @@
 namespace pineroad::peers {
 
 namespace c = constants;
-using net::Reply;
+using net::Response;
 using store::steady_now_s;
 
 PeerExchange::PeerExchange(std::string name, double started_at, const Dependencies& dependencies,
@@ -21,13 +21,13 @@
       lease_guard_(dependencies.lease_guard),
       leadership_(dependencies.leadership),
       directory_(dependencies.directory),
-      record_format_(dependencies.record_format) {
+      record_format_tracker_(dependencies.record_format_tracker) {
     for (std::size_t i = 0; i < directory_.size(); ++i)
         clients_.push_back(client_factory(directory_.peer(i).endpoint));
 }
 
 void PeerExchange::record_heartbeat() {
-    last_heartbeat_ = steady_now_s();
+    last_heartbeat_s_ = steady_now_s();
 }
 
 wire::PeerMessage PeerExchange::own_message() const {
@@ -43,39 +43,39 @@
     message.leader = leadership_.known_leader();
     message.uptime_ms = age_ms(started_at_);
     message.store_contact_age_ms = age_ms(store_.last_contact_s());
-    message.heartbeat_age_ms = age_ms(last_heartbeat_);
+    message.heartbeat_age_ms = age_ms(last_heartbeat_s_);
     message.revision = watch_cache_.ready ? watch_cache_.revision : 0;
-    message.record_format = record_format_.own_format();
-    message.dependencies_requested = record_format_.dependencies_requested();
+    message.record_format = record_format_tracker_.own_format();
+    message.dependencies_requested = record_format_tracker_.dependencies_requested();
     return message;
 }
 
-net::awaitable<Reply> PeerExchange::handle(net::Request request) {
-    if (request.target != wire::peer_message_path) co_return Reply{404, {}};
-    if (request.method != "POST") co_return Reply{405, {}};
+net::awaitable<Response> PeerExchange::handle(net::Request request) {
+    if (request.target != wire::peer_message_path) co_return Response{404, {}};
+    if (request.method != "POST") co_return Response{405, {}};
     const auto message = wire::parse_peer_message(request.body);
-    if (!message) co_return Reply{400, {}};
+    if (!message) co_return Response{400, {}};
     // The request may have been delayed in transit: use only information that cannot become outdated.
     leadership_.observe_token(message->fencing_token, message->leader);
     record_cancellations(*message);
-    if (message->dependencies_requested) record_format_.record_dependency_request();
+    if (message->dependencies_requested) record_format_tracker_.record_dependency_request();
     directory_.record_request(*message);
     auto response = own_message();
     if (auto cancellations = watch_cache_.cancellations().entries_after(message->revision)) {
         response.confirms_cancellations = true;
         response.cancelled = std::move(*cancellations);
     }
-    co_return Reply{200, wire::encode_peer_message(response)};
+    co_return Response{200, wire::encode_peer_message(response)};
 }
 
 net::awaitable<void> PeerExchange::run(std::size_t peer) {
     for (;;) {
         const double sent_at = steady_now_s();
-        const auto reply = co_await clients_[peer]->request("POST", std::string(wire::peer_message_path),
-                                                            wire::encode_peer_message(own_message()),
-                                                            c::peer_message_timeout_s);
-        if (reply && reply->status == 200)
-            if (auto response = wire::parse_peer_message(reply->body))
+        const auto http_response = co_await clients_[peer]->request(
+            "POST", std::string(wire::peer_message_path), wire::encode_peer_message(own_message()),
+            c::peer_message_timeout_s);
+        if (http_response && http_response->status == 200)
+            if (auto response = wire::parse_peer_message(http_response->body))
                 apply_response(peer, sent_at, std::move(*response));
         co_await net::sleep_for(c::peer_message_period_s);
     }
@@ -106,7 +106,7 @@
 void PeerExchange::apply_response(std::size_t peer, double sent_at, wire::PeerMessage response) {
     leadership_.observe_token(response.fencing_token, response.leader);
     record_cancellations(response);
-    if (response.dependencies_requested) record_format_.record_dependency_request();
+    if (response.dependencies_requested) record_format_tracker_.record_dependency_request();
     directory_.record_response(peer, sent_at, std::move(response));
     lease_guard_.apply_peer_confirmations(directory_.confirmations());
 }
--- a/src/peers/peer_exchange.hpp
+++ b/src/peers/peer_exchange.hpp
@@ -12,7 +12,7 @@
 #include "leadership/lease_guard.hpp"
 #include "net/http.hpp"
 #include "peers/peer_directory.hpp"
-#include "peers/record_format.hpp"
+#include "peers/record_format_tracker.hpp"
 #include "store/store_client.hpp"
 #include "store/watch_cache.hpp"
 #include "wire/peer_protocol.hpp"
@@ -29,7 +29,7 @@
         leadership::LeaseGuard& lease_guard;
         leadership::LeadershipState& leadership;
         PeerDirectory& directory;
-        RecordFormat& record_format;
+        RecordFormatTracker& record_format_tracker;
     };
     // `name` is this controller's name in the settings, `started_at` is when the process started (seconds,
     // steady clock).
@@ -37,7 +37,7 @@
                  const net::ClientFactory& client_factory);
 
     // Handles a peer's request and returns the response.
-    net::awaitable<net::Reply> handle(net::Request request);
+    net::awaitable<net::Response> handle(net::Request request);
     // Sends a message to one peer every peer_message_period_s. Never returns.
     net::awaitable<void> run(std::size_t peer);
     // Tells the leader about a cancellation committed at `revision` before it is confirmed to the user.
@@ -60,9 +60,9 @@
     leadership::LeaseGuard& lease_guard_;
     leadership::LeadershipState& leadership_;
     PeerDirectory& directory_;
-    RecordFormat& record_format_;
+    RecordFormatTracker& record_format_tracker_;
     std::vector<std::unique_ptr<net::Client>> clients_;  // in the directory's order
-    double last_heartbeat_ = -1;
+    double last_heartbeat_s_ = -1;
 };
 
 }  // namespace pineroad::peers
--- a/src/peers/record_format.cpp
+++ b/src/peers/record_format_tracker.cpp
@@ -1,4 +1,4 @@
-#include "peers/record_format.hpp"
+#include "peers/record_format_tracker.hpp"
 
 #include <algorithm>
 
@@ -8,19 +8,20 @@
 
 namespace pineroad::peers {
 
-RecordFormat::RecordFormat(const config::Settings& settings, const store::WatchCache& watch_cache,
-                           const PeerDirectory& directory, std::uint64_t own_format, double started_at)
+RecordFormatTracker::RecordFormatTracker(const config::Settings& settings,
+                                         const store::WatchCache& watch_cache, const PeerDirectory& directory,
+                                         std::uint64_t own_format, double started_at)
     : settings_(settings),
       watch_cache_(watch_cache),
       directory_(directory),
       own_format_(own_format),
       started_at_(started_at) {}
 
-bool RecordFormat::reads_current_format() const {
+bool RecordFormatTracker::reads_current_format() const {
     return own_format_ >= wire::records::record_format;
 }
 
-bool RecordFormat::all_controllers_read_format() const {
+bool RecordFormatTracker::all_controllers_read_format() const {
     const auto& recorded_readers = watch_cache_.record_format_readers.value;
     return reads_current_format() && recorded_readers.contains(settings_.name) &&
            std::all_of(settings_.peers.begin(), settings_.peers.end(),
@@ -30,7 +31,7 @@
 // The result contains the recorded readers, this controller, the peers that announced the format and, once a
 // user has requested a job with dependencies, the silent peers. Users request dependencies only after every
 // controller has been upgraded, so a silent peer is not an earlier version that still runs.
-std::set<std::string> RecordFormat::readers() const {
+std::set<std::string> RecordFormatTracker::readers() const {
     auto readers = watch_cache_.record_format_readers.value;
     readers.insert(settings_.name);
     const double silent_before = store::steady_now_s() - constants::format_silence_timeout_s;
--- a/src/peers/record_format.hpp
+++ b/src/peers/record_format_tracker.hpp
@@ -13,12 +13,12 @@
 namespace pineroad::peers {
 
 // Determines the readers of the current record format.
-class RecordFormat {
+class RecordFormatTracker {
    public:
     // `own_format` is the latest format that this process reads; `started_at` is when the process started
     // (seconds, steady clock). The other arguments must outlive this object.
-    RecordFormat(const config::Settings& settings, const store::WatchCache& watch_cache,
-                 const PeerDirectory& directory, std::uint64_t own_format, double started_at);
+    RecordFormatTracker(const config::Settings& settings, const store::WatchCache& watch_cache,
+                        const PeerDirectory& directory, std::uint64_t own_format, double started_at);
 
     // Returns the latest format that this process reads.
     [[nodiscard]] std::uint64_t own_format() const { return own_format_; }
--- a/src/scheduling/autoscaling.cpp
+++ b/src/scheduling/autoscaling.cpp
@@ -67,13 +67,14 @@
     void request(const MachinePool& pool);
 
     // Provides spare machines for classes whose objective for the start time is shorter than the boot time:
-    // first adds idle machines to `kept`, then claims expected ones, then requests machines.
-    void provision_headroom(std::set<std::string>& kept);
-    int keep_idle_machines(const model::JobSpec& sample, int missing, std::set<std::string>& kept) const;
+    // first adds idle machines to `kept_machines`, then claims expected ones, then requests machines.
+    void provision_headroom(std::set<std::string>& kept_machines);
+    int keep_idle_machines(const model::JobSpec& sample, int missing,
+                           std::set<std::string>& kept_machines) const;
     int claim_expected_machines(const model::JobSpec& sample, int missing);
     void request_headroom(const model::JobSpec& sample, int missing);
 
-    void scale_in(const std::set<std::string>& kept);
+    void scale_in(const std::set<std::string>& kept_machines);
     [[nodiscard]] double idle_timeout_factor(const MachineSnapshot& machine) const;
 
     Snapshot snapshot_;
@@ -97,9 +98,9 @@
     queue_ = pending_queue(snapshot_.jobs);
     measure_queues();
     for (auto* job : queue_) provision_for(*job);
-    auto kept = reservation.machines;
-    provision_headroom(kept);
-    scale_in(kept);
+    auto kept_machines = reservation.machines;
+    provision_headroom(kept_machines);
+    scale_in(kept_machines);
     return std::move(plan_);
 }
 
@@ -267,10 +268,10 @@
     plan_.scale_out.push_back({pool.type->name, pool.zone, pool.spot, 1});
 }
 
-void AutoscalingRound::provision_headroom(std::set<std::string>& kept) {
+void AutoscalingRound::provision_headroom(std::set<std::string>& kept_machines) {
     for (const auto& [job_class, demand] : snapshot_.demand) {
         int missing = headroom_task_count(snapshot_, demand);
-        missing = keep_idle_machines(demand.sample, missing, kept);
+        missing = keep_idle_machines(demand.sample, missing, kept_machines);
         missing = claim_expected_machines(demand.sample, missing);
         request_headroom(demand.sample, missing);
     }
@@ -278,12 +279,12 @@
 
 // Keeps idle machines, which are the cheapest headroom. Returns how many are still missing.
 int AutoscalingRound::keep_idle_machines(const model::JobSpec& sample, int missing,
-                                         std::set<std::string>& kept) const {
+                                         std::set<std::string>& kept_machines) const {
     for (const auto& machine : snapshot_.machines) {
         if (missing <= 0) break;
-        if (!machine.ready || machine.busy || kept.contains(machine.id)) continue;
+        if (!machine.ready || machine.busy || kept_machines.contains(machine.id)) continue;
         if (!allowed_on(sample, machine) || !sample.task_resources.fits_in(machine.free)) continue;
-        kept.insert(machine.id);
+        kept_machines.insert(machine.id);
         --missing;
     }
     return missing;
@@ -314,9 +315,9 @@
 }
 
 // Releases machines that have been idle for the idle timeout, scaled by idle_timeout_factor().
-void AutoscalingRound::scale_in(const std::set<std::string>& kept) {
+void AutoscalingRound::scale_in(const std::set<std::string>& kept_machines) {
     for (const auto& machine : snapshot_.machines) {
-        if (!machine.ready || machine.busy || kept.contains(machine.id)) continue;
+        if (!machine.ready || machine.busy || kept_machines.contains(machine.id)) continue;
         if (machine.idle_s >= snapshot_.tuning->idle_timeout_s * idle_timeout_factor(machine))
             plan_.scale_in.push_back(machine.id);
     }
--- a/src/scheduling/eligibility.cpp
+++ b/src/scheduling/eligibility.cpp
@@ -49,14 +49,14 @@
            (team->gpus_max <= 0 || usage.gpus + task_count * task.gpus <= team->gpus_max + amount_tolerance);
 }
 
-int task_capacity(const model::JobSpec& spec, const model::Resources& room) {
+int task_capacity(const model::JobSpec& spec, const model::Resources& resources) {
     double tasks = 1e6;
     const auto limit = [&tasks](double needed, double available) {
         if (needed > 0) tasks = std::min(tasks, std::floor((available + amount_tolerance) / needed));
     };
-    limit(spec.task_resources.cpus, room.cpus);
-    limit(spec.task_resources.gpus, room.gpus);
-    limit(spec.task_resources.memory_gb, room.memory_gb);
+    limit(spec.task_resources.cpus, resources.cpus);
+    limit(spec.task_resources.gpus, resources.gpus);
+    limit(spec.task_resources.memory_gb, resources.memory_gb);
     return static_cast<int>(tasks);
 }
 
--- a/src/scheduling/eligibility.hpp
+++ b/src/scheduling/eligibility.hpp
@@ -28,8 +28,8 @@
 // not configured.
 bool within_team_quota(const Snapshot& snapshot, const model::JobSpec& spec, double task_count);
 
-// Returns how many tasks of the job fit into `room`; one million if its tasks need no resources.
-int task_capacity(const model::JobSpec& spec, const model::Resources& room);
+// Returns how many tasks of the job fit into `resources`; one million if its tasks need no resources.
+int task_capacity(const model::JobSpec& spec, const model::Resources& resources);
 
 // Returns the price per task of the job on a machine of this type and kind, divided by that in the cheapest
 // pool that the job may use. At least 1; 1 if a price is unknown.
--- a/src/scheduling/reservation.cpp
+++ b/src/scheduling/reservation.cpp
@@ -25,17 +25,17 @@
     return holder;
 }
 
-bool has_room_for(const PendingJob& holder, const MachineSnapshot& machine) {
+bool has_capacity_for(const PendingJob& holder, const MachineSnapshot& machine) {
     const auto& spec = *holder.spec;
     return machine.ready && spec.task_resources.fits_in(machine.free) && allowed_on(spec, machine) &&
            zone_allowed(holder, machine.zone) && !holder.excluded_machines.contains(machine.id);
 }
 
 // Returns the zone with room for most of the holder's tasks; empty if no zone has room.
-std::string zone_with_most_room(const Snapshot& snapshot, const PendingJob& holder) {
+std::string zone_with_most_capacity(const Snapshot& snapshot, const PendingJob& holder) {
     std::map<std::string, int> tasks_by_zone;
     for (const auto& machine : snapshot.machines)
-        if (has_room_for(holder, machine))
+        if (has_capacity_for(holder, machine))
             tasks_by_zone[machine.zone] += task_capacity(*holder.spec, machine.free);
     const auto best_zone = std::max_element(tasks_by_zone.begin(), tasks_by_zone.end(),
                                             [](const auto& a, const auto& b) { return a.second < b.second; });
@@ -88,12 +88,12 @@
     if (!holder) return {};
     const auto& spec = *holder->spec;
     // A gang that must run in one zone cannot use machines of several zones.
-    const auto gang_zone = spec.same_zone ? zone_with_most_room(snapshot, *holder) : std::string();
+    const auto gang_zone = spec.same_zone ? zone_with_most_capacity(snapshot, *holder) : std::string();
     Reservation reservation{spec.id, {}};
     auto missing = static_cast<int>(holder->pending_tasks.size());
     for (const auto& machine : snapshot.machines) {
         if (missing <= 0) break;
-        if (!has_room_for(*holder, machine) || (spec.same_zone && machine.zone != gang_zone)) continue;
+        if (!has_capacity_for(*holder, machine) || (spec.same_zone && machine.zone != gang_zone)) continue;
         reservation.machines.insert(machine.id);
         missing -= task_capacity(spec, machine.free);
     }
--- a/src/store/dependency_assembler.cpp
+++ b/src/store/dependency_assembler.cpp
@@ -34,8 +34,8 @@
 bool DependencyAssembler::append_dependency_records(model::JobSpec& spec) const {
     if (spec.dependency_records == 0) return true;
     const auto records = dependency_records_.find(spec.id);
-    const std::size_t found = records == dependency_records_.end() ? 0 : records->second.size();
-    if (found < spec.dependency_records) return false;
+    const std::size_t record_count = records == dependency_records_.end() ? 0 : records->second.size();
+    if (record_count < spec.dependency_records) return false;
     for (const auto& [number, dependencies] : records->second)
         spec.dependencies.insert(spec.dependencies.end(), dependencies.begin(), dependencies.end());
     return true;
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -55,9 +55,9 @@
 
     // Sends a request and returns the response. Returns nothing if no response arrived; the request may then
     // have been executed, or may be executed later.
-    net::awaitable<std::optional<net::Reply>> request(std::string method, std::string target,
-                                                      std::string body = {},
-                                                      double timeout_s = constants::store_timeout_s);
+    net::awaitable<std::optional<net::Response>> request(std::string method, std::string target,
+                                                         std::string body = {},
+                                                         double timeout_s = constants::store_timeout_s);
     // Sends an encoded transaction (wire::commit_request).
     net::awaitable<CommitResult> commit(std::string body, double timeout_s = constants::store_timeout_s);
     // Reads one key.
--- a/src/store/watch_loop.cpp
+++ b/src/store/watch_loop.cpp
@@ -33,11 +33,11 @@
     std::string after;
     std::uint64_t first_revision = 0;
     for (bool more = true; more;) {
-        const auto reply = co_await store_.request(
+        const auto response = co_await store_.request(
             "GET", wire::row_list_target(records::live_prefix, after, c::list_page_size), {},
             3 * c::store_timeout_s);
-        if (!reply || reply->status != 200) co_return std::nullopt;
-        const auto page = wire::parse_rows(reply->body);
+        if (!response || response->status != 200) co_return std::nullopt;
+        const auto page = wire::parse_rows(response->body);
         if (!page) co_return std::nullopt;
         if (first_revision == 0) first_revision = page->revision;
         for (const auto& row : page->rows)
@@ -70,16 +70,17 @@
     const double sent_at = steady_now_s();
     const auto target = wire::watch_target(records::all_prefix, watch_cache_.revision,
                                            static_cast<int>(c::watch_block_s * 1000));
-    const auto reply = co_await store_.request("GET", target, {}, c::watch_block_s + c::store_timeout_s);
+    const auto response = co_await store_.request("GET", target, {}, c::watch_block_s + c::store_timeout_s);
     // After a long disconnection a watch may return more events than fit into memory; loading again takes far
     // less.
-    if (reply && (reply->status == 410 || reply->too_large)) {
+    if (response && (response->status == 410 || response->too_large)) {
         spdlog::info("watch too old, the watch cache is loaded anew");
         watch_cache_.ready = false;
         observer_.on_cache_lost();
         co_return;
     }
-    const auto events = reply && reply->status == 200 ? wire::parse_watch_events(reply->body) : std::nullopt;
+    const auto events =
+        response && response->status == 200 ? wire::parse_watch_events(response->body) : std::nullopt;
     if (!events) {
         co_await sleep_for(c::store_retry_s);
         co_return;
--- a/src/wire/field_reader.cpp
+++ b/src/wire/field_reader.cpp
@@ -30,7 +30,7 @@
 
 void FieldReader::read_count(std::string_view key, std::uint32_t min, std::uint32_t max,
                              std::uint32_t& into) {
-    const auto count = read::count(object_, key);
+    const auto count = read::unsigned_integer(object_, key);
     if (!count || *count < min || *count > max) return reject(key);
     into = static_cast<std::uint32_t>(*count);
 }
--- a/src/wire/format_record.cpp
+++ b/src/wire/format_record.cpp
@@ -17,7 +17,8 @@
 std::optional<std::set<std::string>> parse_format(const Json& value) {
     const auto* object = value.if_object();
     const auto* list = object ? read::list(*object, "controllers") : nullptr;
-    if (list == nullptr || read::count(*object, "format").value_or(0) < record_format) return std::nullopt;
+    if (list == nullptr || read::unsigned_integer(*object, "format").value_or(0) < record_format)
+        return std::nullopt;
     std::set<std::string> out;
     for (const auto& name : *list)
         if (name.is_string()) out.emplace(name.get_string());
--- a/src/wire/job_record.cpp
+++ b/src/wire/job_record.cpp
@@ -69,7 +69,7 @@
     spec.zone = read::text(object, "zone");
     spec.deadline_s = read::number(object, "due");
     if (const auto after = read::text(object, "after")) spec.dependencies = split_ids(*after);
-    spec.dependency_records = static_cast<std::uint32_t>(read::count(object, "more").value_or(0));
+    spec.dependency_records = static_cast<std::uint32_t>(read::unsigned_integer(object, "more").value_or(0));
 }
 
 }  // namespace
@@ -123,9 +123,9 @@
     const auto job_class = read::text(*object, "class");
     const auto team = read::text(*object, "team");
     const auto image = read::text(*object, "image");
-    const auto priority = read::count(*object, "prio");
-    const auto task_count = read::count(*object, "tasks");
-    const auto accepted_ms = read::count(*object, "at");
+    const auto priority = read::unsigned_integer(*object, "prio");
+    const auto task_count = read::unsigned_integer(*object, "tasks");
+    const auto accepted_ms = read::unsigned_integer(*object, "at");
     const auto task_resources = parse_resources(*object, "need");
     if (!job_class || !team || !image || !priority || *priority > last_priority || !task_count ||
         !accepted_ms || !task_resources)
@@ -136,7 +136,8 @@
     spec.team = *team;
     spec.image = *image;
     // A missing shape means a job array. A shape unknown to this version is treated as the last known one.
-    spec.shape = static_cast<model::Shape>(std::min(read::count(*object, "shape").value_or(0), last_shape));
+    spec.shape =
+        static_cast<model::Shape>(std::min(read::unsigned_integer(*object, "shape").value_or(0), last_shape));
     spec.priority = static_cast<model::Priority>(*priority);
     spec.task_count = static_cast<std::uint32_t>(*task_count);
     spec.task_resources = *task_resources;
--- a/src/wire/json_reader.cpp
+++ b/src/wire/json_reader.cpp
@@ -43,15 +43,15 @@
     return number(field(object, key));
 }
 
-std::optional<std::uint64_t> count(const Json* value) {
+std::optional<std::uint64_t> unsigned_integer(const Json* value) {
     if (!value) return std::nullopt;
     if (value->is_uint64()) return value->get_uint64();
     if (value->is_int64() && value->get_int64() >= 0) return static_cast<std::uint64_t>(value->get_int64());
     return std::nullopt;
 }
 
-std::optional<std::uint64_t> count(const boost::json::object& object, std::string_view key) {
-    return count(field(object, key));
+std::optional<std::uint64_t> unsigned_integer(const boost::json::object& object, std::string_view key) {
+    return unsigned_integer(field(object, key));
 }
 
 std::optional<std::string> text(const boost::json::object& object, std::string_view key) {
--- a/src/wire/json_reader.hpp
+++ b/src/wire/json_reader.hpp
@@ -31,9 +31,9 @@
 std::optional<double> number(const boost::json::object& object, std::string_view key);
 // Returns the value as an unsigned integer; std::nullopt if `value` is null or not an integer from 0 to
 // 2^64 - 1.
-std::optional<std::uint64_t> count(const Json* value);
+std::optional<std::uint64_t> unsigned_integer(const Json* value);
 // Returns the field's value as an unsigned integer, in the same way.
-std::optional<std::uint64_t> count(const boost::json::object& object, std::string_view key);
+std::optional<std::uint64_t> unsigned_integer(const boost::json::object& object, std::string_view key);
 // Returns the field's value as a string, which may be empty; std::nullopt if it is missing or not a string.
 std::optional<std::string> text(const boost::json::object& object, std::string_view key);
 // Returns the field's value as a Boolean; std::nullopt if it is missing or not a Boolean.
--- a/src/wire/leadership_records.cpp
+++ b/src/wire/leadership_records.cpp
@@ -17,9 +17,9 @@
     const auto* object = value.if_object();
     if (!object) return std::nullopt;
     const auto node = read::text(*object, "node");
-    const auto fencing_token = read::count(*object, "token");
-    const auto lease = read::count(*object, "lease");
-    const auto nonce = read::count(*object, "nonce");
+    const auto fencing_token = read::unsigned_integer(*object, "token");
+    const auto lease = read::unsigned_integer(*object, "lease");
+    const auto nonce = read::unsigned_integer(*object, "nonce");
     if (!node || !fencing_token || !lease || !nonce) return std::nullopt;
     return Leader{*node, *fencing_token, *lease, *nonce};
 }
@@ -30,7 +30,7 @@
 
 std::optional<std::uint64_t> parse_term(const Json& value) {
     const auto* object = value.if_object();
-    return object ? read::count(*object, "token") : std::nullopt;
+    return object ? read::unsigned_integer(*object, "token") : std::nullopt;
 }
 
 }  // namespace pineroad::wire::records
--- a/src/wire/progress_record.cpp
+++ b/src/wire/progress_record.cpp
@@ -18,8 +18,8 @@
     for (const auto& item : ranges) {
         const auto* range = item.if_array();
         if (!range || range->size() != 2) return false;
-        const auto first = read::count(range->if_contains(0));
-        const auto last = read::count(range->if_contains(1));
+        const auto first = read::unsigned_integer(range->if_contains(0));
+        const auto last = read::unsigned_integer(range->if_contains(1));
         if (!first || !last) return false;
         done += boost::icl::discrete_interval<std::uint32_t>::closed(static_cast<std::uint32_t>(*first),
                                                                      static_cast<std::uint32_t>(*last));
@@ -31,8 +31,8 @@
     for (const auto& item : list) {
         const auto* placement = item.if_array();
         if (!placement || placement->size() != 3 || !(*placement)[2].is_string()) return false;
-        const auto index = read::count(placement->if_contains(0));
-        const auto attempt = read::count(placement->if_contains(1));
+        const auto index = read::unsigned_integer(placement->if_contains(0));
+        const auto attempt = read::unsigned_integer(placement->if_contains(1));
         if (!index || !attempt) return false;
         placements.push_back(
             {static_cast<std::uint32_t>(*index), *attempt, std::string((*placement)[2].get_string())});
@@ -78,7 +78,7 @@
     if (!object) return std::nullopt;
     const auto* done = read::list(*object, "d");
     const auto* placements = read::list(*object, "r");
-    const auto next_attempt = read::count(*object, "n");
+    const auto next_attempt = read::unsigned_integer(*object, "n");
     if (!done || !placements || !next_attempt) return std::nullopt;
     const auto task_resources = parse_resources(*object, "w");
     auto team = read::text(*object, "t");
--- a/src/wire/provisioning_records.cpp
+++ b/src/wire/provisioning_records.cpp
@@ -20,7 +20,7 @@
     const auto type = read::text(*object, "type");
     const auto zone = read::text(*object, "zone");
     const auto spot = read::flag(*object, "spot");
-    const auto count = read::count(*object, "count");
+    const auto count = read::unsigned_integer(*object, "count");
     if (!type || !zone || !spot || !count) return std::nullopt;
     return model::ProvisioningRequest{name, *type, *zone, *spot, static_cast<std::uint32_t>(*count)};
 }
--- a/src/wire/segment_record.cpp
+++ b/src/wire/segment_record.cpp
@@ -12,8 +12,8 @@
 std::optional<Sequence> parse_sequence(const json::object& object) {
     const auto* pair = read::list(object, "n");
     if (!pair || pair->size() != 2) return std::nullopt;
-    const auto fencing_token = read::count(pair->if_contains(0));
-    const auto number = read::count(pair->if_contains(1));
+    const auto fencing_token = read::unsigned_integer(pair->if_contains(0));
+    const auto number = read::unsigned_integer(pair->if_contains(1));
     if (!fencing_token || !number) return std::nullopt;
     return Sequence{*fencing_token, *number};
 }
--- a/src/wire/store_protocol.cpp
+++ b/src/wire/store_protocol.cpp
@@ -18,7 +18,7 @@
 // A JSON null is accepted as the row's value.
 std::optional<Row> read_row(const json::object& object) {
     auto key = read::text(object, field_name::key);
-    const auto mod_revision = read::count(object, field_name::mod_revision);
+    const auto mod_revision = read::unsigned_integer(object, field_name::mod_revision);
     const auto* value = object.if_contains(field_name::value);
     if (!key || !mod_revision || !value) return std::nullopt;
     return Row{std::move(*key), *value, *mod_revision};
@@ -26,7 +26,8 @@
 
 std::optional<WatchEvent> parse_watch_event(const Json& value) {
     const auto* object = value.if_object();
-    const auto mod_revision = object ? read::count(*object, field_name::mod_revision) : std::nullopt;
+    const auto mod_revision =
+        object ? read::unsigned_integer(*object, field_name::mod_revision) : std::nullopt;
     if (!mod_revision) return std::nullopt;
     if (auto key = read::text(*object, field_name::put)) {
         const auto* put = object->if_contains(field_name::value);
@@ -81,7 +82,7 @@
 
 std::optional<std::uint64_t> parse_revision(std::string_view body) {
     const auto object = parse_object(body);
-    return object ? read::count(*object, field_name::revision) : std::nullopt;
+    return object ? read::unsigned_integer(*object, field_name::revision) : std::nullopt;
 }
 
 std::vector<std::string> parse_failed_conditions(std::string_view body) {
@@ -103,7 +104,7 @@
     const auto object = parse_object(body);
     if (!object) return std::nullopt;
     const auto* list = read::list(*object, field_name::rows);
-    const auto revision = read::count(*object, field_name::revision);
+    const auto revision = read::unsigned_integer(*object, field_name::revision);
     if (!list || !revision) return std::nullopt;
     Rows out;
     out.revision = *revision;
@@ -119,7 +120,7 @@
 
 std::optional<WatchEvents> parse_watch_events(std::string_view body) {
     const auto object = parse_object(body);
-    const auto revision = object ? read::count(*object, field_name::revision) : std::nullopt;
+    const auto revision = object ? read::unsigned_integer(*object, field_name::revision) : std::nullopt;
     if (!revision) return std::nullopt;
     WatchEvents out;
     out.revision = *revision;
@@ -141,7 +142,7 @@
 
 std::optional<std::uint64_t> parse_lease(std::string_view body) {
     const auto object = parse_object(body);
-    return object ? read::count(*object, field_name::lease) : std::nullopt;
+    return object ? read::unsigned_integer(*object, field_name::lease) : std::nullopt;
 }
 
 std::string renew_lease_target(std::uint64_t lease) {
--- a/src/wire/worker_protocol.cpp
+++ b/src/wire/worker_protocol.cpp
@@ -59,9 +59,9 @@
     auto type = read::text(object, field_name::machine_type);
     auto zone = read::text(object, field_name::zone);
     const auto spot = read::flag(object, field_name::spot);
-    const auto agent_epoch = read::count(object, field_name::agent_epoch);
-    const auto sequence = read::count(object, field_name::sequence);
-    const auto fencing_token = read::count(object, field_name::fencing_token);
+    const auto agent_epoch = read::unsigned_integer(object, field_name::agent_epoch);
+    const auto sequence = read::unsigned_integer(object, field_name::sequence);
+    const auto fencing_token = read::unsigned_integer(object, field_name::fencing_token);
     if (!address || !type || !zone || !spot || !agent_epoch || !sequence || !fencing_token)
         return InvalidRequest{Kind::missing_or_invalid};
     heartbeat.machine = std::move(*machine);
@@ -81,7 +81,7 @@
     if (!object) return std::nullopt;
     const auto name = read::text(*object, field_name::task);
     auto task = name ? parse_task_name(*name) : std::nullopt;
-    const auto attempt = read::count(*object, field_name::attempt);
+    const auto attempt = read::unsigned_integer(*object, field_name::attempt);
     const auto state = value_of(task_states, read::text(*object, field_name::status));
     if (!task || !attempt || !state) return std::nullopt;
     model::ReportedTask out{std::move(*task), *attempt, *state, model::ExitCause::none, false};
--- a/tests/cluster_simulator.cpp
+++ b/tests/cluster_simulator.cpp
@@ -11,7 +11,7 @@
 namespace pineroad::test {
 
 namespace json = boost::json;
-using net::Reply;
+using net::Response;
 
 namespace {
 
@@ -34,23 +34,23 @@
           alive_(std::move(alive)),
           controller_(controller),
           endpoint_(std::move(endpoint)) {}
-    net::awaitable<std::optional<Reply>> request(std::string method, std::string target, std::string body,
-                                                 double timeout_s) override {
+    net::awaitable<std::optional<Response>> request(std::string method, std::string target, std::string body,
+                                                    double timeout_s) override {
         if (!*alive_) co_await net::sleep_for(never_answered_s);
-        std::optional<Reply> reply;
+        std::optional<Response> response;
         if (endpoint_.host == "state")
-            reply = co_await cluster_.forward_to_store(controller_, method, target, body, timeout_s);
+            response = co_await cluster_.forward_to_store(controller_, method, target, body, timeout_s);
         else if (endpoint_.host == "peer")
-            reply = co_await cluster_.forward_to_peer(controller_, endpoint_.port, method, target, body,
-                                                      timeout_s);
+            response = co_await cluster_.forward_to_peer(controller_, endpoint_.port, method, target, body,
+                                                         timeout_s);
         else if (endpoint_.host == "cloud" && target == wire::machine_types_path)
-            reply = Reply{200, json::serialize(wire::machine_types_json(machine_types()))};
+            response = Response{200, json::serialize(wire::machine_types_json(machine_types()))};
         else if (endpoint_.host == "cloud")
-            reply = cluster_.workers.handle_cloud_request(method, target, body);
-        else if (!(reply = cluster_.workers.handle_direct_command(controller_, endpoint_.host, body)))
+            response = cluster_.workers.handle_cloud_request(method, target, body);
+        else if (!(response = cluster_.workers.handle_direct_command(controller_, endpoint_.host, body)))
             co_await net::sleep_for(timeout_s);
         if (!*alive_) co_await net::sleep_for(never_answered_s);
-        co_return reply;
+        co_return response;
     }
 
    private:
@@ -66,9 +66,10 @@
            partitioned_from_store.contains(controller);
 }
 
-net::awaitable<std::optional<Reply>> ClusterSimulator::forward_to_store(int controller, std::string method,
-                                                                        std::string target, std::string body,
-                                                                        double timeout_s) {
+net::awaitable<std::optional<Response>> ClusterSimulator::forward_to_store(int controller, std::string method,
+                                                                           std::string target,
+                                                                           std::string body,
+                                                                           double timeout_s) {
     ++store_request_counts[target.substr(1, target.find_first_of("/?", 1) - 1)];
     const double deadline = now() + timeout_s;
     const bool is_commit = target == wire::commit_path;
@@ -82,7 +83,7 @@
     // The store executes the request even if the client has timed out.
     const bool timed_out = store_latency_s + store_delay_s > timeout_s;
     if (store_outage || rejected_by_store.contains(controller))
-        co_return Reply{503, R"({"error":"trouble"})"};
+        co_return Response{503, R"({"error":"trouble"})"};
     if (is_commit && write_delay_s > 0) {
         delayed_writes_.push_back({now() + write_delay_s, body});
         co_await net::sleep_for(timeout_s);
@@ -97,18 +98,17 @@
             co_await net::sleep_for(2 * step_s);
         }
     }
-    auto answer = store.answer(method, target, body, now());
+    auto response = store.handle_request(method, target, body, now());
     if (timed_out) co_return std::nullopt;
     if (is_commit && lost_commit_responses.contains(controller)) {
         co_await net::sleep_for(timeout_s);
         co_return std::nullopt;
     }
-    co_return answer;
+    co_return response;
 }
 
-net::awaitable<std::optional<Reply>> ClusterSimulator::forward_to_peer(int sender, int receiver,
-                                                                       std::string method, std::string target,
-                                                                       std::string body, double timeout_s) {
+net::awaitable<std::optional<Response>> ClusterSimulator::forward_to_peer(
+    int sender, int receiver, std::string method, std::string target, std::string body, double timeout_s) {
     auto& peer = process(receiver);
     if (partitioned_from_peers.contains(sender) || partitioned_from_peers.contains(receiver) ||
         !peer.controller) {
@@ -172,12 +172,12 @@
     kill(controller);
     auto& simulated_process = process(controller);
     simulated_process.alive = std::make_shared<bool>(true);
-    const auto connect = [this, alive = simulated_process.alive,
-                          controller](const config::Endpoint& endpoint) -> std::unique_ptr<net::Client> {
+    const auto client_factory = [this, alive = simulated_process.alive, controller](
+                                    const config::Endpoint& endpoint) -> std::unique_ptr<net::Client> {
         return std::make_unique<SimulatedClient>(*this, alive, controller, endpoint);
     };
     simulated_process.controller = std::make_unique<controller::Controller>(
-        *simulated_process.io, simulated_process.settings, processes_->tuning, connect, ++seed_,
+        *simulated_process.io, simulated_process.settings, processes_->tuning, client_factory, ++seed_,
         simulated_process.record_format);
     simulated_process.controller->run_loops();
 }
@@ -215,7 +215,7 @@
     *net::Clock::simulated_now += net::seconds(step_s);
     if (!store_outage) store.expire_leases(now());
     while (!delayed_writes_.empty() && delayed_writes_.front().apply_at <= now()) {
-        store.answer("POST", std::string(wire::commit_path), delayed_writes_.front().body, now());
+        store.handle_request("POST", std::string(wire::commit_path), delayed_writes_.front().body, now());
         delayed_writes_.pop_front();
     }
     workers.step(step_s);
@@ -237,34 +237,34 @@
 
 // --- requests ----------------------------------------------------------------------------------------------
 
-std::shared_ptr<std::optional<Reply>> ClusterSimulator::send_request(int controller,
-                                                                     const std::string& method,
-                                                                     const std::string& target,
-                                                                     const std::string& body) {
+std::shared_ptr<std::optional<Response>> ClusterSimulator::send_request(int controller,
+                                                                        const std::string& method,
+                                                                        const std::string& target,
+                                                                        const std::string& body) {
     auto& simulated_process = process(controller);
-    auto reply = std::make_shared<std::optional<Reply>>();
-    if (!simulated_process.controller) return reply;  // the process is not running
+    auto response = std::make_shared<std::optional<Response>>();
+    if (!simulated_process.controller) return response;  // the process is not running
     net::Request request{method, target, body};
     net::asio::co_spawn(
         *simulated_process.io,
         [](controller::Controller& receiver, net::Request r,
-           std::shared_ptr<std::optional<Reply>> result) -> net::awaitable<void> {
+           std::shared_ptr<std::optional<Response>> result) -> net::awaitable<void> {
             *result = co_await receiver.handle_public_request(std::move(r));
-        }(*simulated_process.controller, std::move(request), reply),
+        }(*simulated_process.controller, std::move(request), response),
         net::asio::detached);
-    return reply;
+    return response;
 }
 
-std::optional<Reply> ClusterSimulator::request(int controller, const std::string& method,
-                                               const std::string& target, const std::string& body) {
+std::optional<Response> ClusterSimulator::request(int controller, const std::string& method,
+                                                  const std::string& target, const std::string& body) {
     constexpr int max_steps = 1200;
-    const auto reply = send_request(controller, method, target, body);
-    for (int i = 0; i < max_steps && !*reply; ++i) run(step_s);
-    return *reply;
+    const auto response = send_request(controller, method, target, body);
+    for (int i = 0; i < max_steps && !*response; ++i) run(step_s);
+    return *response;
 }
 
-std::optional<Reply> ClusterSimulator::submit(int controller, const std::string& id,
-                                              const json::object& overrides) {
+std::optional<Response> ClusterSimulator::submit(int controller, const std::string& id,
+                                                 const json::object& overrides) {
     auto body = json::parse(R"({"Jobclass":"small","Crew":"team","Shape":"batch","Urgency":"standard",
         "Pieces":1,"Vcpus":8,"Accelerators":1,"MemGb":32,"Bundle":"img-1","SizeGb":5,"Together":false,
         "Spread":false,"Loaners":true,"GuessS":60,"NotchS":10,"StashS":2})")
@@ -272,41 +272,41 @@
     body["NameId"] = id;
     for (const auto& field : overrides) body[field.key()] = field.value();
     workers.invariants.record_submission(body);
-    return record_reply("submits " + id, controller,
-                        request(controller, "POST", "/submissions", json::serialize(body)));
+    return record_response("submits " + id, controller,
+                           request(controller, "POST", "/submissions", json::serialize(body)));
 }
 
-std::optional<Reply> ClusterSimulator::poll(int controller, const std::string& id) {
-    return record_reply("asks about " + id, controller, request(controller, "GET", "/submissions/" + id));
+std::optional<Response> ClusterSimulator::poll(int controller, const std::string& id) {
+    return record_response("asks about " + id, controller, request(controller, "GET", "/submissions/" + id));
 }
 
-std::optional<Reply> ClusterSimulator::cancel(int controller, const std::string& id) {
-    return record_reply("cancels " + id, controller,
-                        request(controller, "POST", "/submissions/" + id + "/cancel"));
+std::optional<Response> ClusterSimulator::cancel(int controller, const std::string& id) {
+    return record_response("cancels " + id, controller,
+                           request(controller, "POST", "/submissions/" + id + "/cancel"));
 }
 
-std::optional<Reply> ClusterSimulator::record_reply(const std::string& what, int controller,
-                                                    std::optional<Reply> reply) {
+std::optional<Response> ClusterSimulator::record_response(const std::string& what, int controller,
+                                                          std::optional<Response> response) {
     std::string line = "user    " + what + " at c-" + std::to_string(controller) + ": ";
-    if (!reply) {
+    if (!response) {
         note(line + "no answer");
-        return reply;
+        return response;
     }
-    line += std::to_string(reply->status);
-    if (const auto parsed_body = wire::parse_json(reply->body);
+    line += std::to_string(response->status);
+    if (const auto parsed_body = wire::parse_json(response->body);
         parsed_body && parsed_body->as_object().contains("Status")) {
         const std::string status(parsed_body->at("Status").as_string());
         workers.invariants.record_confirmed_status(std::string(parsed_body->at("NameId").as_string()), status,
                                                    now());
         line += " " + status;
     }
-    if (reply->retry_after_s > 0) line += ", with Retry-After";
-    if (reply->close) line += ", closes";
+    if (response->retry_after_s > 0) line += ", with Retry-After";
+    if (response->close) line += ", closes";
     note(line);
-    return reply;
+    return response;
 }
 
-std::optional<Reply> ClusterSimulator::send_heartbeat(int controller, const model::Heartbeat& heartbeat) {
+std::optional<Response> ClusterSimulator::send_heartbeat(int controller, const model::Heartbeat& heartbeat) {
     return request(controller, "POST", "/checkin", heartbeat_body(heartbeat));
 }
 
--- a/tests/cluster_simulator.hpp
+++ b/tests/cluster_simulator.hpp
@@ -48,19 +48,19 @@
     void note(const std::string& line);
 
     // --- requests; these return nothing if there is no response within 6 s ---
-    std::optional<net::Reply> request(int controller, const std::string& method, const std::string& target,
-                                      const std::string& body = {});
+    std::optional<net::Response> request(int controller, const std::string& method, const std::string& target,
+                                         const std::string& body = {});
     /// Submits a job of one task; `overrides` replaces fields of the default submission.
-    std::optional<net::Reply> submit(int controller, const std::string& id,
-                                     const boost::json::object& overrides = {});
-    std::optional<net::Reply> poll(int controller, const std::string& id);
-    std::optional<net::Reply> cancel(int controller, const std::string& id);
-    std::optional<net::Reply> send_heartbeat(int controller, const model::Heartbeat& heartbeat);
+    std::optional<net::Response> submit(int controller, const std::string& id,
+                                        const boost::json::object& overrides = {});
+    std::optional<net::Response> poll(int controller, const std::string& id);
+    std::optional<net::Response> cancel(int controller, const std::string& id);
+    std::optional<net::Response> send_heartbeat(int controller, const model::Heartbeat& heartbeat);
     /// Sends a request without waiting. The result is filled in when the response arrives; a paused process
     /// sends none.
-    std::shared_ptr<std::optional<net::Reply>> send_request(int controller, const std::string& method,
-                                                            const std::string& target,
-                                                            const std::string& body = {});
+    std::shared_ptr<std::optional<net::Response>> send_request(int controller, const std::string& method,
+                                                               const std::string& target,
+                                                               const std::string& body = {});
     static std::string heartbeat_body(const model::Heartbeat& heartbeat);
 
     // --- processes ---
@@ -113,15 +113,15 @@
         double apply_at = 0;
         std::string body;
     };
-    net::awaitable<std::optional<net::Reply>> forward_to_store(int controller, std::string method,
-                                                               std::string target, std::string body,
-                                                               double timeout_s);
-    net::awaitable<std::optional<net::Reply>> forward_to_peer(int sender, int receiver, std::string method,
-                                                              std::string target, std::string body,
-                                                              double timeout_s);
+    net::awaitable<std::optional<net::Response>> forward_to_store(int controller, std::string method,
+                                                                  std::string target, std::string body,
+                                                                  double timeout_s);
+    net::awaitable<std::optional<net::Response>> forward_to_peer(int sender, int receiver, std::string method,
+                                                                 std::string target, std::string body,
+                                                                 double timeout_s);
     [[nodiscard]] bool is_store_unreachable(int controller) const;
-    std::optional<net::Reply> record_reply(const std::string& what, int controller,
-                                           std::optional<net::Reply> reply);
+    std::optional<net::Response> record_response(const std::string& what, int controller,
+                                                 std::optional<net::Response> response);
     void configure(int controller, int controllers, const ClusterOptions& options);
     void step();
     Process& process(int controller) {
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -49,13 +49,13 @@
     void expect_status_everywhere(const std::string& job, const std::string& status) {
         for (int n = 0; n < controllers(); ++n) {
             const double start_s = now();
-            auto reply = poll(n, job);
-            while ((!reply || reply->status != 200) && now() < start_s + 75) {
+            auto response = poll(n, job);
+            while ((!response || response->status != 200) && now() < start_s + 75) {
                 run(5);
-                reply = poll(n, job);
+                response = poll(n, job);
             }
-            ASSERT_TRUE(reply);
-            EXPECT_NE(reply->body.find(status), std::string::npos) << reply->body;
+            ASSERT_TRUE(response);
+            EXPECT_NE(response->body.find(status), std::string::npos) << response->body;
         }
     }
     int old_leader = -1;  // leader when the jobs began to run
@@ -134,9 +134,9 @@
     EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 503);  // applied, but not confirmed
     cluster.begin_store_outage();
     cluster.run(1);
-    const auto reply = by_submission ? cluster.submit(cluster.other_follower, "j-1")
-                                     : cluster.poll(cluster.other_follower, "j-1");
-    EXPECT_NE(reply->body.find("withdrawn"), std::string::npos);
+    const auto response = by_submission ? cluster.submit(cluster.other_follower, "j-1")
+                                        : cluster.poll(cluster.other_follower, "j-1");
+    EXPECT_NE(response->body.find("withdrawn"), std::string::npos);
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 8);
     cluster.run(70);
     EXPECT_TRUE(cluster.workers.has_live_task_of("j-2"));
@@ -189,11 +189,11 @@
 
 // A controller is paused between its commit and its response. It confirms the cancellation only when it
 // resumes, and its peers learn of the cancellation at that time.
-TEST(CombinedFaults, CancellationTakesEffectAfterPauseBetweenCommitAndReply) {
+TEST(CombinedFaults, CancellationTakesEffectAfterPauseBetweenCommitAndResponse) {
     CombinedFaultsCluster cluster("confirming_controller_paused");
     cluster.start_jobs({"j-1", "j-2"});
     cluster.rejected_by_store = {cluster.old_leader};
-    const auto pending_reply = cluster.send_request(cluster.follower, "POST", "/submissions/j-1/cancel");
+    const auto pending_response = cluster.send_request(cluster.follower, "POST", "/submissions/j-1/cancel");
     const auto commits_before = cluster.store_request_counts["commit"];
     while (cluster.store_request_counts["commit"] == commits_before) cluster.run(0.005);
     cluster.run(0.01);
@@ -204,8 +204,8 @@
     cluster.paused.clear();
     cluster.note("freeze  ends");
     cluster.run(0.1);
-    ASSERT_TRUE(*pending_reply);
-    if ((*pending_reply)->status == 200)
+    ASSERT_TRUE(*pending_response);
+    if ((*pending_response)->status == 200)
         cluster.workers.invariants.record_confirmed_status("j-1", "withdrawn", cluster.now());
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 66);
     cluster.end_store_outage();
@@ -337,8 +337,8 @@
     cluster.run_until_first_task_ends(jobs.size());
     // Pauses in steps of 0.05 s spread the requests around the heartbeats and commits that report the exits.
     for (int n = 0; const auto& id : jobs) {
-        const auto reply = cluster.cancel(n % 3, id);
-        EXPECT_EQ(reply->status, 200);
+        const auto response = cluster.cancel(n % 3, id);
+        EXPECT_EQ(response->status, 200);
         EXPECT_EQ(cluster.submit((n + 1) % 3, id)->status, 200);
         EXPECT_EQ(cluster.poll((n + 2) % 3, id)->status, 200);
         cluster.run(0.05 * ++n);
@@ -580,9 +580,9 @@
     cluster.begin_store_outage();
     for (int i = 0; i < 14; ++i) {
         cluster.run(5);
-        const auto reply = cluster.poll(i % 3, i % 2 == 0 ? "j-1" : "j-2");
-        EXPECT_TRUE(reply->status == 200 || (reply->status == 503 && reply->retry_after_s > 0))
-            << reply->status;
+        const auto response = cluster.poll(i % 3, i % 2 == 0 ? "j-1" : "j-2");
+        EXPECT_TRUE(response->status == 200 || (response->status == 503 && response->retry_after_s > 0))
+            << response->status;
     }
     cluster.end_store_outage();
     cluster.run(5);
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -30,10 +30,10 @@
         EXPECT_NE(cluster.poll(node, "j-1")->body.find("withdrawn"), std::string::npos);
         EXPECT_NE(cluster.submit(node, "j-1")->body.find("withdrawn"), std::string::npos);
     }
-    int answers = 0;
+    int successful_responses = 0;
     for (int node = 0; node < 3; ++node)
-        answers += cluster.send_heartbeat(node, idle_heartbeat(1))->status == 200;
-    EXPECT_EQ(answers, 1);  // only the leader; the others redirect to it
+        successful_responses += cluster.send_heartbeat(node, idle_heartbeat(1))->status == 200;
+    EXPECT_EQ(successful_responses, 1);  // only the leader; the others redirect to it
 }
 
 // A leader loses the store and its peers, but not its workers. It starts no task, steps down soon after its
@@ -137,7 +137,8 @@
     cluster.note("freeze  ends");
     const auto& late_commit = cluster.held_commits[old_leader].front();
     EXPECT_EQ(
-        cluster.store.answer(late_commit.method, late_commit.target, late_commit.body, cluster.now()).status,
+        cluster.store.handle_request(late_commit.method, late_commit.target, late_commit.body, cluster.now())
+            .status,
         409);
     cluster.paused.clear();
     cluster.run(0.2);
@@ -209,7 +210,8 @@
     for (const int node : {candidate, other_candidate})
         for (const auto& held_commit : cluster.held_commits[node]) {
             const int status =
-                cluster.store.answer(held_commit.method, held_commit.target, held_commit.body, cluster.now())
+                cluster.store
+                    .handle_request(held_commit.method, held_commit.target, held_commit.body, cluster.now())
                     .status;
             cluster.note("late    bid of the earlier c-" + std::to_string(node) +
                          " arrives: " + std::to_string(status));
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -183,15 +183,16 @@
     }
     // Submits a job with these dependencies. Returns the HTTP status, or 0 without a response.
     int submit_job(int controller, const std::string& id, const std::vector<std::string>& dependencies = {}) {
-        const auto reply =
+        const auto response =
             submit(controller, id, dependencies.empty() ? json::object{} : dependencies_field(dependencies));
-        return reply ? reply->status : 0;
+        return response ? response->status : 0;
     }
     // Returns the job's status, or the HTTP status if that is not 200.
     std::string job_status(int controller, const std::string& id) {
-        const auto reply = poll(controller, id);
-        if (!reply || reply->status != 200) return reply ? std::to_string(reply->status) : "no answer";
-        return std::string(json::parse(reply->body).at("Status").as_string());
+        const auto response = poll(controller, id);
+        if (!response || response->status != 200)
+            return response ? std::to_string(response->status) : "no answer";
+        return std::string(json::parse(response->body).at("Status").as_string());
     }
     void expect_status_everywhere(const std::string& id, const std::string& expected) {
         for (int n = 0; n < controllers(); ++n) EXPECT_EQ(job_status(n, id), expected) << id << " at c-" << n;
@@ -228,9 +229,9 @@
     for (const auto& invalid_list :
          {json::value("j-1"), json::value(7), json::value(json::object{}), json::value(json::array{1}),
           json::value(json::array{"x-1"}), json::value(json::array{nullptr})}) {
-        const auto reply = cluster.submit(1, "j-2", {{"WaitsOn", invalid_list}});
-        EXPECT_EQ(reply->status, 400);
-        EXPECT_NE(reply->body.find("WaitsOn"), std::string::npos);
+        const auto response = cluster.submit(1, "j-2", {{"WaitsOn", invalid_list}});
+        EXPECT_EQ(response->status, 400);
+        EXPECT_NE(response->body.find("WaitsOn"), std::string::npos);
     }
     const auto unknown = cluster.submit(1, "j-2", dependencies_field({"j-1", "j-404"}));
     EXPECT_EQ(unknown->status, 422);
@@ -321,8 +322,8 @@
     cluster.run_until_first_task_ends(jobs.size());
     cluster.workers.default_task_run_s = 3;
     for (int n = 0; const auto& id : jobs) {
-        const auto reply = cluster.cancel(n % 3, id);
-        const auto confirmed_status = std::string(json::parse(reply->body).at("Status").as_string());
+        const auto response = cluster.cancel(n % 3, id);
+        const auto confirmed_status = std::string(json::parse(response->body).at("Status").as_string());
         const auto dependent_status = cluster.job_status((n + 1) % 3, id + "next");
         EXPECT_EQ(confirmed_status == "withdrawn", dependent_status == "withdrawn") << id;
         cluster.run(0.04 * ++n);
@@ -351,10 +352,10 @@
     EXPECT_EQ(cluster.job_status(2, "j-6"), "withdrawn");
     EXPECT_EQ(cluster.submit_job(1, "j-6", {"j-2"}), 200);
     EXPECT_EQ(cluster.submit_job(2, "j-7"), 201);
-    const auto pending_reply = cluster.send_request(0, "POST", "/submissions/j-7/cancel");
+    const auto pending_response = cluster.send_request(0, "POST", "/submissions/j-7/cancel");
     EXPECT_EQ(cluster.submit_job(1, "j-8", {"j-7"}), 201);
     cluster.run(1);
-    ASSERT_TRUE(*pending_reply);
+    ASSERT_TRUE(*pending_response);
     cluster.expect_status_everywhere("j-8", "withdrawn");
     cluster.run_until_done("j-4", 120);  // j-1 had ended before the new leader's term began
     cluster.run_until_done("j-5", 60);
@@ -362,7 +363,7 @@
 
 // A restarted process responds for the first time just after it has read the live records. The outcome of j-1
 // is not among these, so the process must look it up before it responds.
-TEST(Pipelines, FirstReplyAfterRestartResolvesDependencies) {
+TEST(Pipelines, FirstResponseAfterRestartResolvesDependencies) {
     PipelineCluster cluster("pipeline_first_answer");
     for (int n = 0; n < 3; ++n) cluster.kill(n);
     cluster.store.put_job(job_depending_on("j-2", {"j-1"}), cluster.now());
@@ -372,12 +373,12 @@
     cluster.restart(1);
     std::string first_status;
     for (int i = 0; i < 400 && first_status.size() != std::string("withdrawn").size(); ++i) {
-        const auto pending_reply = cluster.send_request(1, "GET", "/submissions/j-3");
-        for (int wait = 0; wait < 400 && !*pending_reply; ++wait) cluster.run(0.005);
-        ASSERT_TRUE(*pending_reply);
-        if ((*pending_reply)->status == 503) continue;
-        ASSERT_EQ((*pending_reply)->status, 200);
-        first_status = std::string(json::parse((*pending_reply)->body).at("Status").as_string());
+        const auto pending_response = cluster.send_request(1, "GET", "/submissions/j-3");
+        for (int wait = 0; wait < 400 && !*pending_response; ++wait) cluster.run(0.005);
+        ASSERT_TRUE(*pending_response);
+        if ((*pending_response)->status == 503) continue;
+        ASSERT_EQ((*pending_response)->status, 200);
+        first_status = std::string(json::parse((*pending_response)->body).at("Status").as_string());
         EXPECT_EQ(first_status, "withdrawn");
         break;
     }
--- a/tests/durable_writes_test.cpp
+++ b/tests/durable_writes_test.cpp
@@ -23,7 +23,7 @@
     StartedLeader simulator("late_commit_old_term", {"m-1"});
     const auto late_batch = placement_batch(simulator, array_job("j-1", 1));
     simulator.begin_term();
-    EXPECT_FALSE(simulator.store.commit(late_batch.txn));
+    EXPECT_FALSE(simulator.store.commit(late_batch.transaction));
     simulator.note("commit  of term 1 arrives: refused");
     simulator.synchronize_worker("m-1");
     simulator.run_placed_tasks("m-1");
@@ -36,7 +36,7 @@
     StartedLeader simulator("late_copy", {"m-1"});
     const auto batch = placement_batch(simulator, array_job("j-1", 2));
     simulator.apply_batch(batch);
-    EXPECT_FALSE(simulator.store.commit(batch.txn));
+    EXPECT_FALSE(simulator.store.commit(batch.transaction));
     simulator.note("commit  the same again: refused");
 }
 
@@ -105,7 +105,7 @@
         simulator.submit(array_job(id, 1));
         simulator.plan_and_commit();
     }
-    EXPECT_FALSE(simulator.store.commit(first_batch.txn));
+    EXPECT_FALSE(simulator.store.commit(first_batch.transaction));
     simulator.note("commit  the first again: refused");
     simulator.begin_term();
     // Finished: a later segment holds its tombstone.
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -303,9 +303,9 @@
     return {{"r-1-1", "g4", "a", false, 9}, {"r-1-2", "g2", "b", true, 1}};
 }
 
-std::string print(const net::Reply& reply) {
-    return std::to_string(reply.status) + " " + reply.body + (reply.retry_after_s > 0 ? " Retry-After" : "") +
-           (reply.close ? " closes" : "");
+std::string print(const net::Response& response) {
+    return std::to_string(response.status) + " " + response.body +
+           (response.retry_after_s > 0 ? " Retry-After" : "") + (response.close ? " closes" : "");
 }
 
 template <class T>
@@ -783,16 +783,16 @@
     RequestRecorder(ClusterSimulator& cluster, Golden& golden) : cluster_(cluster), golden_(golden) {}
     void record_request(int node, const std::string& method, const std::string& target,
                         const std::string& body = {}) {
-        const auto reply = cluster_.request(node, method, target, body);
+        const auto response = cluster_.request(node, method, target, body);
         golden_.put(method + " " + target + (body.empty() ? "" : " ") + body,
-                    reply ? print(*reply) : "no answer");
+                    response ? print(*response) : "no answer");
     }
     // Submits a minimal job with one field replaced.
     void submit(const std::string& key, const std::string& value, int node = 0) {
         record_request(node, "POST", "/submissions", with_field(minimal_submission, key, value));
     }
-    void put(const std::string& label, const std::optional<net::Reply>& reply) {
-        golden_.put(label, reply ? print(*reply) : "no answer");
+    void put(const std::string& label, const std::optional<net::Response>& response) {
+        golden_.put(label, response ? print(*response) : "no answer");
     }
 
    private:
@@ -906,8 +906,8 @@
 
 class UnreachableClient : public net::Client {
    public:
-    net::awaitable<std::optional<net::Reply>> request(std::string, std::string, std::string,
-                                                      double) override {
+    net::awaitable<std::optional<net::Response>> request(std::string, std::string, std::string,
+                                                         double) override {
         co_return std::nullopt;
     }
 };
@@ -927,21 +927,21 @@
             1);
         const auto record_request = [&](const std::string& method, const std::string& target,
                                         const std::string& body) {
-            std::optional<net::Reply> reply;
+            std::optional<net::Response> response;
             net::Request request{method, target, body};
             net::asio::co_spawn(
                 io,
                 [](controller::Controller& receiver, net::Request r,
-                   std::optional<net::Reply>& result) -> net::awaitable<void> {
+                   std::optional<net::Response>& result) -> net::awaitable<void> {
                     result = co_await receiver.handle_peer_request(std::move(r));
-                }(node, std::move(request), reply),
+                }(node, std::move(request), response),
                 net::asio::detached);
             io.restart();
-            while (!reply && io.poll() > 0) {
+            while (!response && io.poll() > 0) {
             }
-            const std::string answer =
-                reply ? std::to_string(reply->status) + " " + hex(reply->body) : std::string("none");
-            golden.put(method + " " + target + " " + hex(body), answer);
+            const std::string response_text =
+                response ? std::to_string(response->status) + " " + hex(response->body) : std::string("none");
+            golden.put(method + " " + target + " " + hex(body), response_text);
         };
         for (const auto* method : {"GET", "POST", "PUT"})
             for (const auto* target : {"/gossip", "/gossip?x=1", "/", "/submissions"})
@@ -1006,7 +1006,7 @@
         for (int i = 0; i < 50; ++i) {
             const auto batch = next_write_batch();
             if (!batch) return;
-            golden_.put("transaction", wire::commit_request(batch->txn));
+            golden_.put("transaction", wire::commit_request(batch->transaction));
             apply_batch(*batch);
         }
     }
--- a/tests/leader_simulator.cpp
+++ b/tests/leader_simulator.cpp
@@ -145,15 +145,17 @@
 
 bool LeaderSimulator::apply_batch(const cluster::WriteBatch& batch) {
     std::string keys;
-    for (const auto& change : batch.txn.changes) keys += (change.value ? " +" : " -") + change.key.substr(3);
-    const auto revision = store.commit(batch.txn);
+    for (const auto& change : batch.transaction.changes)
+        keys += (change.value ? " +" : " -") + change.key.substr(3);
+    const auto revision = store.commit(batch.transaction);
     note("commit " + keys + (revision ? "" : ": refused"));
-    for (const auto& change : batch.txn.changes)
+    for (const auto& change : batch.transaction.changes)
         if (change.value) {
             EXPECT_LE(boost::json::serialize(*change.value).size(), config.value_kb * 1024);
         }
-    EXPECT_LE(batch.txn.changes.size(), static_cast<std::size_t>(config.max_transaction_changes));
-    EXPECT_LE(batch.txn.conditions.size(), 4 * static_cast<std::size_t>(config.max_transaction_changes));
+    EXPECT_LE(batch.transaction.changes.size(), static_cast<std::size_t>(config.max_transaction_changes));
+    EXPECT_LE(batch.transaction.conditions.size(),
+              4 * static_cast<std::size_t>(config.max_transaction_changes));
     if (!revision) return false;
     leader_state_->apply_commit(batch, *revision, now, wall_ms());
     for (const auto& finished_job : batch.finished_jobs)
@@ -213,12 +215,12 @@
 
 std::vector<Command> LeaderSimulator::send_heartbeat(const std::string& id, bool lost_response) {
     Worker& worker = workers.at(id);
-    const bool fresh = leader_state_->apply_heartbeat(next_heartbeat(worker), now);
-    const auto commands = fresh ? leader_state_->commands_for(id, true, now) : std::vector<Command>{};
+    const bool applied = leader_state_->apply_heartbeat(next_heartbeat(worker), now);
+    const auto commands = applied ? leader_state_->commands_for(id, true, now) : std::vector<Command>{};
     std::string line = "report  " + id + " (" + std::to_string(worker.agent_epoch) + "," +
                        std::to_string(worker.sequence) + ")";
     for (const auto& task : worker.tasks) line += " " + describe(task);
-    note(line + (fresh ? "" : " is stale"));
+    note(line + (applied ? "" : " is stale"));
     for (const auto& command : commands)
         note("answer  " + id + ": " + describe(command) + (lost_response ? " (lost)" : ""));
     if (!lost_response) execute(worker, commands, leader_state_->fencing_token());
--- a/tests/lease_guard_test.cpp
+++ b/tests/lease_guard_test.cpp
@@ -13,22 +13,22 @@
     guard.confirm_cancellations_until(100);
     guard.lease_renewed(100);  // valid until 104.5
     const store::StoreOutage outage{101, 106};
-    EXPECT_FALSE(guard.should_step_down(104, outage, {{103, 0.5}, {-1, 0}}));
+    EXPECT_FALSE(guard.is_isolated(104, outage, {{103, 0.5}, {-1, 0}}));
     // The store served the peer after this controller's outage began, but possibly before the lease expired.
     // The store may since have failed for all controllers, and then no other controller can lead.
-    EXPECT_FALSE(guard.should_step_down(106.1, outage, {{105, 0.5}, {-1, 0}}));
-    EXPECT_TRUE(guard.should_step_down(107, {101, 106.95}, {{106, 0.2}, {-1, 0}}));
-    EXPECT_FALSE(guard.should_step_down(110, {101, 109.9}, {{109, 9}, {109, 8}}));
+    EXPECT_FALSE(guard.is_isolated(106.1, outage, {{105, 0.5}, {-1, 0}}));
+    EXPECT_TRUE(guard.is_isolated(107, {101, 106.95}, {{106, 0.2}, {-1, 0}}));
+    EXPECT_FALSE(guard.is_isolated(110, {101, 109.9}, {{109, 9}, {109, 8}}));
     // No peer has responded lately, but the grace period of 4 s lasts until 108.5.
-    EXPECT_FALSE(guard.should_step_down(108, {101, 107.9}, {{100, 0.5}, {-1, 0}}));
-    EXPECT_TRUE(guard.should_step_down(109, {101, 108.9}, {{100, 0.5}, {-1, 0}}));
-    EXPECT_FALSE(guard.should_step_down(200, outage, {}));  // there is no other controller
+    EXPECT_FALSE(guard.is_isolated(108, {101, 107.9}, {{100, 0.5}, {-1, 0}}));
+    EXPECT_TRUE(guard.is_isolated(109, {101, 108.9}, {{100, 0.5}, {-1, 0}}));
+    EXPECT_FALSE(guard.is_isolated(200, outage, {}));  // there is no other controller
     // A peer's contact with the store shortly before an outage for all controllers proves nothing, however
     // recent it is: the store served the peer before this controller's outage began.
-    EXPECT_FALSE(guard.should_step_down(105, {102, 104.9}, {{103.5, 1.6}, {103.6, 1.7}}));
+    EXPECT_FALSE(guard.is_isolated(105, {102, 104.9}, {{103.5, 1.6}, {103.6, 1.7}}));
     // A contact shortly after the outage proves nothing either: this controller's next request may succeed,
     // too.
-    EXPECT_FALSE(guard.should_step_down(130, {102, 129.7}, {{129.6, 0.1}, {129.6, 0.1}}));
+    EXPECT_FALSE(guard.is_isolated(130, {102, 129.7}, {{129.6, 0.1}, {129.6, 0.1}}));
 }
 
 // A lease starts when its renewal request was sent. Without a valid lease, no task starts.
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -13,18 +13,18 @@
 namespace pineroad::test {
 namespace {
 
-using net::Reply;
 using net::Request;
+using net::Response;
 
 // A server with the given limits, and clients that each keep one connection to it.
 class ServerWithClients {
    public:
     explicit ServerWithClients(net::HttpServer::Limits limits)
         : server_(io_.get_executor(), {"127.0.0.1", 0}, std::move(limits),
-                  [](Request request) -> net::awaitable<Reply> {
-                      Reply reply{200, "{}"};
-                      if (request.target == "/large") reply.body.assign(5000, ' ');
-                      co_return reply;
+                  [](Request request) -> net::awaitable<Response> {
+                      Response response{200, "{}"};
+                      if (request.target == "/large") response.body.assign(5000, ' ');
+                      co_return response;
                   }) {
         server_.start();
     }
@@ -32,18 +32,18 @@
         return std::make_unique<net::HttpClient>(io_.get_executor(),
                                                  config::Endpoint{"127.0.0.1", server_.port()}, 4000);
     }
-    std::optional<Reply> send_request(net::HttpClient& client, const std::string& target) {
-        std::optional<Reply> reply;
-        bool answered = false;
+    std::optional<Response> send_request(net::HttpClient& client, const std::string& target) {
+        std::optional<Response> response;
+        bool completed = false;
         net::asio::co_spawn(
             io_,
             [&]() -> net::awaitable<void> {
-                reply = co_await client.request("GET", target, {}, 10);
-                answered = true;
+                response = co_await client.request("GET", target, {}, 10);
+                completed = true;
             },
             net::asio::detached);
-        while (!answered) io_.run_one();
-        return reply;
+        while (!completed) io_.run_one();
+        return response;
     }
 
    private:
@@ -53,7 +53,7 @@
 
 net::HttpServer::Limits small_limits() {
     net::HttpServer::Limits limits;
-    limits.connections = 5, limits.max_ordinary_connections = 2;
+    limits.max_connections = 5, limits.max_ordinary_connections = 2;
     limits.first_request_timeout_s = limits.prioritized_idle_timeout_s = limits.ordinary_idle_timeout_s = 60;
     limits.is_prioritized = [](const std::string& target) { return target == "/checkin"; };
     return limits;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -28,10 +28,10 @@
     for (int round = 0; round < 40; ++round) {
         simulator.plan();
         while (const auto batch = simulator.next_write_batch()) {
-            ASSERT_LE(batch->txn.changes.size(),
+            ASSERT_LE(batch->transaction.changes.size(),
                       static_cast<std::size_t>(simulator.config.max_transaction_changes));
-            ++commits, changes += batch->txn.changes.size();
-            const auto revision = simulator.store.commit(batch->txn);
+            ++commits, changes += batch->transaction.changes.size();
+            const auto revision = simulator.store.commit(batch->transaction);
             if (!revision) break;  // a final record: the store holds no record of these jobs
             simulator.leader_state().apply_commit(*batch, *revision, simulator.now, simulator.wall_ms());
         }
--- a/tests/simulated_machine.hpp
+++ b/tests/simulated_machine.hpp
@@ -45,7 +45,7 @@
     double lease_renewed_at = 0, next_heartbeat_at = 0;
     double heartbeat_sent_at = -1;       ///< negative: no heartbeat awaits its response
     bool has_unreported_change = false;  ///< since the last heartbeat
-    std::shared_ptr<std::optional<net::Reply>> heartbeat_response;
+    std::shared_ptr<std::optional<net::Response>> heartbeat_response;
     /// Direct commands received while hung: the sending controller and the request body.
     std::vector<std::pair<int, std::string>> queued_direct_commands;
 
--- a/tests/store_simulator.cpp
+++ b/tests/store_simulator.cpp
@@ -10,11 +10,11 @@
 
 namespace json = boost::json;
 namespace records = wire::records;
-using net::Reply;
+using net::Response;
 
 namespace {
 
-Reply reply(int status, const json::object& body = {}) {
+Response make_response(int status, const json::object& body = {}) {
     return {status, json::serialize(body)};
 }
 
@@ -27,8 +27,8 @@
     return target.substr(value_position, target.find('&', value_position) - value_position);
 }
 
-Reply StoreSimulator::answer(const std::string& method, const std::string& target, const std::string& body,
-                             double now) {
+Response StoreSimulator::handle_request(const std::string& method, const std::string& target,
+                                        const std::string& body, double now) {
     static const std::string leases = "/leases/", keys = "/store/";
     if (target == wire::commit_path) return commit(body);
     if (target == "/leases") return grant_lease(body, now);
@@ -42,20 +42,20 @@
 
 // --- leases ------------------------------------------------------------------------------------------------
 
-Reply StoreSimulator::grant_lease(const std::string& body, double now) {
+Response StoreSimulator::grant_lease(const std::string& body, double now) {
     const double ttl_s = json::parse(body).at("TtlMs").to_number<double>() / 1000;
     leases_[next_lease_id_] = {now + ttl_s, ttl_s};
-    return reply(200, {{"Permit", next_lease_id_++}});
+    return make_response(200, {{"Permit", next_lease_id_++}});
 }
 
-Reply StoreSimulator::renew_or_end_lease(const std::string& method, std::uint64_t id, double now) {
+Response StoreSimulator::renew_or_end_lease(const std::string& method, std::uint64_t id, double now) {
     const auto lease = leases_.find(id);
-    if (lease == leases_.end()) return reply(404);
+    if (lease == leases_.end()) return make_response(404);
     if (method == "DELETE")
         end_lease(id);
     else
         lease->second.expires_at = now + lease->second.ttl_s;
-    return reply(200);
+    return make_response(200);
 }
 
 void StoreSimulator::end_lease(std::uint64_t id) {
@@ -119,18 +119,19 @@
     change_log_.push_back({{"Write", key}, {"Value", change.at("Value")}, {"Stamp", revision_}});
 }
 
-Reply StoreSimulator::commit(const std::string& body) {
+Response StoreSimulator::commit(const std::string& body) {
     const auto transaction = json::parse(body);
     if (!within_limits(transaction)) {
         ++oversized_commits;
-        return reply(400, {{"error", "a limit is exceeded"}});
+        return make_response(400, {{"error", "a limit is exceeded"}});
     }
     const auto failed = failed_conditions(transaction);
-    if (uses_unknown_lease(transaction)) return reply(400, {{"error", "no such lease"}});
-    if (!failed.empty()) return reply(409, {{"failed", json::value_from(failed)}, {"Epoch", revision_}});
+    if (uses_unknown_lease(transaction)) return make_response(400, {{"error", "no such lease"}});
+    if (!failed.empty())
+        return make_response(409, {{"failed", json::value_from(failed)}, {"Epoch", revision_}});
     ++revision_;
     for (const auto& change : transaction.at("Apply").as_array()) apply(change);
-    return reply(200, {{"Epoch", revision_}});
+    return make_response(200, {{"Epoch", revision_}});
 }
 
 void StoreSimulator::delete_row(const std::string& key) {
@@ -139,25 +140,26 @@
 
 // --- reads -------------------------------------------------------------------------------------------------
 
-Reply StoreSimulator::changes_since(std::uint64_t revision) const {
+Response StoreSimulator::changes_since(std::uint64_t revision) const {
     json::array events;
     for (const auto& change : change_log_)
         if (change.at("Stamp").to_number<std::uint64_t>() > revision) events.push_back(change);
-    return reply(200, {{"Epoch", revision_}, {"Events", events}});
+    return make_response(200, {{"Epoch", revision_}, {"Events", events}});
 }
 
-Reply StoreSimulator::list(const std::string& prefix, const std::string& after) const {
+Response StoreSimulator::list(const std::string& prefix, const std::string& after) const {
     json::array rows;
     for (const auto& [key, row] : rows_)
         if (key.starts_with(prefix) && key > after)
             rows.push_back(json::object{{"Key", key}, {"Value", row.value}, {"Stamp", row.mod_revision}});
-    return reply(200, {{"Rows", rows}, {"Truncated", false}, {"Epoch", revision_}});
+    return make_response(200, {{"Rows", rows}, {"Truncated", false}, {"Epoch", revision_}});
 }
 
-Reply StoreSimulator::read(const std::string& key) const {
+Response StoreSimulator::read(const std::string& key) const {
     const auto row = rows_.find(key);
-    if (row == rows_.end()) return reply(404, {{"Epoch", revision_}});
-    return reply(200, {{"Key", key}, {"Value", row->second.value}, {"Stamp", row->second.mod_revision}});
+    if (row == rows_.end()) return make_response(404, {{"Epoch", revision_}});
+    return make_response(200,
+                         {{"Key", key}, {"Value", row->second.value}, {"Stamp", row->second.mod_revision}});
 }
 
 std::size_t StoreSimulator::count_rows_with_prefix(std::string_view prefix) const {
--- a/tests/store_simulator.hpp
+++ b/tests/store_simulator.hpp
@@ -23,8 +23,8 @@
     };
 
     /// Executes a request and returns the response.
-    net::Reply answer(const std::string& method, const std::string& target, const std::string& body,
-                      double now);
+    net::Response handle_request(const std::string& method, const std::string& target,
+                                 const std::string& body, double now);
     /// Returns a query parameter of a request target, or an empty string if it is missing.
     static std::string query_parameter(const std::string& target, const std::string& name);
     [[nodiscard]] bool has_changes_since(std::uint64_t revision) const { return revision_ > revision; }
@@ -53,16 +53,16 @@
     struct Lease {
         double expires_at = 0, ttl_s = 0;
     };
-    net::Reply commit(const std::string& body);
+    net::Response commit(const std::string& body);
     [[nodiscard]] bool within_limits(const wire::Json& transaction) const;
     [[nodiscard]] bool uses_unknown_lease(const wire::Json& transaction) const;
     [[nodiscard]] std::vector<std::string> failed_conditions(const wire::Json& transaction) const;
     void apply(const wire::Json& change);
-    net::Reply grant_lease(const std::string& body, double now);
-    net::Reply renew_or_end_lease(const std::string& method, std::uint64_t id, double now);
-    [[nodiscard]] net::Reply changes_since(std::uint64_t revision) const;
-    [[nodiscard]] net::Reply list(const std::string& prefix, const std::string& after) const;
-    [[nodiscard]] net::Reply read(const std::string& key) const;
+    net::Response grant_lease(const std::string& body, double now);
+    net::Response renew_or_end_lease(const std::string& method, std::uint64_t id, double now);
+    [[nodiscard]] net::Response changes_since(std::uint64_t revision) const;
+    [[nodiscard]] net::Response list(const std::string& prefix, const std::string& after) const;
+    [[nodiscard]] net::Response read(const std::string& key) const;
     void end_lease(std::uint64_t id);
     void delete_row(const std::string& key);
 
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -119,7 +119,7 @@
     bool written_whole = false;
     const auto first = simulator.next_write_batch();
     ASSERT_TRUE(first);
-    for (const auto& change : first->txn.changes) {
+    for (const auto& change : first->transaction.changes) {
         if (!change.value || !records::strip_prefix(change.key, records::segment_prefix)) continue;
         const auto segment = records::parse_segment(*change.value);
         for (const auto& [entry, progress] : segment->entries) {
--- a/tests/worker_simulator.cpp
+++ b/tests/worker_simulator.cpp
@@ -187,10 +187,10 @@
         if (now - machine.heartbeat_sent_at < response_timeout_s) return;
         machine.controller = (machine.controller + 1) % cluster_.controllers();
         machine.next_heartbeat_at = now + next_controller_delay_s;
-    } else if (const auto& reply = **machine.heartbeat_response; reply.status == 200) {
-        apply_response(machine, json::parse(reply.body));
+    } else if (const auto& response = **machine.heartbeat_response; response.status == 200) {
+        apply_response(machine, json::parse(response.body));
     } else {
-        follow_redirect(machine, reply);
+        follow_redirect(machine, response);
     }
     machine.heartbeat_response.reset();
     machine.heartbeat_sent_at = -1;
@@ -206,11 +206,11 @@
 }
 
 // Switches to the next controller after a delay, or to the leader at once if the response names it.
-void WorkerSimulator::follow_redirect(SimulatedMachine& machine, const net::Reply& reply) const {
+void WorkerSimulator::follow_redirect(SimulatedMachine& machine, const net::Response& response) const {
     machine.controller = (machine.controller + 1) % cluster_.controllers();
     machine.next_heartbeat_at = cluster_.now() + next_controller_delay_s;
-    if (reply.status != 421) return;
-    const auto error_body = json::parse(reply.body);
+    if (response.status != 421) return;
+    const auto error_body = json::parse(response.body);
     const auto* leader_name = error_body.as_object().if_contains("Foreman");
     if (!leader_name) return;
     const int leader = leader_name->as_string().back() - '0';
@@ -265,8 +265,8 @@
     }
 }
 
-std::optional<net::Reply> WorkerSimulator::handle_direct_command(int controller, const std::string& id,
-                                                                 const std::string& body) {
+std::optional<net::Response> WorkerSimulator::handle_direct_command(int controller, const std::string& id,
+                                                                    const std::string& body) {
     const auto found = machines.find(id);
     if (found == machines.end()) return std::nullopt;
     auto& machine = found->second;
@@ -280,22 +280,22 @@
     ++machine.sequence;
     if (fencing_token < machine.fencing_token ||
         command.at("Stint").to_number<std::uint64_t>() != machine.agent_epoch)
-        return net::Reply{409, heartbeat_body(machine)};
+        return net::Response{409, heartbeat_body(machine)};
     machine.fencing_token = fencing_token;
     execute(machine, command);
-    return net::Reply{200, heartbeat_body(machine)};
+    return net::Response{200, heartbeat_body(machine)};
 }
 
 // --- the cloud ---------------------------------------------------------------------------------------------
 
-net::Reply WorkerSimulator::handle_cloud_request(const std::string& method, const std::string& target,
-                                                 const std::string& body) {
+net::Response WorkerSimulator::handle_cloud_request(const std::string& method, const std::string& target,
+                                                    const std::string& body) {
     if (method == "GET") return list_machines();
     const auto request = json::parse(body);
     return target == wire::release_path ? release_machines(request) : provision_machines(request);
 }
 
-net::Reply WorkerSimulator::list_machines() const {
+net::Response WorkerSimulator::list_machines() const {
     json::array hosts;
     for (const auto& [id, machine] : machines)
         hosts.push_back(json::object{{"NameId", id},
@@ -308,13 +308,13 @@
     return {200, json::serialize(json::object{{"Hosts", hosts}, {"Truncated", false}})};
 }
 
-net::Reply WorkerSimulator::release_machines(const wire::Json& request) {
+net::Response WorkerSimulator::release_machines(const wire::Json& request) {
     for (const auto& id : request.at("Hosts").as_array()) machines.erase(std::string(id.as_string()));
     return {200, "{}"};
 }
 
 // Idempotent: a repeated request returns the machines of the first one.
-net::Reply WorkerSimulator::provision_machines(const wire::Json& request) {
+net::Response WorkerSimulator::provision_machines(const wire::Json& request) {
     auto& machine_ids = machines_by_request_[std::string(request.at("Hire").as_string())];
     const bool is_repeat = !machine_ids.empty();
     for (auto remaining = request.at("Count").to_number<int>();
--- a/tests/worker_simulator.hpp
+++ b/tests/worker_simulator.hpp
@@ -26,10 +26,10 @@
     void step(double seconds);
     /// Delivers direct commands (/do) of a controller. Returns nothing if the machine is unreachable or hung;
     /// a hung machine executes them when it resumes.
-    std::optional<net::Reply> handle_direct_command(int controller, const std::string& machine,
-                                                    const std::string& body);
-    net::Reply handle_cloud_request(const std::string& method, const std::string& target,
-                                    const std::string& body);
+    std::optional<net::Response> handle_direct_command(int controller, const std::string& machine,
+                                                       const std::string& body);
+    net::Response handle_cloud_request(const std::string& method, const std::string& target,
+                                       const std::string& body);
 
     /// Returns whether a task of the job is on a machine and has not ended.
     [[nodiscard]] bool has_live_task_of(const std::string& job) const;
@@ -68,16 +68,16 @@
     void send_heartbeat(SimulatedMachine& machine);
     void receive_response(SimulatedMachine& machine);
     void apply_response(SimulatedMachine& machine, const wire::Json& response);
-    void follow_redirect(SimulatedMachine& machine, const net::Reply& reply) const;
+    void follow_redirect(SimulatedMachine& machine, const net::Response& response) const;
     void execute(SimulatedMachine& machine, const wire::Json& message);
     void execute_start(SimulatedMachine& machine, const model::TaskId& id, std::uint64_t attempt);
     void execute_stop(SimulatedTask& task, double grace_s);
     [[nodiscard]] double run_time_of(const model::TaskId& task) const;
     [[nodiscard]] bool can_communicate(const SimulatedMachine& machine, int controller) const;
     [[nodiscard]] static std::string heartbeat_body(const SimulatedMachine& machine);
-    [[nodiscard]] net::Reply list_machines() const;
-    net::Reply release_machines(const wire::Json& request);
-    net::Reply provision_machines(const wire::Json& request);
+    [[nodiscard]] net::Response list_machines() const;
+    net::Response release_machines(const wire::Json& request);
+    net::Response provision_machines(const wire::Json& request);
 
     ClusterSimulator& cluster_;
     std::deque<DelayedHeartbeat> delayed_heartbeats_;
