--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -52,7 +52,7 @@
 }  // namespace
 
 net::Response to_error_response(const AdmissionError& error) {
-    return {error.status, wire::error_response(error.text), error.retry_after_s, error.close_connection};
+    return {error.status, wire::error_response(error.message), error.retry_after_s, error.close_connection};
 }
 
 AdmissionError Admission::retry_later_error(std::string_view reason) {
--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -30,7 +30,7 @@
 struct AdmissionError {
     AdmissionErrorKind kind = AdmissionErrorKind::malformed;
     int status = 400;
-    std::string text;
+    std::string message;
     int retry_after_s = 0;          // 0: no header
     bool close_connection = false;  // after the response
 };
--- a/src/api/load_shedding.cpp
+++ b/src/api/load_shedding.cpp
@@ -14,15 +14,15 @@
 
 bool LoadShedding::submissions_overloaded() const {
     return event_loop_lag_.lag_s() > c::max_lag_for_submissions_s ||
-           submissions_ >= c::max_inflight_submissions;
+           submissions_ >= c::max_submissions_in_flight;
 }
 
 bool LoadShedding::cancellations_overloaded() const {
-    return event_loop_lag_.lag_s() > c::max_lag_for_polls_s || submissions_ >= c::max_inflight_submissions;
+    return event_loop_lag_.lag_s() > c::max_lag_for_polls_s || submissions_ >= c::max_submissions_in_flight;
 }
 
 bool LoadShedding::polls_overloaded() const {
-    return event_loop_lag_.lag_s() > c::max_lag_for_polls_s || polls_ >= c::max_inflight_polls;
+    return event_loop_lag_.lag_s() > c::max_lag_for_polls_s || polls_ >= c::max_polls_in_flight;
 }
 
 // A controller that the store does not serve, or that is overloaded, also closes the connection, so that the
--- a/src/api/router.cpp
+++ b/src/api/router.cpp
@@ -31,8 +31,8 @@
     return reads ? "GET" : "POST";
 }
 
-Router::Router(UserApi& users, WorkerApi& workers, const HealthCheck& health)
-    : users_(users), workers_(workers), health_(health) {}
+Router::Router(UserApi& user_api, WorkerApi& worker_api, const HealthCheck& health_check)
+    : user_api_(user_api), worker_api_(worker_api), health_check_(health_check) {}
 
 net::awaitable<Response> Router::handle(net::Request request) {
     auto route = parse_route(request.target);
@@ -41,15 +41,15 @@
         co_return Response{405, wire::error_response("method not allowed")};
     switch (route.endpoint) {
         case Endpoint::heartbeat:
-            co_return co_await workers_.heartbeat(std::move(request.body));
+            co_return co_await worker_api_.heartbeat(std::move(request.body));
         case Endpoint::health:
-            co_return health_.check();
+            co_return health_check_.check();
         case Endpoint::submit:
-            co_return co_await users_.submit(std::move(request.body));
+            co_return co_await user_api_.submit(std::move(request.body));
         case Endpoint::poll:
-            co_return co_await users_.poll(std::move(route.job));
+            co_return co_await user_api_.poll(std::move(route.job));
         case Endpoint::cancel:
-            co_return co_await users_.cancel(std::move(route.job));
+            co_return co_await user_api_.cancel(std::move(route.job));
         case Endpoint::none:
             break;
     }
--- a/src/api/router.hpp
+++ b/src/api/router.hpp
@@ -30,15 +30,15 @@
 class Router {
    public:
     // All of these must outlive the router.
-    Router(UserApi& users, WorkerApi& workers, const HealthCheck& health);
+    Router(UserApi& user_api, WorkerApi& worker_api, const HealthCheck& health_check);
     // Handles a request from a user, a worker or the balancer. Returns 404 for an unknown path and 405 for a
     // wrong method.
     net::awaitable<net::Response> handle(net::Request request);
 
    private:
-    UserApi& users_;
-    WorkerApi& workers_;
-    const HealthCheck& health_;
+    UserApi& user_api_;
+    WorkerApi& worker_api_;
+    const HealthCheck& health_check_;
 };
 
 }  // namespace pineroad::api
--- a/src/cluster/command_delivery.cpp
+++ b/src/cluster/command_delivery.cpp
@@ -35,7 +35,7 @@
     Machine* machine = machines_.find(id);
     if (!machine) return commands;
     if (!machine->token_confirmed()) return stops_of_cancelled_jobs(*machine);
-    if (!add_forgets(*machine, commands)) return commands;
+    if (!add_forget_commands(*machine, commands)) return commands;
     for (const auto& task : machine->unknown_tasks)
         commands.push_back({Command::Kind::stop, task.task, task.attempt, 0});
     add_starts_and_stops(*machine, may_start_tasks && machines_.is_schedulable(*machine, now), commands);
@@ -58,12 +58,12 @@
 }
 
 // The worker may forget an exited task only once the exit that it reported is durable.
-bool CommandDelivery::add_forgets(Machine& machine, std::vector<Command>& commands) const {
+bool CommandDelivery::add_forget_commands(Machine& machine, std::vector<Command>& commands) const {
     for (const auto& exited : machine.exited_tasks) {
         const Job* job = std::as_const(jobs_).find(exited.task.job);
         if (job && durable_version_of_task(*job, exited.task.index) < exited.version) continue;
         commands.push_back({Command::Kind::forget, exited.task, exited.attempt, 0});
-        machine.sent_forgets.push_back({exited.task, exited.attempt});
+        machine.sent_forget_commands.push_back({exited.task, exited.attempt});
         if (commands.size() >= c::max_commands_per_response) return false;
     }
     return true;
--- a/src/cluster/command_delivery.hpp
+++ b/src/cluster/command_delivery.hpp
@@ -43,7 +43,7 @@
     // that must not run.
     [[nodiscard]] std::vector<model::Command> stops_of_cancelled_jobs(const Machine& machine) const;
     // Adds commands to forget exited tasks. Returns false if no more commands fit.
-    bool add_forgets(Machine& machine, std::vector<model::Command>& commands) const;
+    bool add_forget_commands(Machine& machine, std::vector<model::Command>& commands) const;
     // Adds durable starts, and stops.
     void add_starts_and_stops(Machine& machine, bool may_start_tasks,
                               std::vector<model::Command>& commands) const;
--- a/src/cluster/failure_detector.cpp
+++ b/src/cluster/failure_detector.cpp
@@ -25,7 +25,7 @@
             return "silent while others report";
         case ReleaseReason::silent_past_lease:
             return "silent past its lease";
-        case ReleaseReason::never_showed_token:
+        case ReleaseReason::never_confirmed_token:
             return "reports, but never showed this term's token";
         case ReleaseReason::quarantined:
             return "quarantined";
@@ -53,8 +53,8 @@
 }
 
 void FailureDetector::detect() {
-    const ContactCounts contact = count_contacts();
-    commands_reach_most_machines_ = contact.commands_reach_most();
+    const ContactCounts contact_counts = count_contacts();
+    commands_reach_most_machines_ = contact_counts.commands_reach_most();
     for (auto& [id, machine] : machines_.all()) {
         if (machine.releasing) continue;
         // Without responses, its lease would have expired by now and its agent would have started a new
@@ -63,7 +63,8 @@
         if (machine.unacknowledged.is_partitioned() &&
             machine.last_heartbeat_s - machine.unacknowledged.latest_at_s > context_.settings.worker_lease_s)
             machine.unacknowledged.reset();
-        if (const auto reason = release_reason(machine, contact.most_in_contact())) release(machine, *reason);
+        if (const auto reason = release_reason(machine, contact_counts.most_in_contact()))
+            release(machine, *reason);
     }
     withdraw_unsent_starts();
     machines_.released().expire(context_.now_s);
@@ -75,16 +76,16 @@
 }
 
 FailureDetector::ContactCounts FailureDetector::count_contacts() const {
-    ContactCounts contact;
+    ContactCounts contact_counts;
     for (const auto& [id, machine] : machines_.all()) {
         if (!machine.has_reported()) continue;
-        ++contact.reporting;
+        ++contact_counts.reporting;
         if (context_.now_s - machine.last_heartbeat_s < 2 * context_.settings.heartbeat_period_s)
-            ++contact.in_contact;
+            ++contact_counts.in_contact;
         if (machine.unacknowledged.heartbeats > 0 || machine.older_token_since_s)
-            ++contact.not_receiving_commands;
+            ++contact_counts.not_receiving_commands;
     }
-    return contact;
+    return contact_counts;
 }
 
 double FailureDetector::detection_timeout_s() const {
@@ -117,7 +118,7 @@
     if (silent_s > lease_timeout_s()) return ReleaseReason::silent_past_lease;
     if (commands_reach_most_machines_ && machine.older_token_since_s &&
         now - *machine.older_token_since_s > context_.settings.worker_lease_s)
-        return ReleaseReason::never_showed_token;
+        return ReleaseReason::never_confirmed_token;
     if (machine.quarantined && (machine.tasks.empty() || silent_s > detection_timeout_s()))
         return ReleaseReason::quarantined;
     return std::nullopt;
--- a/src/cluster/failure_detector.hpp
+++ b/src/cluster/failure_detector.hpp
@@ -17,7 +17,7 @@
     unlisted_and_silent,         // the cloud no longer lists it, and no heartbeat arrives
     silent_while_others_report,  // no heartbeat arrives while most machines report
     silent_past_lease,           // no heartbeat arrived for longer than its lease
-    never_showed_token,          // its heartbeats never carried this term's fencing token
+    never_confirmed_token,       // its heartbeats never carried this term's fencing token
     quarantined,                 // its tasks fail
     unreported_with_tasks,       // has tasks of an earlier term, and has not reported in this term
     unlisted_with_tasks,         // has tasks of an earlier term, and the cloud no longer lists it
--- a/src/cluster/heartbeat_reconciler.cpp
+++ b/src/cluster/heartbeat_reconciler.cpp
@@ -68,8 +68,8 @@
     for (const auto& task : heartbeat.tasks)
         if (Job* job = apply_task(machine, task, acknowledgement)) reported.push_back({job, task.task.index});
     handle_missing_placements(machine, reported, acknowledgement);
-    acknowledgement.acknowledged |= !machine.sent_forgets.empty() && !acknowledgement.ignored;
-    machine.sent_forgets.clear();
+    acknowledgement.acknowledged |= !machine.sent_forget_commands.empty() && !acknowledgement.ignored;
+    machine.sent_forget_commands.clear();
     record_acknowledgement(machine, acknowledgement);
 }
 
@@ -107,9 +107,10 @@
 void HeartbeatReconciler::apply_exit(Machine& machine, Job* job, bool is_placed_here,
                                      const model::ReportedTask& task,
                                      CommandAcknowledgement& acknowledgement) {
-    const SentForget forget{task.task, task.attempt};
-    acknowledgement.ignored |= std::find(machine.sent_forgets.begin(), machine.sent_forgets.end(), forget) !=
-                               machine.sent_forgets.end();
+    const SentForgetCommand forget{task.task, task.attempt};
+    acknowledgement.ignored |=
+        std::find(machine.sent_forget_commands.begin(), machine.sent_forget_commands.end(), forget) !=
+        machine.sent_forget_commands.end();
     if (is_placed_here)
         task_lifecycle_.handle_exit(*job, task, machine);
     else if (job)
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -44,10 +44,10 @@
 };
 
 // A command to forget an exited task, sent with the latest response.
-struct SentForget {
+struct SentForgetCommand {
     model::TaskId task;
     std::uint64_t attempt = 0;
-    bool operator==(const SentForget&) const = default;
+    bool operator==(const SentForgetCommand&) const = default;
 };
 
 // An image that the machine has cached or is fetching, as inferred from its placements.
@@ -93,7 +93,7 @@
     // Command delivery: sent by CommandDelivery, acknowledged in the HeartbeatReconciler, evaluated by the
     // FailureDetector.
     UnacknowledgedCommands unacknowledged;
-    std::vector<SentForget> sent_forgets;
+    std::vector<SentForgetCommand> sent_forget_commands;
 
     // Cloud state: written by the MachineLifecycle, except `releasing`, which only the FailureDetector
     // writes.
--- a/src/cluster/planner.cpp
+++ b/src/cluster/planner.cpp
@@ -26,7 +26,7 @@
 void Planner::update_smallest_request(const DemandByClass& demand) {
     smallest_recent_request_.reset();
     for (const auto& [job_class, recent] : demand) {
-        const auto& request = recent.sample.task_resources;
+        const auto& request = recent.sample_job.task_resources;
         if (!smallest_recent_request_ || request.cpus < smallest_recent_request_->cpus)
             smallest_recent_request_ = request;
     }
--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -109,9 +109,9 @@
 // Job outcomes kept in memory, of about 60 bytes each.
 inline constexpr std::size_t max_cached_outcomes = 20000;
 // Maximum number of submissions and cancellations that are processed at once.
-inline constexpr std::size_t max_inflight_submissions = 200;
+inline constexpr std::size_t max_submissions_in_flight = 200;
 // Maximum number of polls that are processed at once.
-inline constexpr std::size_t max_inflight_polls = 400;
+inline constexpr std::size_t max_polls_in_flight = 400;
 // Load shedding by event loop lag: submissions are rejected above the first value, polls also above the
 // second. Heartbeats are never rejected.
 inline constexpr double max_lag_for_submissions_s = 0.4;
@@ -185,7 +185,7 @@
 // Maximum number of stop commands in flight to workers. A round may stop hundreds of tasks, and a machine
 // that hangs occupies its connection until the timeout: even if all of these hang, a gang of 32 still
 // receives its stops within two seconds.
-inline constexpr std::size_t max_inflight_direct_commands = 64;
+inline constexpr std::size_t max_direct_commands_in_flight = 64;
 // Maximum number of machines with unsent stop commands; dropped ones are sent in heartbeat responses instead.
 inline constexpr std::size_t max_queued_direct_commands = 4096;
 // Maximum number of commands in one heartbeat response: a line has at most 64 KiB.
--- a/src/controller/leader_loops.cpp
+++ b/src/controller/leader_loops.cpp
@@ -76,7 +76,7 @@
     auto dispatcher = std::make_shared<DirectCommandDispatcher>(
         leader->term,
         DirectCommandDispatcher::Dependencies{io, dependencies_.client_factory, dependencies_.settings,
-                                              dependencies_.max_inflight_direct_commands});
+                                              dependencies_.max_direct_commands_in_flight});
     spawn(io, commit_loop_.run(leader));
     spawn(io, planning_loop_.run(leader, std::move(dispatcher)));
     spawn(io, provisioning_loops_.poll_machine_list(leader));
--- a/src/controller/leader_loops.hpp
+++ b/src/controller/leader_loops.hpp
@@ -36,7 +36,7 @@
         const config::Settings& settings;
         const config::Tuning& tuning;
         const net::ClientFactory& client_factory;
-        std::size_t max_inflight_direct_commands;
+        std::size_t max_direct_commands_in_flight;
         store::StoreClient& store;
         store::WatchCache& watch_cache;
         store::LinearizableRead& linearizable_read;
--- a/src/net/socket_budget.cpp
+++ b/src/net/socket_budget.cpp
@@ -19,7 +19,7 @@
     SocketBudget out;
     out.users = std::max<std::size_t>(2, user_sockets);
     out.peer_api = std::clamp<std::size_t>(c::sockets_per_peer * peers, 1, eighth);
-    out.direct_commands = std::clamp<std::size_t>(c::max_inflight_direct_commands, 1, eighth);
+    out.direct_commands = std::clamp<std::size_t>(c::max_direct_commands_in_flight, 1, eighth);
     const auto to_peers = std::min(c::sockets_per_peer * peers, eighth);
     const auto to_store_and_cloud =
         std::min(2 * c::max_connections_per_endpoint + c::reserved_sockets, total_sockets / 4);
--- a/src/scheduling/autoscaling.cpp
+++ b/src/scheduling/autoscaling.cpp
@@ -69,10 +69,10 @@
     // Provides spare machines for classes whose objective for the start time is shorter than the boot time:
     // first adds idle machines to `kept_machines`, then claims expected ones, then requests machines.
     void provision_headroom(std::set<std::string>& kept_machines);
-    int keep_idle_machines(const model::JobSpec& sample, int missing,
+    int keep_idle_machines(const model::JobSpec& sample_job, int missing,
                            std::set<std::string>& kept_machines) const;
-    int claim_expected_machines(const model::JobSpec& sample, int missing);
-    void request_headroom(const model::JobSpec& sample, int missing);
+    int claim_expected_machines(const model::JobSpec& sample_job, int missing);
+    void request_headroom(const model::JobSpec& sample_job, int missing);
 
     void scale_in(const std::set<std::string>& kept_machines);
     [[nodiscard]] double idle_timeout_factor(const MachineSnapshot& machine) const;
@@ -271,19 +271,19 @@
 void AutoscalingRound::provision_headroom(std::set<std::string>& kept_machines) {
     for (const auto& [job_class, demand] : snapshot_.demand) {
         int missing = headroom_task_count(snapshot_, demand);
-        missing = keep_idle_machines(demand.sample, missing, kept_machines);
-        missing = claim_expected_machines(demand.sample, missing);
-        request_headroom(demand.sample, missing);
+        missing = keep_idle_machines(demand.sample_job, missing, kept_machines);
+        missing = claim_expected_machines(demand.sample_job, missing);
+        request_headroom(demand.sample_job, missing);
     }
 }
 
 // Keeps idle machines, which are the cheapest headroom. Returns how many are still missing.
-int AutoscalingRound::keep_idle_machines(const model::JobSpec& sample, int missing,
+int AutoscalingRound::keep_idle_machines(const model::JobSpec& sample_job, int missing,
                                          std::set<std::string>& kept_machines) const {
     for (const auto& machine : snapshot_.machines) {
         if (missing <= 0) break;
         if (!machine.ready || machine.busy || kept_machines.contains(machine.id)) continue;
-        if (!allowed_on(sample, machine) || !sample.task_resources.fits_in(machine.free)) continue;
+        if (!allowed_on(sample_job, machine) || !sample_job.task_resources.fits_in(machine.free)) continue;
         kept_machines.insert(machine.id);
         --missing;
     }
@@ -291,26 +291,26 @@
 }
 
 // Claims room for one task on each expected machine that has it. Returns how many are still missing.
-int AutoscalingRound::claim_expected_machines(const model::JobSpec& sample, int missing) {
+int AutoscalingRound::claim_expected_machines(const model::JobSpec& sample_job, int missing) {
     for (auto& machine : expected_machines_) {
         if (missing <= 0) break;
-        if (!allowed_on(sample, machine.type, machine.zone, machine.spot) ||
-            !sample.task_resources.fits_in(machine.free))
+        if (!allowed_on(sample_job, machine.type, machine.zone, machine.spot) ||
+            !sample_job.task_resources.fits_in(machine.free))
             continue;
-        machine.free -= sample.task_resources;
+        machine.free -= sample_job.task_resources;
         --missing;
     }
     return missing;
 }
 
-void AutoscalingRound::request_headroom(const model::JobSpec& sample, int missing) {
+void AutoscalingRound::request_headroom(const model::JobSpec& sample_job, int missing) {
     PendingJob arrival;
-    arrival.spec = &sample;
+    arrival.spec = &sample_job;
     for (; missing > 0; --missing) {
         const auto* pool = cheapest_pool(arrival, 1);
         if (!pool) break;
         request(*pool);
-        expected_machines_.back().free -= sample.task_resources;
+        expected_machines_.back().free -= sample_job.task_resources;
     }
 }
 
@@ -328,10 +328,10 @@
 double AutoscalingRound::idle_timeout_factor(const MachineSnapshot& machine) const {
     double factor = snapshot_.demand.empty() ? 1.0 : 0.0;
     for (const auto& [job_class, demand] : snapshot_.demand)
-        if (demand.arrivals_per_s > 0 && allowed_on(demand.sample, machine) &&
-            demand.sample.task_resources.fits_in(machine.free))
+        if (demand.arrivals_per_s > 0 && allowed_on(demand.sample_job, machine) &&
+            demand.sample_job.task_resources.fits_in(machine.free))
             factor =
-                std::max(factor, 1.0 / price_ratio(snapshot_, demand.sample, machine.type, machine.spot));
+                std::max(factor, 1.0 / price_ratio(snapshot_, demand.sample_job, machine.type, machine.spot));
     return factor;
 }
 
--- a/src/scheduling/reservation.cpp
+++ b/src/scheduling/reservation.cpp
@@ -104,7 +104,7 @@
     if (!demand.start_within_s) return 0;
     double boot_s = 0;
     for (const auto& pool : snapshot.pools)
-        if (can_run_on(demand.sample, pool)) boot_s = std::max(boot_s, pool.type->boot_s);
+        if (can_run_on(demand.sample_job, pool)) boot_s = std::max(boot_s, pool.type->boot_s);
     return static_cast<int>(std::lround(snapshot.tuning->headroom_factor * demand.arrivals_per_s *
                                         std::max(0.0, boot_s - *demand.start_within_s)));
 }
@@ -121,10 +121,10 @@
         if (const auto found = pending_tasks_by_class.find(job_class); found != pending_tasks_by_class.end())
             missing += found->second;
         if (missing <= 0) continue;
-        const auto pools = eligible_pools(snapshot, demand.sample);
+        const auto pools = eligible_pools(snapshot, demand.sample_job);
         for (const auto& [machine, pool] : usable_machines(snapshot, job_class, pools, pool_by_machine)) {
             if (missing <= 0) break;
-            missing -= std::max(1, task_capacity(demand.sample, snapshot.pools[pool].type->capacity));
+            missing -= std::max(1, task_capacity(demand.sample_job, snapshot.pools[pool].type->capacity));
             auto [entry, added] = reserved.try_emplace(machine->id, pools.count);
             entry->second = std::min(entry->second, pools.count);
         }
--- a/src/scheduling/snapshot.hpp
+++ b/src/scheduling/snapshot.hpp
@@ -79,7 +79,7 @@
 
 // Recent demand for one job class.
 struct ClassDemand {
-    model::JobSpec sample;                 // a recent job of the class
+    model::JobSpec sample_job;             // a recent job of the class
     double arrivals_per_s = 0;             // arrival rate of jobs
     std::optional<double> start_within_s;  // strictest objective for the start of its tasks
     double running_tasks = 0;              // its tasks that are on machines now
--- a/src/store/arrival_tracker.cpp
+++ b/src/store/arrival_tracker.cpp
@@ -26,7 +26,7 @@
     auto& job_class = classes_[spec.job_class];
     auto& arrivals = job_class.arrivals;
     if (arrivals.empty() && job_class.first_arrival == 0) job_class.first_arrival = now;
-    job_class.sample = spec;
+    job_class.sample_job = spec;
     arrivals.push_back(now);
     const double window_start = now - constants::demand_window_s;
     while (arrivals.size() > constants::max_arrivals_per_class ||
@@ -47,7 +47,7 @@
     std::map<std::string, scheduling::ClassDemand> demand;
     for (const auto& [name, job_class] : classes_) {
         auto& class_demand = demand[name];
-        class_demand.sample = job_class.sample;
+        class_demand.sample_job = job_class.sample_job;
         class_demand.arrivals_per_s = arrivals_per_s(job_class, now);
         class_demand.start_within_s = tightest_start_objective(settings, name);
     }
--- a/src/store/arrival_tracker.hpp
+++ b/src/store/arrival_tracker.hpp
@@ -28,7 +28,7 @@
    private:
     // The arrivals of one class.
     struct ClassArrivals {
-        model::JobSpec sample;        // the latest job of the class
+        model::JobSpec sample_job;    // the latest job of the class
         double first_arrival = 0;     // time of the first arrival; 0: none yet
         std::deque<double> arrivals;  // times, in ascending order
     };
--- a/tests/heartbeat_test.cpp
+++ b/tests/heartbeat_test.cpp
@@ -122,10 +122,10 @@
     EXPECT_FALSE(simulator.leader_state().has_free_capacity(
         "m-1", simulator.now));  // no task that fits was submitted recently
     scheduling::ClassDemand demand;
-    demand.sample = array_job("j-2", 1);
+    demand.sample_job = array_job("j-2", 1);
     simulator.leader_state().plan(simulator.now, simulator.wall_ms(), {{"small", demand}});
     EXPECT_TRUE(simulator.leader_state().has_free_capacity("m-1", simulator.now));
-    demand.sample.task_resources.cpus = 31;
+    demand.sample_job.task_resources.cpus = 31;
     simulator.leader_state().plan(simulator.now, simulator.wall_ms(), {{"large", demand}});
     EXPECT_FALSE(simulator.leader_state().has_free_capacity("m-1", simulator.now));
 }
--- a/tests/sched_test.cpp
+++ b/tests/sched_test.cpp
@@ -129,7 +129,7 @@
     flexible.allows_spot = true;
     add_job(flexible, 5);
     scheduling::ClassDemand demand;
-    demand.sample = gang_job("j-0", 1);
+    demand.sample_job = gang_job("j-0", 1);
     demand.arrivals_per_s = 0.03;
     demand.start_within_s = 20;
     snapshot.demand["wide"] = demand;
@@ -269,7 +269,7 @@
     add_machine("m-2").idle_s = 500;
     EXPECT_EQ(scheduling::plan_autoscaling(snapshot).scale_in.size(), 2U);
     scheduling::ClassDemand demand;
-    demand.sample = gang_job("j-0", 1);
+    demand.sample_job = gang_job("j-0", 1);
     demand.arrivals_per_s = 0.03;
     demand.start_within_s = 20;
     snapshot.demand["wide"] = demand;
