--- a/src/api/worker_api.hpp
+++ b/src/api/worker_api.hpp
@@ -23,7 +23,7 @@
         net::asio::any_io_executor executor;
         const store::WatchCache& watch_cache;
         leadership::LeadershipState& leadership;
-        const std::shared_ptr<cluster::LeaderTerm>& active_term;  // null if this controller does not lead
+        const std::shared_ptr<cluster::LeaderTerm>& active_term;  // nullptr if this controller does not lead
         const EventLoopLagMonitor& event_loop_lag;
         peers::PeerExchange& peers;
     };
--- a/src/cluster/durable_writes.hpp
+++ b/src/cluster/durable_writes.hpp
@@ -15,7 +15,7 @@
 // Builds batches and applies their commits. At most one batch is in flight.
 class DurableWrites {
    public:
-    // Everything that the state refers to must outlive this object.
+    // Everything that `dependencies` refers to must outlive this object.
     explicit DurableWrites(const DurableWritesDependencies& dependencies) : dependencies_(dependencies) {}
 
     // Returns whether a batch must be written now.
--- a/src/cluster/failure_detector.hpp
+++ b/src/cluster/failure_detector.hpp
@@ -23,7 +23,7 @@
     unlisted_with_tasks,         // has tasks of an earlier term, and the cloud no longer lists it
     running_without_heartbeat,   // listed as running, and has not reported in this term
     never_booted,
-    receives_no_commands,  // a one-way partition: its heartbeats arrive, but responses do not reach it
+    receives_no_commands,  // an inbound partition: its heartbeats arrive, but responses do not reach it
     idle,
 };
 
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -68,7 +68,7 @@
     }
     // Resets the count because responses reach the machine.
     void reset() { heartbeats = 0; }
-    // Returns whether a one-way partition is assumed, in which no response reaches the machine.
+    // Returns whether an inbound partition is assumed, in which no response reaches the machine.
     [[nodiscard]] bool is_partitioned() const {
         return heartbeats >= constants::max_unacknowledged_heartbeats;
     }
--- a/src/cluster/planner.hpp
+++ b/src/cluster/planner.hpp
@@ -33,7 +33,7 @@
 // Plans at the context's time. Owns the times of the latest preemption and autoscaling rounds.
 class Planner {
    public:
-    // All arguments, and the objects that `state` refers to, must outlive this object.
+    // All arguments, and the objects that `dependencies` refers to, must outlive this object.
     Planner(const TermContext& context, const PlannerDependencies& dependencies,
             const SnapshotBuilder& snapshot_builder)
         : context_(context),
--- a/src/cluster/state_loader.hpp
+++ b/src/cluster/state_loader.hpp
@@ -24,7 +24,7 @@
 // Loads the records, once no earlier term can change them any more.
 class StateLoader {
    public:
-    // Everything that the state refers to must outlive this object.
+    // Everything that `dependencies` refers to must outlive this object.
     explicit StateLoader(const StateLoaderDependencies& dependencies) : dependencies_(dependencies) {}
 
     // Loads the whole state. Progress without a job belongs to a cancelled job.
--- a/src/cluster/write_batch_builder.hpp
+++ b/src/cluster/write_batch_builder.hpp
@@ -47,7 +47,7 @@
 // Builds one batch. More urgent changes are added first, as long as they fit.
 class WriteBatchBuilder {
    public:
-    // The state must outlive the builder.
+    // `dependencies` must outlive the builder.
     WriteBatchBuilder(const DurableWritesDependencies& dependencies, const BatchLimits& limits)
         : dependencies_(dependencies), limits_(limits) {}
 
--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -162,7 +162,7 @@
 // of a period late and one that hit a dead connection (4 s) and was retried at another controller (1 s).
 inline constexpr double failure_detection_periods = 2.5, failure_detection_margin_s = 6.5;
 // Number of consecutive heartbeats that ignore the commands sent, after which the machine counts as cut off
-// by a one-way partition: its heartbeats arrive, but it receives nothing.
+// by an inbound partition: its heartbeats arrive, but it receives nothing.
 inline constexpr int max_unacknowledged_heartbeats = 2;
 // If more machines than this, and more than a fifth of those that report, receive no commands, the fault may
 // be on the controllers' side.
@@ -182,11 +182,11 @@
 inline constexpr double task_retry_backoff_max_s = 60.0;
 // Timeout of a direct command.
 inline constexpr double direct_command_timeout_s = 2.0;
-// Maximum number of stop commands in flight to workers. A round may stop hundreds of tasks, and a machine
+// Maximum number of direct commands in flight to workers. A round may stop hundreds of tasks, and a machine
 // that hangs occupies its connection until the timeout: even if all of these hang, a gang of 32 still
 // receives its stops within two seconds.
 inline constexpr std::size_t max_direct_commands_in_flight = 64;
-// Maximum number of machines with unsent stop commands; dropped ones are sent in heartbeat responses instead.
+// Maximum number of machines with queued direct commands; dropped ones are sent in heartbeat responses.
 inline constexpr std::size_t max_queued_direct_commands = 4096;
 // Maximum number of commands in one heartbeat response: a line has at most 64 KiB.
 inline constexpr std::size_t max_commands_per_response = 200;
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -96,7 +96,7 @@
     double memory_mb = 200;  // params.limits.memory_mb: memory limit of this process in MiB
     int max_sockets = 1000;  // params.limits.max_sockets: maximum number of open sockets of this process
 
-    // Returns the team with this name, or null if it is not configured.
+    // Returns the team with this name, or nullptr if it is not configured.
     [[nodiscard]] const Team* find_team(const std::string& team_name) const {
         for (const auto& team : teams)
             if (team.name == team_name) return &team;
--- a/src/controller/leader_loops.hpp
+++ b/src/controller/leader_loops.hpp
@@ -47,7 +47,7 @@
     // Constructs the loops without starting them.
     explicit LeaderLoops(const Dependencies& dependencies);
 
-    // Returns the term that is prepared or running; null if there is none.
+    // Returns the term that is prepared or running; nullptr if there is none.
     [[nodiscard]] const std::shared_ptr<cluster::LeaderTerm>& active_term() const { return active_term_; }
 
     // --- leadership::LeaderDelegate ---
--- a/src/leadership/election.hpp
+++ b/src/leadership/election.hpp
@@ -67,7 +67,7 @@
     // Waits while there is a leader. If the leader record was written by an earlier process of this
     // controller, revokes the lease of that process.
     net::awaitable<void> follow();
-    // Tries to win a new term. Returns null if the term was not won.
+    // Tries to win a new term. Returns nullptr if the term was not won.
     net::awaitable<std::shared_ptr<Term>> campaign();
     // Writes the leader record. Returns its revision, or 0 if the term was not won or the outcome is not
     // known.
--- a/src/leadership/lease_guard.hpp
+++ b/src/leadership/lease_guard.hpp
@@ -44,8 +44,8 @@
     // refuses this controller.
     [[nodiscard]] static bool store_serves_peer(double now, const store::StoreOutage& own_outage,
                                                 const PeerStoreContact& peer);
-    // Returns whether a leader whose lease may have expired should end its term, so that its workers find the
-    // next leader.
+    // Returns whether this controller alone appears to be cut off from the store and its lease may have
+    // expired. The leader then ends its term, so that its workers find the next leader.
     [[nodiscard]] bool is_isolated(double now, const store::StoreOutage& own_outage,
                                    const std::vector<PeerStoreContact>& peers) const;
     // Returns whether the leader may start tasks and do everything else that requires the lease.
--- a/src/model/dependency_graph.hpp
+++ b/src/model/dependency_graph.hpp
@@ -94,7 +94,7 @@
     void update_inherited(const std::vector<std::string>& changed);
     // Recomputes the inherited priority and deadline of one job. Returns whether either changed.
     bool update_inherited_of(const std::string& id, LiveJob& job);
-    // Returns the live job with this id, or null if there is none.
+    // Returns the live job with this id, or nullptr if there is none.
     [[nodiscard]] const LiveJob* find(const std::string& id) const;
 
     std::map<std::string, LiveJob> live_;
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -15,7 +15,7 @@
 class HttpClient : public Client {
    public:
     // Opens no connection yet. A response body of more than `max_body_bytes` is discarded and reported by
-    // `Reply::too_large`.
+    // `Response::too_large`.
     HttpClient(asio::any_io_executor executor, config::Endpoint endpoint, std::size_t max_body_bytes);
 
     // Also returns std::nullopt for a request that was not sent, because the queue was full, no connection
--- a/src/scheduling/autoscaling.cpp
+++ b/src/scheduling/autoscaling.cpp
@@ -240,7 +240,7 @@
     return tasks;
 }
 
-// Returns the pool with the lowest price per task, counting at most `tasks` tasks per machine; null if no
+// Returns the pool with the lowest price per task, counting at most `tasks` tasks per machine; nullptr if no
 // machine can be requested.
 const MachinePool* AutoscalingRound::cheapest_pool(const PendingJob& job, double tasks) const {
     const auto& spec = *job.spec;
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -272,7 +272,7 @@
 }
 
 // Removes candidates from the heap until one is in a zone that the job may still use. Returns this machine,
-// or null if there is none.
+// or nullptr if there is none.
 PlacementRound::OpenMachine* PlacementRound::pop_candidate(const PendingJob& job) {
     while (!candidates_.empty()) {
         std::pop_heap(candidates_.begin(), candidates_.end(), std::greater<>());
--- a/src/scheduling/reservation.cpp
+++ b/src/scheduling/reservation.cpp
@@ -12,7 +12,7 @@
 namespace pineroad::scheduling {
 namespace {
 
-// Returns the gang that has waited longest, if it has waited longer than `reservation_wait_s`; null
+// Returns the gang that has waited longest, if it has waited longer than `reservation_wait_s`; nullptr
 // otherwise.
 const PendingJob* reservation_holder(const Snapshot& snapshot) {
     const PendingJob* holder = nullptr;
--- a/src/store/watch_cache_records.cpp
+++ b/src/store/watch_cache_records.cpp
@@ -37,7 +37,7 @@
         std::string_view key;
         Match match;  // prefix: the kind has many records, each with its name after the prefix
         void (*on_put)(WatchCache&, const WrittenRecord&);
-        void (*on_delete)(WatchCache&, const std::string& name);  // null: deletions are ignored
+        void (*on_delete)(WatchCache&, const std::string& name);  // nullptr: deletions are ignored
 
         // Returns the record's name, or nothing if the key belongs to another kind.
         [[nodiscard]] std::optional<std::string> record_name_in(const std::string& record_key) const {
