--- a/src/cluster/job_table.cpp
+++ b/src/cluster/job_table.cpp
@@ -38,7 +38,7 @@
 }
 
 void JobTable::remove(const std::string& id) {
-    pending_changes_.clear(id);
+    pending_changes_.remove(id);
     jobs_.erase(id);
 }
 
@@ -62,7 +62,7 @@
     job.shards[shard_of(job, task)].version = job.version;
     // The first shard holds the fields of the whole job, so it must exist whenever another shard does.
     if (ProgressShard& first = job.shards[0]; first.segment.empty()) first.version = job.version;
-    pending_changes_.mark(job.id, context_.now_s);
+    pending_changes_.mark_changed(job.id, context_.now_s);
 }
 
 // Shards jobs with pending changes immediately: a whole job may be too large for one entry.
@@ -108,7 +108,7 @@
     }
     const bool still_changed = std::any_of(job->shards.begin(), job->shards.end(),
                                            [](const auto& entry) { return entry.second.is_changed(); });
-    if (!still_changed) pending_changes_.clear(job->id);
+    if (!still_changed) pending_changes_.remove(job->id);
     return machines;
 }
 
--- a/src/cluster/pending_changes.hpp
+++ b/src/cluster/pending_changes.hpp
@@ -12,12 +12,12 @@
 class PendingChanges {
    public:
     // Records that the job's state is newer than its durable state.
-    void mark(const std::string& job, double now) {
+    void mark_changed(const std::string& job, double now) {
         if (jobs_.empty()) changed_since_s_ = now;
         jobs_.insert(job);
     }
     // Removes the job from the changed jobs: all its changes are durable, or the job was removed.
-    void clear(const std::string& job) { jobs_.erase(job); }
+    void remove(const std::string& job) { jobs_.erase(job); }
     // Returns the ids of the changed jobs.
     [[nodiscard]] const std::set<std::string>& jobs() const { return jobs_; }
 
