--- a/src/api/router.cpp
+++ b/src/api/router.cpp
@@ -6,7 +6,7 @@
 
 namespace pineroad::api {
 
-using net::Reply;
+using net::Response;
 
 Route parse_route(std::string_view target) {
     std::string_view path = target.substr(0, target.find('?'));
@@ -31,29 +31,29 @@
     return reads ? "GET" : "POST";
 }
 
-Router::Router(UserApi& users, WorkerApi& workers, const HealthCheck& health)
-    : users_(users), workers_(workers), health_(health) {}
+Router::Router(UserApi& user_api, WorkerApi& worker_api, const HealthCheck& health_check)
+    : user_api_(user_api), worker_api_(worker_api), health_check_(health_check) {}
 
-net::awaitable<Reply> Router::handle(net::Request request) {
+net::awaitable<Response> Router::handle(net::Request request) {
     auto route = parse_route(request.target);
-    if (route.endpoint == Endpoint::none) co_return Reply{404, wire::error_response("no such path")};
+    if (route.endpoint == Endpoint::none) co_return Response{404, wire::error_response("no such path")};
     if (request.method != allowed_method(route.endpoint))
-        co_return Reply{405, wire::error_response("method not allowed")};
+        co_return Response{405, wire::error_response("method not allowed")};
     switch (route.endpoint) {
         case Endpoint::heartbeat:
-            co_return co_await workers_.heartbeat(std::move(request.body));
+            co_return co_await worker_api_.heartbeat(std::move(request.body));
         case Endpoint::health:
-            co_return health_.check();
+            co_return health_check_.check();
         case Endpoint::submit:
-            co_return co_await users_.submit(std::move(request.body));
+            co_return co_await user_api_.submit(std::move(request.body));
         case Endpoint::poll:
-            co_return co_await users_.poll(std::move(route.job));
+            co_return co_await user_api_.poll(std::move(route.job));
         case Endpoint::cancel:
-            co_return co_await users_.cancel(std::move(route.job));
+            co_return co_await user_api_.cancel(std::move(route.job));
         case Endpoint::none:
             break;
     }
-    co_return Reply{404, wire::error_response("no such path")};
+    co_return Response{404, wire::error_response("no such path")};
 }
 
 }  // namespace pineroad::api
--- a/src/api/worker_api.hpp
+++ b/src/api/worker_api.hpp
@@ -23,7 +23,7 @@
         net::asio::any_io_executor executor;
         const store::WatchCache& watch_cache;
         leadership::LeadershipState& leadership;
-        const std::shared_ptr<cluster::LeaderTerm>& active_term;  // null if this controller does not lead
+        const std::shared_ptr<cluster::LeaderTerm>& active_term;  // nullptr if this controller does not lead
         const EventLoopLagMonitor& event_loop_lag;
         peers::PeerExchange& peers;
     };
@@ -32,11 +32,11 @@
 
     // Applies the heartbeat in the request body and returns commands. A controller that does not lead returns
     // 421 with the leader's name.
-    net::awaitable<net::Reply> heartbeat(std::string body);
+    net::awaitable<net::Response> heartbeat(std::string body);
 
    private:
     // Returns 421 with the leader's name, if it is known.
-    [[nodiscard]] net::Reply redirect() const;
+    [[nodiscard]] net::Response redirect() const;
 
     const std::string name_;
     const Dependencies dependencies_;
--- a/src/controller/leader_loops.hpp
+++ b/src/controller/leader_loops.hpp
@@ -20,7 +20,7 @@
 #include "leadership/election.hpp"
 #include "model/model.hpp"
 #include "net/http.hpp"
-#include "peers/record_format.hpp"
+#include "peers/record_format_tracker.hpp"
 #include "store/linearizable_read.hpp"
 #include "store/store_client.hpp"
 #include "store/watch_cache.hpp"
@@ -41,13 +41,13 @@
         store::WatchCache& watch_cache;
         store::LinearizableRead& linearizable_read;
         CloudClient& cloud;
-        const peers::RecordFormat& record_format;
+        const peers::RecordFormatTracker& record_format_tracker;
         const api::EventLoopLagMonitor& event_loop_lag;
     };
     // Constructs the loops without starting them.
     explicit LeaderLoops(const Dependencies& dependencies);
 
-    // Returns the term that is prepared or running; null if there is none.
+    // Returns the term that is prepared or running; nullptr if there is none.
     [[nodiscard]] const std::shared_ptr<cluster::LeaderTerm>& active_term() const { return active_term_; }
 
     // --- leadership::LeaderDelegate ---
@@ -56,7 +56,7 @@
     // Spawns the loops.
     void start_term() override;
     // Returns when the latest heartbeat was applied (seconds, steady clock).
-    [[nodiscard]] double last_heartbeat() const override;
+    [[nodiscard]] double last_heartbeat_s() const override;
     // Detaches the cluster state from the watch cache. The loops return by themselves once the term has
     // ended.
     void end_term() override;
--- a/src/leadership/election.hpp
+++ b/src/leadership/election.hpp
@@ -39,7 +39,7 @@
     // Starts the loops of the prepared term.
     virtual void start_term() = 0;
     // Returns when the latest heartbeat of the current term was applied (seconds, steady clock).
-    [[nodiscard]] virtual double last_heartbeat() const = 0;
+    [[nodiscard]] virtual double last_heartbeat_s() const = 0;
     // Called when the term has ended or its preparation has failed.
     virtual void end_term() = 0;
 };
@@ -67,7 +67,7 @@
     // Waits while there is a leader. If the leader record was written by an earlier process of this
     // controller, revokes the lease of that process.
     net::awaitable<void> follow();
-    // Tries to win a new term. Returns null if the term was not won.
+    // Tries to win a new term. Returns nullptr if the term was not won.
     net::awaitable<std::shared_ptr<Term>> campaign();
     // Writes the leader record. Returns its revision, or 0 if the term was not won or the outcome is not
     // known.
--- a/src/scheduling/autoscaling.cpp
+++ b/src/scheduling/autoscaling.cpp
@@ -67,13 +67,14 @@
     void request(const MachinePool& pool);
 
     // Provides spare machines for classes whose objective for the start time is shorter than the boot time:
-    // first adds idle machines to `kept`, then claims expected ones, then requests machines.
-    void provision_headroom(std::set<std::string>& kept);
-    int keep_idle_machines(const model::JobSpec& sample, int missing, std::set<std::string>& kept) const;
-    int claim_expected_machines(const model::JobSpec& sample, int missing);
-    void request_headroom(const model::JobSpec& sample, int missing);
-
-    void scale_in(const std::set<std::string>& kept);
+    // first adds idle machines to `kept_machines`, then claims expected ones, then requests machines.
+    void provision_headroom(std::set<std::string>& kept_machines);
+    int keep_idle_machines(const model::JobSpec& sample_job, int missing,
+                           std::set<std::string>& kept_machines) const;
+    int claim_expected_machines(const model::JobSpec& sample_job, int missing);
+    void request_headroom(const model::JobSpec& sample_job, int missing);
+
+    void scale_in(const std::set<std::string>& kept_machines);
     [[nodiscard]] double idle_timeout_factor(const MachineSnapshot& machine) const;
 
     Snapshot snapshot_;
@@ -97,9 +98,9 @@
     queue_ = pending_queue(snapshot_.jobs);
     measure_queues();
     for (auto* job : queue_) provision_for(*job);
-    auto kept = reservation.machines;
-    provision_headroom(kept);
-    scale_in(kept);
+    auto kept_machines = reservation.machines;
+    provision_headroom(kept_machines);
+    scale_in(kept_machines);
     return std::move(plan_);
 }
 
@@ -239,7 +240,7 @@
     return tasks;
 }
 
-// Returns the pool with the lowest price per task, counting at most `tasks` tasks per machine; null if no
+// Returns the pool with the lowest price per task, counting at most `tasks` tasks per machine; nullptr if no
 // machine can be requested.
 const MachinePool* AutoscalingRound::cheapest_pool(const PendingJob& job, double tasks) const {
     const auto& spec = *job.spec;
@@ -267,56 +268,56 @@
     plan_.scale_out.push_back({pool.type->name, pool.zone, pool.spot, 1});
 }
 
-void AutoscalingRound::provision_headroom(std::set<std::string>& kept) {
+void AutoscalingRound::provision_headroom(std::set<std::string>& kept_machines) {
     for (const auto& [job_class, demand] : snapshot_.demand) {
         int missing = headroom_task_count(snapshot_, demand);
-        missing = keep_idle_machines(demand.sample, missing, kept);
-        missing = claim_expected_machines(demand.sample, missing);
-        request_headroom(demand.sample, missing);
+        missing = keep_idle_machines(demand.sample_job, missing, kept_machines);
+        missing = claim_expected_machines(demand.sample_job, missing);
+        request_headroom(demand.sample_job, missing);
     }
 }
 
 // Keeps idle machines, which are the cheapest headroom. Returns how many are still missing.
-int AutoscalingRound::keep_idle_machines(const model::JobSpec& sample, int missing,
-                                         std::set<std::string>& kept) const {
+int AutoscalingRound::keep_idle_machines(const model::JobSpec& sample_job, int missing,
+                                         std::set<std::string>& kept_machines) const {
     for (const auto& machine : snapshot_.machines) {
         if (missing <= 0) break;
-        if (!machine.ready || machine.busy || kept.contains(machine.id)) continue;
-        if (!allowed_on(sample, machine) || !sample.task_resources.fits_in(machine.free)) continue;
-        kept.insert(machine.id);
+        if (!machine.ready || machine.busy || kept_machines.contains(machine.id)) continue;
+        if (!allowed_on(sample_job, machine) || !sample_job.task_resources.fits_in(machine.free)) continue;
+        kept_machines.insert(machine.id);
         --missing;
     }
     return missing;
 }
 
 // Claims room for one task on each expected machine that has it. Returns how many are still missing.
-int AutoscalingRound::claim_expected_machines(const model::JobSpec& sample, int missing) {
+int AutoscalingRound::claim_expected_machines(const model::JobSpec& sample_job, int missing) {
     for (auto& machine : expected_machines_) {
         if (missing <= 0) break;
-        if (!allowed_on(sample, machine.type, machine.zone, machine.spot) ||
-            !sample.task_resources.fits_in(machine.free))
+        if (!allowed_on(sample_job, machine.type, machine.zone, machine.spot) ||
+            !sample_job.task_resources.fits_in(machine.free))
             continue;
-        machine.free -= sample.task_resources;
+        machine.free -= sample_job.task_resources;
         --missing;
     }
     return missing;
 }
 
-void AutoscalingRound::request_headroom(const model::JobSpec& sample, int missing) {
+void AutoscalingRound::request_headroom(const model::JobSpec& sample_job, int missing) {
     PendingJob arrival;
-    arrival.spec = &sample;
+    arrival.spec = &sample_job;
     for (; missing > 0; --missing) {
         const auto* pool = cheapest_pool(arrival, 1);
         if (!pool) break;
         request(*pool);
-        expected_machines_.back().free -= sample.task_resources;
+        expected_machines_.back().free -= sample_job.task_resources;
     }
 }
 
 // Releases machines that have been idle for the idle timeout, scaled by idle_timeout_factor().
-void AutoscalingRound::scale_in(const std::set<std::string>& kept) {
+void AutoscalingRound::scale_in(const std::set<std::string>& kept_machines) {
     for (const auto& machine : snapshot_.machines) {
-        if (!machine.ready || machine.busy || kept.contains(machine.id)) continue;
+        if (!machine.ready || machine.busy || kept_machines.contains(machine.id)) continue;
         if (machine.idle_s >= snapshot_.tuning->idle_timeout_s * idle_timeout_factor(machine))
             plan_.scale_in.push_back(machine.id);
     }
@@ -327,10 +328,10 @@
 double AutoscalingRound::idle_timeout_factor(const MachineSnapshot& machine) const {
     double factor = snapshot_.demand.empty() ? 1.0 : 0.0;
     for (const auto& [job_class, demand] : snapshot_.demand)
-        if (demand.arrivals_per_s > 0 && allowed_on(demand.sample, machine) &&
-            demand.sample.task_resources.fits_in(machine.free))
+        if (demand.arrivals_per_s > 0 && allowed_on(demand.sample_job, machine) &&
+            demand.sample_job.task_resources.fits_in(machine.free))
             factor =
-                std::max(factor, 1.0 / price_ratio(snapshot_, demand.sample, machine.type, machine.spot));
+                std::max(factor, 1.0 / price_ratio(snapshot_, demand.sample_job, machine.type, machine.spot));
     return factor;
 }
 
--- a/src/scheduling/reservation.cpp
+++ b/src/scheduling/reservation.cpp
@@ -12,7 +12,7 @@
 namespace pineroad::scheduling {
 namespace {
 
-// Returns the gang that has waited longest, if it has waited longer than `reservation_wait_s`; null
+// Returns the gang that has waited longest, if it has waited longer than `reservation_wait_s`; nullptr
 // otherwise.
 const PendingJob* reservation_holder(const Snapshot& snapshot) {
     const PendingJob* holder = nullptr;
@@ -25,17 +25,17 @@
     return holder;
 }
 
-bool has_room_for(const PendingJob& holder, const MachineSnapshot& machine) {
+bool has_capacity_for(const PendingJob& holder, const MachineSnapshot& machine) {
     const auto& spec = *holder.spec;
     return machine.ready && spec.task_resources.fits_in(machine.free) && allowed_on(spec, machine) &&
            zone_allowed(holder, machine.zone) && !holder.excluded_machines.contains(machine.id);
 }
 
 // Returns the zone with room for most of the holder's tasks; empty if no zone has room.
-std::string zone_with_most_room(const Snapshot& snapshot, const PendingJob& holder) {
+std::string zone_with_most_capacity(const Snapshot& snapshot, const PendingJob& holder) {
     std::map<std::string, int> tasks_by_zone;
     for (const auto& machine : snapshot.machines)
-        if (has_room_for(holder, machine))
+        if (has_capacity_for(holder, machine))
             tasks_by_zone[machine.zone] += task_capacity(*holder.spec, machine.free);
     const auto best_zone = std::max_element(tasks_by_zone.begin(), tasks_by_zone.end(),
                                             [](const auto& a, const auto& b) { return a.second < b.second; });
@@ -88,12 +88,12 @@
     if (!holder) return {};
     const auto& spec = *holder->spec;
     // A gang that must run in one zone cannot use machines of several zones.
-    const auto gang_zone = spec.same_zone ? zone_with_most_room(snapshot, *holder) : std::string();
+    const auto gang_zone = spec.same_zone ? zone_with_most_capacity(snapshot, *holder) : std::string();
     Reservation reservation{spec.id, {}};
     auto missing = static_cast<int>(holder->pending_tasks.size());
     for (const auto& machine : snapshot.machines) {
         if (missing <= 0) break;
-        if (!has_room_for(*holder, machine) || (spec.same_zone && machine.zone != gang_zone)) continue;
+        if (!has_capacity_for(*holder, machine) || (spec.same_zone && machine.zone != gang_zone)) continue;
         reservation.machines.insert(machine.id);
         missing -= task_capacity(spec, machine.free);
     }
@@ -104,7 +104,7 @@
     if (!demand.start_within_s) return 0;
     double boot_s = 0;
     for (const auto& pool : snapshot.pools)
-        if (can_run_on(demand.sample, pool)) boot_s = std::max(boot_s, pool.type->boot_s);
+        if (can_run_on(demand.sample_job, pool)) boot_s = std::max(boot_s, pool.type->boot_s);
     return static_cast<int>(std::lround(snapshot.tuning->headroom_factor * demand.arrivals_per_s *
                                         std::max(0.0, boot_s - *demand.start_within_s)));
 }
@@ -121,10 +121,10 @@
         if (const auto found = pending_tasks_by_class.find(job_class); found != pending_tasks_by_class.end())
             missing += found->second;
         if (missing <= 0) continue;
-        const auto pools = eligible_pools(snapshot, demand.sample);
+        const auto pools = eligible_pools(snapshot, demand.sample_job);
         for (const auto& [machine, pool] : usable_machines(snapshot, job_class, pools, pool_by_machine)) {
             if (missing <= 0) break;
-            missing -= std::max(1, task_capacity(demand.sample, snapshot.pools[pool].type->capacity));
+            missing -= std::max(1, task_capacity(demand.sample_job, snapshot.pools[pool].type->capacity));
             auto [entry, added] = reserved.try_emplace(machine->id, pools.count);
             entry->second = std::min(entry->second, pools.count);
         }
