--- a/tests/asymmetric_partition_test.cpp
+++ b/tests/asymmetric_partition_test.cpp
@@ -11,7 +11,7 @@
     StartedLeader simulator("inbound_partition", {"m-1"});
     simulator.add_worker("m-2");
     simulator.run_job(array_job("j-1", 1), "m-1");
-    simulator.note("        nothing reaches m-1 any more");
+    simulator.note("          nothing reaches m-1 any more");
     simulator.submit(array_job("j-2", 2));
     simulator.plan_and_commit();
     simulator.synchronize_worker("m-2");
@@ -61,7 +61,7 @@
     }
     simulator.submit(gang_job("j-1", 8));
     simulator.plan_and_commit();
-    simulator.note("        no answer reaches any machine");
+    simulator.note("          no response reaches any machine");
     for (int i = 0; i < 3; ++i) {
         for (const auto& m : machines) simulator.send_heartbeat(m, true);
         simulator.advance(3);
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -17,7 +17,7 @@
     simulator.leader_state().apply_heartbeat(simulator.next_heartbeat(worker), simulator.now);
     const auto start = simulator.leader_state().commands_for("m-1", true, simulator.now);
     simulator.cancel("j-1");
-    simulator.note("answer  m-1: the start, given before the cancellation");
+    simulator.note("response  m-1: the start command, issued before the cancellation");
     simulator.execute(worker, start, simulator.leader_state().fencing_token());
     const auto commands = simulator.send_heartbeat("m-1");
     ASSERT_EQ(commands.size(), 1U);
--- a/tests/cluster_simulator.cpp
+++ b/tests/cluster_simulator.cpp
@@ -186,7 +186,7 @@
     auto& simulated_process = process(controller);
     simulated_process.record_format = wire::records::record_format;
     if (adjust_settings_on_upgrade_) adjust_settings_on_upgrade_(simulated_process.settings);
-    note("upgrade of c-" + std::to_string(controller));
+    note("upgrade   of c-" + std::to_string(controller));
     restart(controller);
 }
 
@@ -222,7 +222,7 @@
     // Every new term is noted in the trace.
     if (const auto fencing_token = store.fencing_token(); fencing_token != last_noted_token_) {
         last_noted_token_ = fencing_token;
-        note("term    " + std::to_string(fencing_token) + " is won by " + store.leader());
+        note("term      " + std::to_string(fencing_token) + " is won by " + store.leader());
     }
 }
 
@@ -277,7 +277,7 @@
 }
 
 std::optional<Reply> ClusterSimulator::poll(int controller, const std::string& id) {
-    return record_reply("asks about " + id, controller, request(controller, "GET", "/submissions/" + id));
+    return record_reply("polls " + id, controller, request(controller, "GET", "/submissions/" + id));
 }
 
 std::optional<Reply> ClusterSimulator::cancel(int controller, const std::string& id) {
@@ -287,9 +287,9 @@
 
 std::optional<Reply> ClusterSimulator::record_reply(const std::string& what, int controller,
                                                     std::optional<Reply> reply) {
-    std::string line = "user    " + what + " at c-" + std::to_string(controller) + ": ";
+    std::string line = "user      " + what + " at c-" + std::to_string(controller) + ": ";
     if (!reply) {
-        note(line + "no answer");
+        note(line + "no response");
         return reply;
     }
     line += std::to_string(reply->status);
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -27,11 +27,11 @@
         other_follower = (old_leader + 2) % 3;
     }
     void begin_store_outage() {
-        note("outage  of the state service");
+        note("outage    of the store");
         store_outage = true;
     }
     void end_store_outage() {
-        note("outage  ends");
+        note("outage    ends");
         store_outage = false;
         rejected_by_store.clear();
         store.extend_leases(now());
@@ -41,7 +41,7 @@
         const double start_s = now();
         while (workers.has_live_task_of(job) && now() < start_s + timeout_s) run(0.5);
         EXPECT_FALSE(workers.has_live_task_of(job)) << job;
-        note("gone    " + job);
+        note("stopped   " + job);
         return now() - start_s;
     }
     // Waits up to 75 s for each controller to report a status of the job, and checks that it is this one. For
@@ -77,9 +77,9 @@
         MachineFault fault;
     };
     const std::vector<Fault> faults{
-        {"Hung", "hung", "hung", {true, false, false}},
-        {"InboundPartition", "inbound_partition", "deaf", {false, true, false}},
-        {"OutboundPartition", "outbound_partition", "mute", {false, false, true}}};
+        {"Hung", "hung", "fault     hang", {true, false, false}},
+        {"InboundPartition", "inbound_partition", "fault     inbound partition", {false, true, false}},
+        {"OutboundPartition", "outbound_partition", "fault     outbound partition", {false, false, true}}};
     std::vector<MachineFaultCase> cases;
     for (const auto& each : faults) {
         const auto trace_name = trace + "_" + each.trace;
@@ -95,7 +95,7 @@
 TEST(CombinedFaults, CancellationsConfirmedByPeersTakeEffectInStoreOutage) {
     CombinedFaultsCluster cluster("cancelled_before_outage");
     cluster.start_jobs({"j-1", "j-2", "j-3"});
-    cluster.note("refuse  c-" + std::to_string(cluster.old_leader));
+    cluster.note("reject    c-" + std::to_string(cluster.old_leader));
     cluster.rejected_by_store = {cluster.old_leader};
     cluster.run(0.5);
     // The leader knows of the cancellation before the user gets the confirmation, so no task starts after a
@@ -167,7 +167,7 @@
     cluster.partitioned_from_peers = {cluster.follower};
     EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
     cluster.kill(cluster.follower);
-    cluster.note("end     of c-" + std::to_string(cluster.follower));
+    cluster.note("end       of c-" + std::to_string(cluster.follower));
     cluster.begin_store_outage();
     cluster.partitioned_from_peers.clear();
     cluster.run(downtime_s);
@@ -197,12 +197,12 @@
     const auto commits_before = cluster.store_request_counts["commit"];
     while (cluster.store_request_counts["commit"] == commits_before) cluster.run(0.005);
     cluster.run(0.01);
-    cluster.note("freeze  of c-" + std::to_string(cluster.follower));
+    cluster.note("pause     of c-" + std::to_string(cluster.follower));
     cluster.paused = {cluster.follower};
     cluster.begin_store_outage();
     cluster.run(10);
     cluster.paused.clear();
-    cluster.note("freeze  ends");
+    cluster.note("pause     ends");
     cluster.run(0.1);
     ASSERT_TRUE(*pending_reply);
     if ((*pending_reply)->status == 200)
@@ -219,7 +219,7 @@
 TEST(CombinedFaults, LeaderPartitionedFromStoreAndPeersIsReplaced) {
     CombinedFaultsCluster cluster("partitioned_but_for_workers");
     cluster.start_jobs({"j-1", "j-2"});
-    cluster.note("cut     c-" + std::to_string(cluster.old_leader) + " from the state service and its peers");
+    cluster.note("partition c-" + std::to_string(cluster.old_leader) + " from the store and its peers");
     cluster.partitioned_from_store = cluster.partitioned_from_peers = {cluster.old_leader};
     cluster.run(1);
     EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
@@ -231,7 +231,7 @@
     EXPECT_TRUE(cluster.workers.has_live_task_of("j-2"));
     EXPECT_TRUE(cluster.workers.has_live_task_of("j-4"));
     EXPECT_EQ(cluster.workers.tasks_killed_by_lease_expiry, 0);
-    cluster.note("cut     ends");
+    cluster.note("partition ends");
     cluster.partitioned_from_store.clear(), cluster.partitioned_from_peers.clear();
     cluster.run(5);
     cluster.expect_status_everywhere("j-1", "withdrawn");
@@ -251,12 +251,12 @@
     cluster.rejected_by_store = {cluster.old_leader};
     const auto machine = cluster.workers.machine_with_task_of("j-1").id;
     EXPECT_EQ(cluster.workers.machine_with_task_of("j-2").id, machine);
-    cluster.note(fault_note + "    " + machine);
+    cluster.note(fault_note + " of " + machine);
     cluster.workers.machines.at(machine).fault = fault;
     EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
     cluster.begin_store_outage();
     cluster.run(duration_s);
-    cluster.note("machine is well again");
+    cluster.note("fault     ends");
     if (cluster.workers.machines.contains(machine)) cluster.workers.machines.at(machine).fault = {};
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 8);
     cluster.run(20);
@@ -284,7 +284,7 @@
     cluster.run(6);
     cluster.workers.machine_with_task_of("j-1").fault.outbound_partition = true;
     EXPECT_TRUE(cluster.workers.has_live_task_of("j-1"));
-    cluster.note("cut     from the peers ends");
+    cluster.note("partition from the peers ends");
     cluster.partitioned_from_peers.clear();
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 5);
     EXPECT_TRUE(cluster.workers.has_live_task_of("j-2"));
@@ -301,15 +301,15 @@
     cluster.start_jobs({"j-1", "j-2", "j-3"});
     const auto machine = cluster.workers.machine_with_task_of("j-1").id;
     cluster.workers.machines.at(machine).fault = fault;
-    cluster.note(fault_note + "    " + machine);
+    cluster.note(fault_note + " of " + machine);
     cluster.run(1);
     cluster.kill(cluster.old_leader);
-    cluster.note("end     of c-" + std::to_string(cluster.old_leader));
+    cluster.note("end       of c-" + std::to_string(cluster.old_leader));
     cluster.run(8);
     EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
     cluster.run(duration_s - 8);
     if (cluster.workers.machines.contains(machine)) cluster.workers.machines.at(machine).fault = {};
-    cluster.note("machine is well again");
+    cluster.note("fault     ends");
     cluster.restart(cluster.old_leader);
     EXPECT_LT(cluster.seconds_until_stopped("j-1", 70), 45);
     cluster.run(60);
@@ -445,7 +445,7 @@
     cluster.run(8);
     EXPECT_EQ(cluster.cancel(cluster.follower, "j-1")->status, 200);
     cluster.run(45);
-    cluster.note("reports arrive");
+    cluster.note("heartbeats arrive");
     cluster.workers.hold_heartbeats = false;
     cluster.run(60);
     EXPECT_FALSE(cluster.workers.has_live_task_of("j-1"));
@@ -461,14 +461,14 @@
     CombinedFaultsCluster cluster("delayed_writes_" + std::to_string(static_cast<int>(delay_s)));
     cluster.start_jobs({"j-1", "j-2"});
     cluster.write_delay_s = delay_s;
-    cluster.note("writes  are late");
+    cluster.note("writes    are delayed");
     cluster.submit(0, "j-3");
     cluster.cancel(1, "j-1");
     cluster.submit(2, "j-3");
     cluster.cancel(2, "j-1");
     cluster.run(3);
     cluster.write_delay_s = 0;
-    cluster.note("writes  are answered");
+    cluster.note("writes    are answered");
     EXPECT_TRUE(cluster.submit(0, "j-3")->status / 100 == 2);
     EXPECT_EQ(cluster.cancel(0, "j-1")->status, 200);
     cluster.run(40);
@@ -542,7 +542,7 @@
     const int leader_index = cluster.leader();
     cluster.partitioned_from_store = cluster.partitioned_from_peers = {leader_index};
     cluster.workers.partitioned_zone = "a", cluster.workers.partitioned_zone_controller = leader_index;
-    cluster.note("cut     zone a with c-" + std::to_string(leader_index));
+    cluster.note("partition isolates zone a and c-" + std::to_string(leader_index));
     cluster.run(2);
     EXPECT_EQ(cluster.cancel((leader_index + 1) % 3, "j-1")->status, 200);
     cluster.workers.machines.erase(cluster.workers.machine_with_task_of("j-3").id);
@@ -550,7 +550,7 @@
     EXPECT_FALSE(cluster.workers.has_live_task_of("j-1"));
     cluster.partitioned_from_store.clear(), cluster.partitioned_from_peers.clear(),
         cluster.workers.partitioned_zone.clear();
-    cluster.note("cut     ends");
+    cluster.note("partition ends");
     cluster.run(60);
     EXPECT_TRUE(cluster.workers.has_live_task_of("j-2"));
     cluster.run(60);
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -46,7 +46,7 @@
     std::uint64_t sequence = 0;
     EXPECT_EQ(cluster.send_heartbeat(old_leader, idle_heartbeat(++sequence))->status, 200);
     EXPECT_EQ(cluster.submit((old_leader + 1) % 3, "j-1")->status, 201);
-    cluster.note("cut     c-" + std::to_string(old_leader) + " from the state service and its peers");
+    cluster.note("partition c-" + std::to_string(old_leader) + " from the store and its peers");
     cluster.partitioned_from_store = cluster.partitioned_from_peers = {old_leader};
     double stepped_down_after = -1;
     const double partitioned_at = cluster.now();
@@ -57,7 +57,7 @@
         EXPECT_EQ(response->body.find("start"), std::string::npos);
         if (response->status == 421) stepped_down_after = cluster.now() - partitioned_at;
     }
-    cluster.note("report  m-1 at c-" + std::to_string(old_leader) + ": 421");
+    cluster.note("heartbeat m-1 at c-" + std::to_string(old_leader) + ": 421");
     EXPECT_GT(stepped_down_after, 4.0);  // it waits, since the store may be down for the peers as well
     // Steps down before a cancellation that a peer confirms could take effect too late, which would be after
     // 26 s: cancel_s (66) less lease_s (36) less the margin of 4 s.
@@ -72,7 +72,7 @@
     EXPECT_EQ(refused_response->status, 503);
     EXPECT_TRUE(refused_response->close);  // the user's retry reaches another controller
     EXPECT_GT(refused_response->retry_after_s, 0);
-    cluster.note("cut     ends");
+    cluster.note("partition ends");
     cluster.partitioned_from_store.clear(), cluster.partitioned_from_peers.clear();
     cluster.run(5);
     EXPECT_EQ(cluster.leader(), new_leader);
@@ -88,7 +88,7 @@
     cluster.run(5);
     const int leader = cluster.leader();
     std::uint64_t sequence = 0;
-    cluster.note("outage  of the state service");
+    cluster.note("outage    of the store");
     cluster.store_outage = true;
     for (int i = 0; i < 20; ++i) {
         cluster.run(1);
@@ -98,7 +98,7 @@
     EXPECT_EQ(refused_response->status, 503);
     EXPECT_GT(refused_response->retry_after_s, 0);
     EXPECT_EQ(cluster.request(1, "GET", "/up")->status, 200);  // no other controller would serve better
-    cluster.note("outage  ends");
+    cluster.note("outage    ends");
     cluster.store_outage = false;
     cluster.store.extend_leases(cluster.now());
     cluster.run(3);
@@ -125,7 +125,7 @@
     // Waits until the commit of the placement is in flight.
     while (cluster.held_commits[old_leader].empty()) cluster.run(0.01);
     cluster.controllers_with_held_commits.clear();
-    cluster.note("freeze  of c-" + std::to_string(old_leader));
+    cluster.note("pause     of c-" + std::to_string(old_leader));
     cluster.paused = {old_leader};
     cluster.run(12);
     const int new_leader = cluster.leader();
@@ -135,7 +135,7 @@
     const auto response_of_new_leader =
         cluster.send_heartbeat(new_leader, idle_heartbeat(++sequence, fencing_token));
     EXPECT_EQ(response_of_new_leader->status, 200);
-    cluster.note("freeze  ends");
+    cluster.note("pause     ends");
     const auto& late_commit = cluster.held_commits[old_leader].front();
     EXPECT_EQ(
         cluster.store.answer(late_commit.method, late_commit.target, late_commit.body, cluster.now()).status,
@@ -144,7 +144,7 @@
     cluster.run(0.2);
     ASSERT_TRUE(*held_response);
     EXPECT_EQ((*held_response)->body.find("start"), std::string::npos);
-    cluster.note("late    answer of c-" + std::to_string(old_leader) +
+    cluster.note("late      response of c-" + std::to_string(old_leader) +
                  " to m-1: " + std::to_string((*held_response)->status));
     const auto first_response =
         cluster.send_heartbeat(new_leader, idle_heartbeat(++sequence, cluster.store.fencing_token()));
@@ -167,22 +167,22 @@
     cluster.run(5);
     const int first_leader = cluster.leader();
     const int candidate = (first_leader + 1) % 3, other_candidate = (first_leader + 2) % 3;
-    cluster.note("end     of c-" + std::to_string(first_leader));
+    cluster.note("end       of c-" + std::to_string(first_leader));
     cluster.kill(first_leader);
     const auto leases = cluster.store_request_counts["leases"];
     // Waits until one of the others requests a lease.
     while (cluster.store_request_counts["leases"] == leases) cluster.run(0.01);
-    cluster.note("freeze  of both others");
+    cluster.note("pause     of both others");
     cluster.paused = {candidate, other_candidate};
     cluster.run(20);
     EXPECT_EQ(cluster.store.leader(), "");
     cluster.paused = {other_candidate};
-    cluster.note("freeze  ends for c-" + std::to_string(candidate));
+    cluster.note("pause     ends for c-" + std::to_string(candidate));
     cluster.run(6);
     EXPECT_EQ(cluster.leader(), candidate);
     const auto fencing_token = cluster.store.fencing_token();
     cluster.paused.clear();
-    cluster.note("freeze  ends for c-" + std::to_string(other_candidate));
+    cluster.note("pause     ends for c-" + std::to_string(other_candidate));
     cluster.run(6);
     EXPECT_EQ(cluster.store.fencing_token(), fencing_token);
     EXPECT_EQ(cluster.send_heartbeat(candidate, idle_heartbeat(1))->status, 200);
@@ -197,14 +197,14 @@
     const int first_leader = cluster.leader();
     const auto fencing_token = cluster.store.fencing_token();
     const int candidate = (first_leader + 1) % 3, other_candidate = (first_leader + 2) % 3;
-    cluster.note("hold    the commits of c-" + std::to_string(candidate) + " and c-" +
+    cluster.note("hold      the commits of c-" + std::to_string(candidate) + " and c-" +
                  std::to_string(other_candidate));
     cluster.controllers_with_held_commits = {candidate, other_candidate};
-    cluster.note("end     of c-" + std::to_string(first_leader));
+    cluster.note("end       of c-" + std::to_string(first_leader));
     cluster.kill(first_leader);
     while (cluster.held_commits[candidate].empty() || cluster.held_commits[other_candidate].empty())
         cluster.run(0.1);
-    cluster.note("end     of the other two, back at once");
+    cluster.note("end       of the other two, restarted at once");
     cluster.controllers_with_held_commits.clear();
     cluster.kill(candidate), cluster.kill(other_candidate);
     for (const int node : {candidate, other_candidate})
@@ -212,7 +212,7 @@
             const int status =
                 cluster.store.answer(held_commit.method, held_commit.target, held_commit.body, cluster.now())
                     .status;
-            cluster.note("late    bid of the earlier c-" + std::to_string(node) +
+            cluster.note("late      commit of the earlier c-" + std::to_string(node) +
                          " arrives: " + std::to_string(status));
         }
     const auto token_of_ended_process = cluster.store.fencing_token();
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -287,14 +287,14 @@
     EXPECT_EQ(cluster.job_status(2, "j-f499"), "queued");
     const int old_leader = cluster.leader(), confirming_controller = (old_leader + 1) % 3;
     EXPECT_EQ(cluster.cancel(confirming_controller, "j-1")->status, 200);
-    cluster.note("outage  of the state service");
+    cluster.note("outage    of the store");
     cluster.store_outage = true;
     cluster.run(3);
     EXPECT_EQ(cluster.job_status(confirming_controller, "j-f0"), "withdrawn");
     EXPECT_EQ(cluster.job_status(old_leader, "j-f499"), "withdrawn");
     cluster.kill(old_leader);
     cluster.run(10);
-    cluster.note("outage  ends");
+    cluster.note("outage    ends");
     cluster.store_outage = false;
     cluster.store.extend_leases(cluster.now());
     cluster.restart(old_leader);
--- a/tests/durable_writes_test.cpp
+++ b/tests/durable_writes_test.cpp
@@ -24,7 +24,7 @@
     const auto late_batch = placement_batch(simulator, array_job("j-1", 1));
     simulator.begin_term();
     EXPECT_FALSE(simulator.store.commit(late_batch.txn));
-    simulator.note("commit  of term 1 arrives: refused");
+    simulator.note("commit    of term 1 arrives: condition failed");
     simulator.synchronize_worker("m-1");
     simulator.run_placed_tasks("m-1");
     EXPECT_EQ(simulator.starts, 1);
@@ -37,7 +37,7 @@
     const auto batch = placement_batch(simulator, array_job("j-1", 2));
     simulator.apply_batch(batch);
     EXPECT_FALSE(simulator.store.commit(batch.txn));
-    simulator.note("commit  the same again: refused");
+    simulator.note("commit    the same again: condition failed");
 }
 
 // A job of 100,000 tasks: its progress record fits one store value, and the scheduling snapshot fits memory.
@@ -106,7 +106,7 @@
         simulator.plan_and_commit();
     }
     EXPECT_FALSE(simulator.store.commit(first_batch.txn));
-    simulator.note("commit  the first again: refused");
+    simulator.note("commit    the first again: condition failed");
     simulator.begin_term();
     // Finished: a later segment holds its tombstone.
     EXPECT_FALSE(simulator.leader_state().jobs().contains("j-1"));
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -11,7 +11,7 @@
     StartedLeader simulator("failover_unknown_tasks", {"m-1"});
     simulator.add_worker("m-2");
     simulator.run_job(array_job("j-1", 1), "m-1");
-    simulator.note("        m-1 is cut off; its task runs on");
+    simulator.note("          m-1 is partitioned; its task keeps running");
     simulator.begin_term();
     simulator.synchronize_worker("m-2");
     for (int i = 0; i < 4; ++i) {
@@ -81,7 +81,7 @@
     auto job = array_job("j-1", 1);
     job.allows_spot = true;
     simulator.run_job(job, "m-1");
-    simulator.note("        m-1 is taken");
+    simulator.note("          m-1 is reclaimed");
     simulator.begin_term();
     simulator.synchronize_worker("m-2");
     simulator.run_job(array_job("j-2", 1), "m-2");
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -119,7 +119,7 @@
     simulator.send_heartbeats({"m-1", "m-2", "m-3"});
     set_both_tasks(simulator, TaskState::exited, ExitCause::gang_member_lost);
     simulator.send_heartbeats({"m-1", "m-2", "m-3"});
-    simulator.note("        m-2 and m-3 are cut off");
+    simulator.note("          m-2 and m-3 are partitioned");
     simulator.submit(gang_job("j-2", 1));
     simulator.advance(25);
     simulator.send_heartbeat("m-1");
--- a/tests/heartbeat_test.cpp
+++ b/tests/heartbeat_test.cpp
@@ -22,11 +22,11 @@
     simulator.send_heartbeat("m-2");
     auto& m1 = simulator.workers.at("m-1");
     const auto heartbeat = simulator.next_heartbeat(m1);  // sent before the worker learned of the new term
-    simulator.note("report  m-1 without tasks, under the old token");
+    simulator.note("heartbeat m-1 without tasks, under the old fencing token");
     simulator.leader_state().apply_heartbeat(heartbeat, simulator.now);
     simulator.plan_and_commit();
     EXPECT_TRUE(simulator.send_heartbeat("m-2").empty());
-    simulator.note("answer  of the old term reaches m-1 at last");
+    simulator.note("response  of the old term reaches m-1 late");
     simulator.execute(m1, late_commands, 1);
     simulator.synchronize_worker("m-1");
     EXPECT_EQ(simulator.starts, 1);
@@ -38,7 +38,7 @@
     StartedLeader simulator("stale_heartbeat", {"m-1"});
     const auto stale_heartbeat = simulator.next_heartbeat(simulator.workers.at("m-1"));
     simulator.run_job(array_job("j-1", 1), "m-1");
-    simulator.note("report  of before the start arrives late");
+    simulator.note("heartbeat from before the start arrives late");
     EXPECT_FALSE(simulator.leader_state().apply_heartbeat(stale_heartbeat, simulator.now));
     simulator.plan();
     EXPECT_FALSE(
@@ -88,23 +88,23 @@
     simulator.run_job(array_job("j-1", 1), "m-1");
     const auto duplicate = simulator.next_heartbeat(simulator.workers.at("m-1"));
     simulator.leader_state().apply_heartbeat(duplicate, simulator.now);
-    simulator.note("        m-1 stops with all that is on it");
+    simulator.note("          m-1 stops with all its tasks");
     for (int i = 0; i < 6; ++i) {
         simulator.advance(3);
         simulator.send_heartbeat("m-2");
         EXPECT_FALSE(simulator.leader_state().apply_heartbeat(duplicate, simulator.now));
-        simulator.note("copy    of m-1's last report");
+        simulator.note("duplicate of m-1's last heartbeat");
         simulator.plan();
     }
     EXPECT_EQ(simulator.leader_state().machines_to_release(simulator.now), std::vector<std::string>{"m-1"});
     simulator.release_machines();
     simulator.commit_all();
     simulator.advance(120);
-    simulator.note("copy    of m-1's last report, long after its lease");
+    simulator.note("duplicate of m-1's last heartbeat, long after its lease expired");
     EXPECT_FALSE(simulator.leader_state().apply_heartbeat(duplicate, simulator.now));
     EXPECT_FALSE(simulator.leader_state().machines().contains("m-1"));
     simulator.begin_term();
-    simulator.note("copy    in a later term, under the old token");
+    simulator.note("duplicate in a later term, under the old fencing token");
     simulator.leader_state().apply_heartbeat(duplicate, simulator.now);
     EXPECT_TRUE(simulator.leader_state().commands_for("m-1", true, simulator.now).empty());
     simulator.submit(array_job("j-2", 1));
--- a/tests/leader_simulator.cpp
+++ b/tests/leader_simulator.cpp
@@ -69,7 +69,7 @@
     transaction.conditions = {{records::job_key(spec.id), 0}, {records::outcome_key(spec.id), 0}};
     transaction.changes = {{records::job_key(spec.id), records::job_json(spec), std::nullopt}};
     const auto revision = store.commit(transaction);
-    note("user    submits " + spec.id + ": " + std::to_string(spec.task_count) + " tasks" +
+    note("user      submits " + spec.id + ": " + std::to_string(spec.task_count) + " tasks" +
          (revision ? "" : ", known already"));
     specs[spec.id] = spec;
     if (!revision || !leader_state_) return;
@@ -99,7 +99,7 @@
     transaction.changes = {{records::job_key(id), std::nullopt, std::nullopt},
                            {records::outcome_key(id), records::outcome_json(outcome), std::nullopt}};
     const bool committed = store.commit(transaction).has_value();
-    note("user    cancels " + id + (committed ? ": withdrawn" : ": too late"));
+    note("user      cancels " + id + (committed ? ": withdrawn" : ": too late"));
     if (committed) cancelled_at[id] = now;
     if (committed && notify_leader && leader_state_) {
         leader_state_->job_cancelled(id, now);
@@ -131,7 +131,7 @@
     };
     leader_state_->load(*watch_cache_, now, wall_ms());
     if (sharding_allowed) leader_state_->allow_sharding();
-    note("term    " + std::to_string(fencing_token_) + " begins");
+    note("term      " + std::to_string(fencing_token_) + " begins");
 }
 
 void LeaderSimulator::plan() {
@@ -147,7 +147,7 @@
     std::string keys;
     for (const auto& change : batch.txn.changes) keys += (change.value ? " +" : " -") + change.key.substr(3);
     const auto revision = store.commit(batch.txn);
-    note("commit " + keys + (revision ? "" : ": refused"));
+    note("commit   " + keys + (revision ? "" : ": condition failed"));
     for (const auto& change : batch.txn.changes)
         if (change.value) {
             EXPECT_LE(boost::json::serialize(*change.value).size(), config.value_kb * 1024);
@@ -215,12 +215,12 @@
     Worker& worker = workers.at(id);
     const bool fresh = leader_state_->apply_heartbeat(next_heartbeat(worker), now);
     const auto commands = fresh ? leader_state_->commands_for(id, true, now) : std::vector<Command>{};
-    std::string line = "report  " + id + " (" + std::to_string(worker.agent_epoch) + "," +
+    std::string line = "heartbeat " + id + " (" + std::to_string(worker.agent_epoch) + "," +
                        std::to_string(worker.sequence) + ")";
     for (const auto& task : worker.tasks) line += " " + describe(task);
     note(line + (fresh ? "" : " is stale"));
     for (const auto& command : commands)
-        note("answer  " + id + ": " + describe(command) + (lost_response ? " (lost)" : ""));
+        note("response  " + id + ": " + describe(command) + (lost_response ? " (lost)" : ""));
     if (!lost_response) execute(worker, commands, leader_state_->fencing_token());
     return commands;
 }
@@ -267,7 +267,7 @@
     for (const auto& direct : leader_state_->take_direct_commands()) {
         auto& worker = workers.at(direct.machine);
         for (const auto& command : direct.commands)
-            note("/do     " + direct.machine + ": " + describe(command));
+            note("/do       " + direct.machine + ": " + describe(command));
         if (!worker.hung && direct.agent_epoch == worker.agent_epoch)
             execute(worker, direct.commands, leader_state_->fencing_token());
     }
@@ -289,7 +289,7 @@
     auto& worker = workers.at(id);
     worker.tasks.clear();
     ++worker.agent_epoch;
-    note("worker  " + id + ": its lease ran out, session " + std::to_string(worker.agent_epoch));
+    note("worker    " + id + ": its lease expired, agent epoch " + std::to_string(worker.agent_epoch));
 }
 
 void LeaderSimulator::synchronize_worker(const std::string& id) {
@@ -369,9 +369,9 @@
         const bool is_repeat = !machines.empty();
         while (machines.size() < request->count)
             machines.push_back("m-" + std::to_string(++last_machine_number_));
-        std::string line = "cloud   " + request->name + ": " + std::to_string(request->count) + " " +
+        std::string line = "cloud     " + request->name + ": " + std::to_string(request->count) + " " +
                            request->type + " in " + request->zone + (request->spot ? ", spot" : "") +
-                           (is_repeat ? ", as before:" : ":");
+                           (is_repeat ? ", repeated request:" : ":");
         for (const auto& id : machines) {
             line += " " + id;
             if (!workers.contains(id)) add_worker(id, request->type, request->zone, request->spot);
@@ -386,7 +386,7 @@
 void LeaderSimulator::release_machines() {
     const auto ids = leader_state_->machines_to_release(now);
     if (ids.empty()) return;
-    std::string line = "cloud   released";
+    std::string line = "cloud     released";
     for (const auto& id : ids) {
         line += " " + id;
         workers.erase(id);
--- a/tests/machine_lifecycle_test.cpp
+++ b/tests/machine_lifecycle_test.cpp
@@ -16,7 +16,7 @@
     for (int i = 0; i < 5; ++i) simulator.advance(3), simulator.send_heartbeat("m-2");
     simulator.plan();
     simulator.release_machines();
-    simulator.note("report  of m-1, held back, arrives");
+    simulator.note("heartbeat of m-1, held back, arrives");
     EXPECT_FALSE(simulator.leader_state().apply_heartbeat(held_heartbeat, simulator.now));
     simulator.plan_and_commit();
     EXPECT_EQ(simulator.send_heartbeat("m-2").size(), 1U);
@@ -112,7 +112,7 @@
     const auto other_request = simulator.leader_state().next_provisioning_request();
     ASSERT_TRUE(other_request);
     EXPECT_NE(other_request->zone, request->zone);  // the other zone is tried first
-    simulator.note("cloud   " + request->zone + " has none, " + other_request->zone + " is asked");
+    simulator.note("cloud     " + request->zone + " has no capacity, " + other_request->zone + " is tried");
 }
 
 // A provisioned machine without a heartbeat is released after its boot timeout, and not before.
@@ -134,7 +134,7 @@
 TEST(MachineLifecycle, SilenceTimersRestartAfterAPartition) {
     StartedLeader simulator("silence_from_listening", {"m-1", "m-2"});
     simulator.run_job(array_job("j-1", 1), "m-1");
-    simulator.note("        cut off for 60 s");
+    simulator.note("          partitioned for 60 s");
     simulator.advance(60);
     simulator.leader_state().restart_silence_timers(simulator.now);
     simulator.send_heartbeat("m-2");
@@ -180,7 +180,7 @@
     const auto starts_before = simulator.starts;
     EXPECT_EQ(starts_before, 4);
     add_four(connected, 5);
-    simulator.note("        m-1 to m-4 are cut off, their packets held back");
+    simulator.note("          m-1 to m-4 are partitioned, their packets held back");
     std::vector<model::Heartbeat> held_heartbeats;
     for (const auto& m : silent) held_heartbeats.push_back(simulator.next_heartbeat(simulator.workers.at(m)));
     for (int i = 0; i < 8; ++i) {
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -42,8 +42,9 @@
         placed += job.placements.size();
         fully_placed += job.placements.size() == job.spec->task_count;
     }
-    simulator.note(std::to_string(jobs) + " jobs, " + std::to_string(machines) + " machines: " +
-                   std::to_string(placed) + " tasks placed, " + std::to_string(fully_placed) + " jobs whole");
+    simulator.note(std::to_string(jobs) + " jobs, " + std::to_string(machines) +
+                   " machines: " + std::to_string(placed) + " tasks placed, " + std::to_string(fully_placed) +
+                   " jobs fully placed");
     simulator.note(std::to_string(commits) + " commits, " + std::to_string(changes) + " changes");
     EXPECT_EQ(fully_placed, static_cast<std::size_t>(jobs));
     EXPECT_LT(changes, 60U);  // one record per job took 300
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -203,7 +203,7 @@
     cluster.workers.cloud_capacity = 6;
     cluster.run(5);
     cluster.kill(2);
-    cluster.note("end     of c-2");
+    cluster.note("end       of c-2");
     for (const int n : {0, 1}) cluster.upgrade(n);
     cluster.run(40);
     EXPECT_EQ(cluster.submit(0, "j-1")->status, 201);
@@ -230,7 +230,7 @@
     EXPECT_EQ(cluster.workers.executing_task_count(), tasks);
     const auto replace_leader = [&](bool by_current_version) {
         const int leader_index = cluster.leader();
-        cluster.note("end     of c-" + std::to_string(leader_index));
+        cluster.note("end       of c-" + std::to_string(leader_index));
         if (by_current_version)
             cluster.upgrade(leader_index);
         else
@@ -248,7 +248,7 @@
         cluster.run(7);
     }
     const int leader_index = cluster.leader();
-    cluster.note("limits  of the state service fall");
+    cluster.note("limits    of the store are lowered");
     cluster.store.max_value_bytes = 2048, cluster.store.max_transaction_changes = 4;
     // Two tasks end, so that the next leader has records to write.
     cluster.workers.task_run_s["j-1/7"] = cluster.workers.task_run_s["j-1/70"] = 1;
