--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -1,7 +1,8 @@
 // All constants of the service, with their units and, where it is not obvious, the reason for a value. Names
 // that end in `_s` are in seconds, in `_ms` in milliseconds, in `_bytes` in bytes; a `_share` is a fraction
-// between 0 and 1. Names such as `report_s` are keys of the settings file (settings.hpp maps them to fields).
-// Values that an operator may want to change are in Tuning (tuning.hpp), with their defaults.
+// between 0 and 1. Comments name settings by their keys in the settings file, such as `report_s` or
+// `value_kb` (settings.hpp maps them to fields). Values that an operator may want to change are in Tuning
+// (tuning.hpp), with their defaults.
 #pragma once
 
 #include <cstddef>
@@ -16,16 +17,16 @@
 inline constexpr double lease_renewal_period_s = 1.2;
 // Subtracted from the remaining lease time, to allow for scheduling delays of this process.
 inline constexpr double lease_margin_s = 0.5;
-// How long a lease may still exist at the store after the time until which this controller can prove that it
-// holds it: lease_margin_s, the transmission time of the renewal, and the 100 ms by which a lease may expire
-// late.
+// Maximum time for which the store may keep a lease after this controller can no longer prove that it holds
+// it: the sum of lease_margin_s, the transmission time of the renewal, and the 100 ms by which a lease may
+// expire late.
 inline constexpr double lease_expiry_margin_s = 1.0;
 // A leader whose lease has expired and that has no contact with any peer keeps serving its workers this much
 // longer: a new leader needs about as long to be elected and to load the cluster state.
 inline constexpr double isolated_leader_grace_s = 4.0;
 // Maximum age of a peer's last contact that counts as recent; peer messages are sent every second.
 inline constexpr double recent_peer_contact_s = 3.0;
-// Maximum relative drift between two steady clocks: twice the 0.05% by which they may differ.
+// Maximum relative drift between two steady clocks: twice the 0.05% by which each of them may drift.
 inline constexpr double max_clock_drift = 0.001;
 // Time between attempts to win a vacant term.
 inline constexpr double election_retry_s = 0.4;
@@ -35,8 +36,7 @@
 inline constexpr double no_heartbeat_step_down_s = 10.0;
 
 // --- store ------------------------------------------------------------------------------------------------
-// Timeout of a store request. The store usually responds within 10 ms, occasionally within a few
-// hundred.
+// Timeout of a store request. The store usually responds within 10 ms, occasionally within a few hundred.
 inline constexpr double store_timeout_s = 1.5;
 // Timeout of a transaction.
 inline constexpr double commit_timeout_s = 2.0;
@@ -81,7 +81,7 @@
 inline constexpr std::size_t segment_reserve_bytes = 400;
 // Per segment entry, without its name.
 inline constexpr std::size_t segment_entry_overhead_bytes = 10;
-// Left free beside a tombstone's name in a segment.
+// A tombstone is added to a segment only if this much space is free in addition to its name.
 inline constexpr std::size_t tombstone_reserve_bytes = 40;
 // Per deletion, without its key, which occurs twice.
 inline constexpr std::size_t removal_overhead_bytes = 40;
@@ -123,8 +123,9 @@
 // Maximum number of dependencies of one job. With job ids of the usual eight characters, 500 fit into three
 // values of 2 KiB.
 inline constexpr std::size_t max_dependencies = 500;
-// Additional records that hold the end of a long dependency list. One transaction, which always allows at
-// least four changes, deletes them and the job's own record and writes its final record.
+// Maximum number of additional records that hold the end of a long dependency list. When the job ends, one
+// transaction deletes them and the job's own record and writes its final record, and a transaction is only
+// certain to allow four changes.
 inline constexpr std::size_t max_dependency_records = 2;
 // Maximum number of dependency look-ups for one request; a retry finds the results in memory.
 inline constexpr int max_dependency_lookups = 64;
@@ -134,12 +135,12 @@
 // Estimated time from the completion of a job to the start of its dependents: a heartbeat, two commits, a
 // heartbeat response and an image fetch.
 inline constexpr double dependency_overhead_s = 8.0;
-// A controller that has never been seen to read the current record format is no longer waited for when it has
-// been silent this long after a user submitted a job with dependencies: users do so only once every
-// controller has been upgraded.
+// Once a user has submitted a job with dependencies, a controller that has been silent for this long is
+// assumed to read the current record format, even if it has never been seen to read it: users submit such
+// jobs only after every controller has been upgraded.
 inline constexpr double format_silence_timeout_s = 10.0;
-// Time between checks of which controllers read the current record format: two rounds of peer messages are
-// enough to hear from five controllers.
+// Time between checks of which controllers read the current record format. The leader learns this from peer
+// messages; after two rounds of them it has heard from all of five controllers.
 inline constexpr double format_check_period_s = 0.5;
 // Tasks per shard of a job; each shard has one entry in a segment. At 36 bytes per task a shard fits into a
 // value of 2 KiB together with the fixed part of the record. Smaller shards would repeat this part more
@@ -164,8 +165,8 @@
 // Number of consecutive heartbeats that ignore the commands sent, after which the machine counts as cut off
 // by an inbound partition: its heartbeats arrive, but it receives nothing.
 inline constexpr int max_unacknowledged_heartbeats = 2;
-// If more machines than this, and more than a fifth of those that report, receive no commands, the fault may
-// be on the controllers' side.
+// If more machines than this, and more than a fifth of those that report, receive no commands, no machine is
+// released for that reason: the fault may be on the controllers' side.
 inline constexpr std::size_t max_machines_not_receiving_commands = 5;
 // Part of cancel_s that is kept in reserve while heartbeats are responded to without contact to the store.
 inline constexpr double cancellation_margin_s = 4.0;
@@ -207,12 +208,12 @@
 // Maximum time between planning rounds: some decisions depend on time alone, not on heartbeats.
 inline constexpr double max_plan_interval_s = 0.5;
 // Placement cost of a spot machine for a job in a pipeline, in the same unit as the image fetch time. Of the
-// hundreds of tasks of a pipeline one or two are lost with spot machines; the loss is noticed only seconds
+// hundreds of tasks of a stage one or two are lost with spot machines; the loss is noticed only seconds
 // later, and every later stage waits for the retry.
 inline constexpr double pipeline_spot_cost_s = 30.0;
-// Placement cost of an empty machine, spot or on demand, for a job in a pipeline. Small tasks on it would
-// make a job class wait that needs the whole machine, while nearly every busy machine has room beside its
-// large tasks.
+// Placement cost of an empty machine, spot or on demand, for a job in a pipeline. If small tasks
+// were placed on it, a job class whose tasks need a whole machine would have to wait, while nearly every busy
+// machine has room beside its large tasks.
 inline constexpr double pipeline_empty_cost_s = 45.0;
 // Minimum time between planning rounds: heartbeats that arrive in between are planned for together.
 inline constexpr double min_plan_interval_s = 0.2;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -125,7 +125,7 @@
         auto http_request = parser.release();
         const bool keep_alive = http_request.keep_alive();
         stream.expires_never();
-        // Named because GCC 12 destroys a braced temporary inside a co_await expression twice.
+        // A named variable, because GCC 12 destroys a braced temporary inside a co_await expression twice.
         Request request{std::string(http_request.method_string()), std::string(http_request.target()),
                         std::move(http_request.body())};
         Response response;
@@ -173,7 +173,8 @@
             continue;
         }
         if (state->connections >= state->limits.max_connections) {
-            // Closed immediately instead of queued, so that the load balancer tries another controller.
+            // The connection is closed immediately instead of queued, so that the load balancer tries another
+            // controller.
             boost::system::error_code ignored;
             socket.close(ignored);
             continue;
--- a/src/scheduling/autoscaling.cpp
+++ b/src/scheduling/autoscaling.cpp
@@ -114,7 +114,8 @@
     }
 }
 
-// A gang with reserved machines needs fewer new ones.
+// Drops one pending task of the gang that holds the reservation for each reserved machine, so that fewer new
+// machines are requested for it.
 void AutoscalingRound::shrink_reservation_holder(const Reservation& reservation) {
     for (auto& job : snapshot_.jobs)
         if (job.spec->id == reservation.job)
@@ -137,8 +138,9 @@
     request_machines_for(job);
 }
 
-// While a new machine boots, or until the objective requires a start, a server can run several short tasks
-// one after another. No machines are needed for these tasks.
+// While a new machine boots, or until the objective requires a start, the room that a running task of the
+// class occupies can serve several short tasks one after another, which need no new machine. Of the remaining
+// tasks, those that new machines can run one after another in this time are dropped too.
 void AutoscalingRound::drop_tasks_served_in_time(PendingJob& job) {
     const auto zone = required_zone(job);
     const auto& tuning = *snapshot_.tuning;
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -44,8 +44,9 @@
     return std::find(machine.images.begin(), machine.images.end(), spec.image) != machine.images.end();
 }
 
-// Returns the additional cost, in seconds, for a job in a pipeline. Of a hundred small tasks of a stage, one
-// or two are lost with spot machines, and the loss delays all later stages.
+// Returns the additional cost, in seconds, for a job in a pipeline. Of the hundreds of small tasks of a
+// stage, one or two are lost with spot machines, and the loss delays all later stages. Empty machines are
+// left to job classes whose tasks need a whole machine.
 double pipeline_cost_s(const MachineSnapshot& machine) {
     if (!machine.busy) return constants::pipeline_empty_cost_s;
     return machine.spot ? constants::pipeline_spot_cost_s : 0;
--- a/src/scheduling/reservation.cpp
+++ b/src/scheduling/reservation.cpp
@@ -12,8 +12,8 @@
 namespace pineroad::scheduling {
 namespace {
 
-// Returns the gang that has waited longest, if it has waited longer than `reservation_wait_s`; nullptr
-// otherwise.
+// Returns the gang that has waited longest among those that have waited longer than `reservation_wait_s` and
+// whose pending tasks fit into their team's quota; nullptr if there is none.
 const PendingJob* reservation_holder(const Snapshot& snapshot) {
     const PendingJob* holder = nullptr;
     for (const auto& job : snapshot.jobs)
--- a/src/scheduling/snapshot.hpp
+++ b/src/scheduling/snapshot.hpp
@@ -39,7 +39,7 @@
     const model::JobSpec* spec = nullptr;             // never null; outlives the snapshot
     model::Priority priority = model::Priority::low;  // its own, or a higher one inherited from a dependent
     std::vector<std::uint32_t> pending_tasks;         // indexes of the tasks that can be placed, ascending
-    std::map<std::string, std::uint32_t> tasks_by_zone;  // placed tasks by zone, including unknown tasks
+    std::map<std::string, std::uint32_t> tasks_by_zone;  // placed tasks by zone, for `same_zone` and `spread`
     double xfactor = 1;                                  // see xfactor.hpp
     // Time since it could first start or, for a gang, since it last ran; determines which gang gets a
     // reservation.
--- a/src/scheduling/xfactor.cpp
+++ b/src/scheduling/xfactor.cpp
@@ -5,7 +5,7 @@
 namespace pineroad::scheduling {
 namespace {
 
-// Returns band 0 to 3: below 1, 4 and 16 times the unit, or above.
+// Returns the band of the value: 0, 1 or 2 if it is below 1, 4 or 16 times the unit, otherwise 3.
 int band(double value, double unit) {
     if (value < unit) return 0;
     if (value < 4 * unit) return 1;
--- a/src/store/watch_loop.cpp
+++ b/src/store/watch_loop.cpp
@@ -16,8 +16,8 @@
 net::awaitable<void> WatchLoop::run() {
     for (;;) {
         if (!watch_cache_.ready) {
-            // The co_await stays outside the condition, which guards a virtual call: GCC 12 would lay out the
-            // coroutine frame incorrectly.
+            // The co_await is not part of the condition: GCC 12 lays out the coroutine frame incorrectly if a
+            // condition with a co_await guards a virtual call.
             const bool loaded = co_await load();
             if (!loaded) {
                 co_await sleep_for(c::store_retry_s);
--- a/src/wire/enum_names.hpp
+++ b/src/wire/enum_names.hpp
@@ -20,8 +20,7 @@
 template <class Enum, std::size_t Size>
 using EnumTable = std::array<EnumName<Enum>, Size>;
 
-// Returns the value with the given name; std::nullopt if there is no name or the table does
-// not contain it.
+// Returns the value with the given name; std::nullopt if there is no name or the table does not contain it.
 template <class Enum, std::size_t Size>
 std::optional<Enum> value_of(const EnumTable<Enum, Size>& table, const std::optional<std::string>& name) {
     if (!name) return std::nullopt;
--- a/src/wire/invalid_request.hpp
+++ b/src/wire/invalid_request.hpp
@@ -14,7 +14,7 @@
     enum class Kind { not_json, not_an_object, not_a_json_object, missing, invalid, missing_or_invalid };
 
     Kind kind = Kind::not_json;
-    std::string_view field = {};  // wire name (a string literal); empty if one of several
+    std::string_view field = {};  // wire name (a string literal); empty if several were checked together
 
     // Returns the one-line message that is sent to the client.
     [[nodiscard]] std::string message() const;
--- a/src/wire/peer_protocol.hpp
+++ b/src/wire/peer_protocol.hpp
@@ -1,5 +1,5 @@
 // The protocol between controllers: one CBOR message type, used for both requests and responses. Messages
-// carry only hints and confirmations; they never grant a right to act.
+// carry only hints and confirmations; the right to act as the leader comes from the store alone.
 //
 //   wire name         term
 //   /gossip           peer message
@@ -12,7 +12,7 @@
 //   vouches           confirms that the list of cancellations is complete
 //   cancelled         cancellations: alternating revisions and job ids
 //   format            latest record format that the sender reads
-//   asked_to_depend   whether dependencies were requested
+//   asked_to_depend   whether a user has submitted a job with dependencies
 #pragma once
 
 #include <cstdint>
@@ -34,7 +34,7 @@
     std::uint64_t uptime_ms = 0;             // of the sender's process
     std::uint64_t store_contact_age_ms = 0;  // since the last contact with the store (uptime if none)
     std::uint64_t heartbeat_age_ms = 0;      // since the last heartbeat from a worker (uptime if none)
-    std::uint64_t revision = 0;              // request: the sender's watch cache is complete up to it
+    std::uint64_t revision = 0;              // in a request: up to which the sender's watch cache is complete
     // In a response: whether `cancelled` contains every cancellation above the request's revision that the
     // sender knows of. False if the sender cannot tell.
     bool confirms_cancellations = false;
