--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -17,8 +17,8 @@
 // State of a job as its users see it.
 enum class JobState {
     live,         // accepted and not ended
-    done,         // ended
-    cancelled,    // ended
+    done,         // ended: every task is done
+    cancelled,    // ended: by its user, or because a job that it depends on was cancelled
     unknown,      // never accepted
     undetermined  // can't be determined now: the store does not respond
 };
@@ -45,7 +45,8 @@
     net::awaitable<void> resolve_dependencies();
 
    private:
-    // Looks up the outcomes of jobs that are not live. Returns false if an outcome could not be determined.
+    // Looks up the outcomes of those of the jobs that are not live. Returns false if one of them could not be
+    // determined.
     net::awaitable<bool> resolve_outcomes(std::vector<std::string> ids);
 
     store::StoreClient& store_;
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -43,12 +43,12 @@
 
 namespace pineroad::cluster {
 
-// The cluster state of one term. Times are seconds on the process's steady clock; times of day are in
-// milliseconds and named so.
+// The cluster state of one term. Times are seconds on the process's steady clock. Times of day are in
+// milliseconds and have names that end in `_ms`.
 class ClusterState {
    public:
     // Creates the state of the term with this fencing token; `leader_revision` is the mod revision of its
-    // leadership key. The settings and tuning must outlive the state.
+    // leader record. The settings and tuning must outlive the state.
     ClusterState(const config::Settings& settings, const config::Tuning& tuning, std::uint64_t fencing_token,
                  std::uint64_t leader_revision, double now);
 
@@ -62,8 +62,8 @@
     void job_added(const model::JobSpec& spec, std::uint64_t mod_revision, double now);
     // Records that a user cancelled the job.
     void job_cancelled(const std::string& id, double now);
-    // Records that a job that this one depends on was cancelled. This job has no tasks, and its own final
-    // record must be written.
+    // Records that a job that this one depends on was cancelled. None of this job's tasks was placed, and its
+    // own final record must be written.
     void job_cancelled_by_dependency(const std::string& id, double now);
     // Allows large jobs to be written in shards, once every controller reads that format.
     void allow_sharding();
@@ -93,8 +93,8 @@
     void plan(double now, std::int64_t wall_ms, const DemandByClass& demand);
 
     // --- durable writes ---
-    // Returns the next batch of at most `changes` changes, the most urgent first, or nothing if nothing must
-    // be written.
+    // Returns the next batch, the most urgent changes first, or nothing if nothing must be written. The batch
+    // is limited to `changes` changes, or to target_batch_changes if that is more.
     std::optional<WriteBatch> next_write_batch(std::size_t changes = SIZE_MAX);
     // Records that the batch was committed at this revision.
     void apply_commit(const WriteBatch& batch, std::uint64_t revision, double now, std::int64_t wall_ms);
--- a/src/cluster/durable_writes.hpp
+++ b/src/cluster/durable_writes.hpp
@@ -20,7 +20,8 @@
 
     // Returns whether a batch must be written now.
     [[nodiscard]] bool is_due() const;
-    // Returns the next batch of at most this many changes, or nothing if there is nothing to write.
+    // Returns the next batch, or nothing if there is nothing to write. The batch is limited to `changes`
+    // changes, or to target_batch_changes if that is more.
     std::optional<WriteBatch> next_batch(std::size_t changes);
     // Applies the commit of the batch at this revision and time of day.
     void apply_commit(const WriteBatch& batch, std::uint64_t revision, std::int64_t wall_ms);
@@ -32,7 +33,7 @@
     std::vector<std::string> take_machines_with_durable_starts();
 
    private:
-    // Applies the removal of progress records of version 0.1 by the batch.
+    // Records that the progress records of version 0.1 that the batch removed no longer exist.
     void apply_progress_removals(const WriteBatch& batch);
     // Applies the final state of a job, which is now durable.
     void apply_outcome(const FinishedJob& finished, std::int64_t wall_ms);
--- a/src/cluster/failure_detector.hpp
+++ b/src/cluster/failure_detector.hpp
@@ -17,7 +17,7 @@
     unlisted_and_silent,         // the cloud no longer lists it, and no heartbeat arrives
     silent_while_others_report,  // no heartbeat arrives while most machines report
     silent_past_lease,           // no heartbeat arrived for longer than its lease
-    never_confirmed_token,       // its heartbeats never carried this term's fencing token
+    never_confirmed_token,       // its heartbeats lacked this term's fencing token for longer than a lease
     quarantined,                 // its tasks fail
     unreported_with_tasks,       // has tasks of an earlier term, and has not reported in this term
     unlisted_with_tasks,         // has tasks of an earlier term, and the cloud no longer lists it
@@ -56,7 +56,7 @@
         std::size_t not_receiving_commands = 0;  // reporting, but do not reflect what they were sent
         // Returns whether at least half of the machines are in contact.
         [[nodiscard]] bool most_in_contact() const { return in_contact > 0 && 2 * in_contact >= reporting; }
-        // Returns whether only few machines receive nothing. Many of them indicate a fault on the
+        // Returns whether only a few machines receive no commands. If it is many, the fault is on the
         // controllers' side.
         [[nodiscard]] bool commands_reach_most() const;
     };
--- a/src/cluster/heartbeat_reconciler.cpp
+++ b/src/cluster/heartbeat_reconciler.cpp
@@ -41,7 +41,7 @@
                      context_.fencing_token);
         machine.idle_since_s = context_.now_s;
     }
-    // One-way partition: heartbeats arrive, but responses do not reach the machine. Its tasks ended when its
+    // Inbound partition: heartbeats arrive, but responses do not reach the machine. Its tasks ended when its
     // lease expired; if kept, it would send heartbeats forever without running anything.
     if (machine.unacknowledged.is_partitioned() && heartbeat.agent_epoch > machine.agent_epoch &&
         failure_detector_.commands_reach_most_machines())
--- a/src/cluster/job_table.hpp
+++ b/src/cluster/job_table.hpp
@@ -56,8 +56,8 @@
     void allow_sharding();
     // Returns whether a job with this specification is written in shards.
     [[nodiscard]] bool may_shard(const model::JobSpec& spec) const;
-    // Continues replacing an entry of the whole job when an earlier term had written only some shards: marks
-    // the remaining ones as changed.
+    // Continues a split into shards that an earlier term began: marks the shards that have no entry of their
+    // own yet as changed.
     void resume_sharding(Job& job);
     // Records that a version of a job, or of one of its shards, became durable. Returns the machines of the
     // placements that became durable with it.
--- a/src/cluster/machine_table.hpp
+++ b/src/cluster/machine_table.hpp
@@ -36,7 +36,7 @@
     [[nodiscard]] bool is_schedulable(const Machine& machine, double now) const;
     // Records that the machine's cache will hold the job's image, after a task of the job was placed there.
     void record_cached_image(Machine& machine, const model::JobSpec& spec);
-    // Stops counting failures of the job against any machine.
+    // Removes the job from the `failed_jobs` of every machine.
     void clear_failures_of(const std::string& job);
 
     // Returns the machine types.
--- a/src/cluster/placement.hpp
+++ b/src/cluster/placement.hpp
@@ -1,4 +1,5 @@
-// The placement of one task on one machine, from the decision until the task is proven off that machine.
+// The placement of one task on one machine, from the decision until it is proven that the task is not, or no
+// longer, on that machine.
 #pragma once
 
 #include <cstdint>
@@ -32,7 +33,7 @@
     bool sent_directly = false;  // as a direct command; heartbeat responses repeat the stop in any case
 };
 
-// A placement, from the decision until the task is proven off its machine.
+// A placement, from the decision until it is proven that the task is not on its machine.
 struct TaskPlacement {
     std::uint32_t index = 0;    // index of the task in its job
     std::uint64_t attempt = 0;  // identifies this placement to the worker
--- a/src/cluster/segment_store.hpp
+++ b/src/cluster/segment_store.hpp
@@ -1,8 +1,8 @@
 // Segments in the store: which entries each of them holds, which are still needed, and which is written next.
 //
-// If several segments hold an entry of a job, the one with the greatest sequence counts. A segment is needed
-// while it holds the latest entry of a job that is not over, or a tombstone that supersedes an older entry of
-// a job that is over. A segment that is no longer needed is overwritten, never deleted.
+// If several segments hold the same entry, the one in the segment with the greatest sequence applies. A
+// segment is needed while it holds the latest entry of a job that is not over, or a tombstone that supersedes
+// an older entry of a job that is over. A segment that is no longer needed is overwritten, never deleted.
 #pragma once
 
 #include <cstdint>
--- a/src/cluster/snapshot_builder.hpp
+++ b/src/cluster/snapshot_builder.hpp
@@ -43,7 +43,7 @@
     void add_pools(scheduling::Snapshot& snapshot) const;
     // Adds the resources of the job's placements to its team's quota usage.
     void add_quota_usage(scheduling::Snapshot& snapshot, const Job& job) const;
-    // Adds a job that may run as a pending job, a running gang, or both.
+    // Adds the job, which must be allowed to run, to the pending jobs, the running gangs, or both.
     void add_job(scheduling::Snapshot& snapshot, const Job& job,
                  const std::set<model::TaskId>& unknown_tasks) const;
     // Returns the tasks that run on a machine without a placement. They must not be placed again yet.
--- a/src/cluster/task_lifecycle.cpp
+++ b/src/cluster/task_lifecycle.cpp
@@ -169,8 +169,9 @@
     // A gang that has not run yet keeps its attempt and waits for a replacement.
 }
 
-// An error is caused by the machine or by the job: the machine if several jobs fail on it, the job if it
-// fails on several machines.
+// An error is attributed to the job if the job failed on several machines and none of its tasks is done, and
+// otherwise to the machine. The machine is quarantined if several jobs failed on it, or if several tasks in a
+// row failed on it and the last one belongs to a job that has done tasks.
 void TaskLifecycle::record_failure(Job& job, Machine& machine) {
     ++job.failures.count;
     job.failures.machines.insert(machine.id);
--- a/src/cluster/task_lifecycle.hpp
+++ b/src/cluster/task_lifecycle.hpp
@@ -39,15 +39,15 @@
     // Cancels a job because a user cancelled it or its record is gone. Tasks whose start was not sent never
     // start; the others are stopped. Does nothing for unknown or final jobs.
     void cancel_job(const std::string& id);
-    // Cancels a job because a job that it depends on was cancelled. It has no tasks, and its own final record
-    // must be written.
+    // Cancels a job because a job that it depends on was cancelled. None of its tasks was placed, and its own
+    // final record must be written.
     void cancel_job_by_dependency(const std::string& id);
 
     // Adds the placement of a task. Adds its machine if it is unknown.
     void place(Job& job, TaskPlacement placement);
     // Handles the exit of a task that a heartbeat of its machine reported.
     void handle_exit(Job& job, const model::ReportedTask& task, Machine& machine);
-    // Handles a task that is proven not to be on its machine, with an unknown outcome.
+    // Handles a task that is proven not to be on its machine and whose outcome is unknown.
     void mark_lost(Job& job, std::uint32_t task, LossReason reason);
     // Records that a task completed under a placement that no longer exists: its result is kept, so it counts
     // as done.
--- a/src/cluster/term_context.hpp
+++ b/src/cluster/term_context.hpp
@@ -14,7 +14,7 @@
     const config::Settings& settings;
     const config::Tuning& tuning;
     std::uint64_t fencing_token = 0;
-    std::uint64_t leader_revision = 0;  // mod revision of the leadership key
+    std::uint64_t leader_revision = 0;  // mod revision of the leader record
     double started_at_s = 0;
     double now_s = 0;  // time of the latest event that carried one
     std::int64_t wall_offset_ms = 0;
--- a/src/cluster/write_batch_builder.cpp
+++ b/src/cluster/write_batch_builder.cpp
@@ -132,7 +132,7 @@
         for (const auto& [shard_number, shard] : job.shards) {
             if (!shard.is_changed() || is_awaited_by_starts(job, shard_number, shard) != awaited_by_starts)
                 continue;
-            // Without that entry, a new leader would miss the placements that only it holds.
+            // Keeps the entry of the whole job: a new leader would miss the placements that only it holds.
             if (shard_number == 0 && !job.shards_in_unsharded_entry.empty()) continue;
             if (!add_shard(job, shard_number, shard)) return false;
         }
--- a/src/cluster/write_batch_builder.hpp
+++ b/src/cluster/write_batch_builder.hpp
@@ -37,9 +37,9 @@
     double value_bytes = 0;           // of a segment, less a margin for growing numbers
     bool current_limits_hold = true;  // no batch was rejected: the announced limits do not apply yet
 
-    // Returns the limits for a write of at most `changes` changes, after this many batches of this term were
-    // rejected as malformed. The first rejection shows that the announced limits are in force. Each later one
-    // shows that the actual limits are lower, and halves the limits.
+    // Returns the limits for a write of `changes` changes, or of target_batch_changes if that is more, after
+    // this many batches of this term were rejected as malformed. The first rejection shows that the announced
+    // limits are in force. Each later one shows that the actual limits are lower, and halves the limits.
     static BatchLimits after_rejections(int rejections, std::size_t changes,
                                         const config::Settings& settings);
 };
@@ -62,8 +62,8 @@
     void add_provisioning_requests();
     // Adds segments with the entries of changed shards, and tombstones.
     void add_segments();
-    // Adds the entries of the shards that starts wait for, or of all others. Returns false if not all of them
-    // fit.
+    // Adds the entries of the changed shards that starts wait for or, if `awaited_by_starts` is false, of the
+    // other changed shards. Returns false if not all of them fit.
     bool add_changed_shards(bool awaited_by_starts);
     // Adds the entry of one shard. Returns false if the batch is full.
     bool add_shard(Job& job, std::uint32_t shard_number, const ProgressShard& shard);
@@ -72,9 +72,10 @@
     void add_tombstones();
     // Adds the open segment to the transaction.
     void close_segment();
-    // Adds the final states of jobs that are done or cancelled by a dependency, and removals.
+    // Adds the final states of jobs that are completing or cancelled by a dependency, and removes the records
+    // that are left of jobs that are over.
     void add_finished_jobs();
-    // Adds what is left to write of one job that is done or over. Returns false if it does not fit.
+    // Adds these changes for one job, none if it is active. Returns false if they do not fit.
     bool add_finished_job(Job& job);
     // Adds the final state of a job. Returns false if it does not fit.
     bool add_outcome(Job& job, model::FinalStatus status);
--- a/src/controller/commit_loop.cpp
+++ b/src/controller/commit_loop.cpp
@@ -65,7 +65,7 @@
 net::awaitable<void> CommitLoop::commit(std::shared_ptr<cluster::LeaderTerm> leader,
                                         const cluster::WriteBatch& batch) {
     const auto body = wire::commit_request(batch.transaction);
-    bool uncertain = false;  // an earlier copy may have been applied
+    bool uncertain = false;  // whether an earlier copy may have been applied
     while (!leader->term->ended()) {
         const auto result = co_await store_.commit(body, c::commit_timeout_s);
         leader->write_limiter.record_writes(batch.transaction.changes.size());
--- a/src/controller/direct_command_dispatcher.cpp
+++ b/src/controller/direct_command_dispatcher.cpp
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-// Commands that were queued for longer than a gang waits plus a heartbeat period are dropped: the heartbeat
-// responses carry them.
+// Commands that were queued for longer than gang_failure_detection_s plus a heartbeat period are dropped: the
+// heartbeat responses carry the same stops.
 DirectCommandDispatcher::DirectCommandDispatcher(std::shared_ptr<leadership::Term> term,
                                                  const Dependencies& dependencies)
     : term_(std::move(term)),
--- a/src/controller/leader_loops.cpp
+++ b/src/controller/leader_loops.cpp
@@ -38,7 +38,8 @@
 }
 
 // Also applies the cancellations that peers reported after the revision of the watch cache, because the lease
-// guard counts them as known. Returns false if the log may already have evicted some of them.
+// guard counts them as known. Returns false if the log of cancellations can't return all of them,
+// because it may have evicted some or because they do not fit into one message.
 bool LeaderLoops::load_cluster_state(cluster::ClusterState& cluster_state) {
     const auto& watch_cache = dependencies_.watch_cache;
     cluster_state.load(watch_cache, steady_now_s(), net::Clock::wall_ms());
--- a/src/leadership/lease_guard.cpp
+++ b/src/leadership/lease_guard.cpp
@@ -22,10 +22,10 @@
 }
 
 // Each peer reports all cancellations that its current process confirmed to users. If all these processes
-// started before `cancellations_known_until_`, no earlier process can have confirmed a cancellation since
-// then, and all cancellations are known up to the time when the oldest of these messages was sent. The
-// latest time at which a process can have started is the arrival of its response minus its uptime, which the
-// peer measured with its own clock.
+// started before `cancellations_known_until_`, no earlier process of a peer can have confirmed a cancellation
+// since then, and all cancellations are known up to the time when the oldest of the requests to the peers was
+// sent. The latest time at which a peer's process can have started is the arrival of its response minus its
+// uptime, which the peer measured with its own clock.
 void LeaseGuard::apply_peer_confirmations(const std::vector<PeerConfirmation>& peers) {
     if (peers.empty() || cancellations_known_until_ < 0) return;
     double oldest_request = peers.front().requested_at;
--- a/src/leadership/lease_guard.hpp
+++ b/src/leadership/lease_guard.hpp
@@ -12,7 +12,8 @@
 struct PeerConfirmation {
     double requested_at = -1, received_at = -1;
     double uptime_s = 0;  // of the peer's process when it responded
-    // Whether the peer reported every cancellation that it knows and this controller's watch cache lacked.
+    // Whether the response lists every cancellation known to the peer that is newer than the revision of this
+    // controller's watch cache.
     bool confirms_cancellations = false;
 };
 
@@ -37,7 +38,8 @@
     void reset_lease() { lease_valid_until_ = 0; }
     // Records that this controller knows every cancellation confirmed to a user before `sent_at`.
     void confirm_cancellations_until(double sent_at);
-    // Records the same if the latest responses of all peers together prove it.
+    // Records that all cancellations confirmed before the oldest of the peers' `requested_at` are known, if
+    // the latest responses of all peers together prove it.
     void apply_peer_confirmations(const std::vector<PeerConfirmation>& peers);
 
     // Returns whether the store served the peer after it had begun to refuse this controller, and still
--- a/src/leadership/term.hpp
+++ b/src/leadership/term.hpp
@@ -19,7 +19,7 @@
     lease_expired,       // the store no longer knows the lease
     isolated,            // the store refuses only this controller
     no_heartbeats,       // workers reach a peer but not this controller
-    commit_unreadable,   // a transaction was committed at an unknown revision
+    commit_unreadable,   // a transaction was committed, but its revision could not be read
     leader_record_lost,  // the leader record is gone or belongs to another term
     commit_rejected      // a transaction was rejected as malformed, whatever its size
 };
--- a/src/peers/peer_exchange.hpp
+++ b/src/peers/peer_exchange.hpp
@@ -1,5 +1,6 @@
 // Exchanges messages with the other controllers: sends this controller's state and applies theirs. No message
-// grants a right to act.
+// makes a controller the leader or renews its lease. What the responses of all peers together can prove is
+// that all cancellations up to a later time are known (LeaseGuard).
 #pragma once
 
 #include <cstddef>
