--- a/src/api/job_writer.cpp
+++ b/src/api/job_writer.cpp
@@ -28,7 +28,7 @@
 // Returns the transaction that accepts the job, or nothing if the job exceeds the store's limits.
 std::optional<wire::Transaction> acceptance_transaction(const model::JobSpec& spec,
                                                         const config::Settings& settings) {
-    const auto value_bytes = static_cast<std::size_t>(settings.value_kb * 1024 * c::value_fill_ratio);
+    const auto value_bytes = static_cast<std::size_t>(settings.max_value_kb * 1024 * c::value_fill_ratio);
     auto job_records = records::job_records(spec, value_bytes, c::max_dependency_records);
     if (!job_records) return std::nullopt;
     auto transaction = transaction_for_new_job(spec.id);
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -107,7 +107,8 @@
     }
     const auto counts = dependencies_.watch_cache.task_counts(id);
     const auto status = counts.placed > 0 ? wire::JobStatus::running : wire::JobStatus::queued;
-    return {200, wire::job_status_response(id, status, wire::TaskCounts{counts.done, counts.placed})};
+    return {200,
+            wire::job_status_response(id, status, wire::DisplayedTaskCounts{counts.done, counts.placed})};
 }
 
 }  // namespace pineroad::api
--- a/src/api/worker_api.cpp
+++ b/src/api/worker_api.cpp
@@ -51,7 +51,7 @@
     const auto& heartbeat = *parsed;
     dependencies_.leadership.observe_token(heartbeat.fencing_token, "");
     const auto leader = dependencies_.active_term;
-    if (!leader || !leader->term->may_answer_heartbeats()) {
+    if (!leader || !leader->term->may_respond_to_heartbeats()) {
         dependencies_.peers.record_heartbeat();
         co_return redirect();
     }
@@ -72,7 +72,7 @@
         const leadership::HeldResponses::Hold hold(term.held_responses, heartbeat.machine, timer);
         co_await timer.async_wait(net::asio::as_tuple(net::asio::use_awaitable));
     }
-    if (!term.may_answer_heartbeats()) co_return redirect();
+    if (!term.may_respond_to_heartbeats()) co_return redirect();
     // If the worker has abandoned this heartbeat and sent another, it does not wait for this response:
     // commands in the response must not count as sent, and a response without them must not renew a lease.
     if (!is_latest(cluster_state, heartbeat))
--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -115,8 +115,8 @@
     return durable_writes_.record_rejection();
 }
 
-std::vector<std::string> ClusterState::take_machines_with_durable_starts() {
-    return durable_writes_.take_machines_with_durable_starts();
+std::vector<std::string> ClusterState::take_machines_with_durable_placements() {
+    return durable_writes_.take_machines_with_durable_placements();
 }
 
 // --- cloud -------------------------------------------------------------------------------------------------
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -104,7 +104,7 @@
     // next batches are smaller. Returns false if smaller batches were rejected too often.
     bool record_write_rejection();
     // Returns the machines with starts that became durable since the last call.
-    std::vector<std::string> take_machines_with_durable_starts();
+    std::vector<std::string> take_machines_with_durable_placements();
 
     // --- cloud ---
     // Sets the cloud's machine types. Returns whether they must be written.
--- a/src/cluster/durable_writes.cpp
+++ b/src/cluster/durable_writes.cpp
@@ -40,13 +40,13 @@
     const double now = dependencies_.context.now_s;
     for (const auto& written : batch.written_shards) {
         auto machines = dependencies_.jobs.apply_commit(written);
-        std::move(machines.begin(), machines.end(), std::back_inserter(machines_with_durable_starts_));
+        std::move(machines.begin(), machines.end(), std::back_inserter(machines_with_durable_placements_));
     }
-    apply_progress_removals(batch);
+    apply_legacy_progress_removals(batch);
     for (const auto& segment : batch.segments) dependencies_.segments.apply_commit(segment, revision);
     for (const auto& entry : batch.tombstones) dependencies_.segments.mark_tombstone_written(entry);
     for (const auto& finished : batch.finished_jobs) apply_outcome(finished, wall_ms);
-    for (const auto& id : batch.removed_jobs) remove_if_over(id);
+    for (const auto& id : batch.removal_candidates) remove_if_finished(id);
     if (batch.provisioning_requests)
         dependencies_.provisioning.apply_commit(*batch.provisioning_requests, revision);
     if (batch.has_machine_types) dependencies_.machines.types().apply_commit(revision);
@@ -55,7 +55,7 @@
     dependencies_.segments.compact();
 }
 
-void DurableWrites::apply_progress_removals(const WriteBatch& batch) {
+void DurableWrites::apply_legacy_progress_removals(const WriteBatch& batch) {
     for (const auto& change : batch.transaction.changes) {
         const auto id = records::strip_prefix(change.key, records::progress_prefix);
         if (!id) continue;
@@ -75,15 +75,15 @@
     dependencies_.averages.add(scheduling::category(*job->spec, dependencies_.context.tuning), slowdown);
 }
 
-void DurableWrites::remove_if_over(const std::string& id) {
+void DurableWrites::remove_if_finished(const std::string& id) {
     const Job* job = dependencies_.jobs.find(id);
-    if (!job || !job->is_final() || !job->placements.empty() || job->progress_revision != 0) return;
+    if (!job || !job->is_finished() || !job->placements.empty() || job->progress_revision != 0) return;
     dependencies_.segments.add_tombstones(id);
     dependencies_.jobs.remove(id);
 }
 
-std::vector<std::string> DurableWrites::take_machines_with_durable_starts() {
-    return std::exchange(machines_with_durable_starts_, {});
+std::vector<std::string> DurableWrites::take_machines_with_durable_placements() {
+    return std::exchange(machines_with_durable_placements_, {});
 }
 
 }  // namespace pineroad::cluster
--- a/src/cluster/durable_writes.hpp
+++ b/src/cluster/durable_writes.hpp
@@ -30,19 +30,19 @@
     bool record_rejection();
     // Returns the machines with starts that became durable since the last call. A machine may occur several
     // times.
-    std::vector<std::string> take_machines_with_durable_starts();
+    std::vector<std::string> take_machines_with_durable_placements();
 
    private:
     // Records that the progress records of version 0.1 that the batch removed no longer exist.
-    void apply_progress_removals(const WriteBatch& batch);
+    void apply_legacy_progress_removals(const WriteBatch& batch);
     // Applies the final state of a job, which is now durable.
     void apply_outcome(const FinishedJob& finished, std::int64_t wall_ms);
     // Removes a job that is over and has no task left.
-    void remove_if_over(const std::string& id);
+    void remove_if_finished(const std::string& id);
 
     DurableWritesDependencies dependencies_;
     int rejections_ = 0;
-    std::vector<std::string> machines_with_durable_starts_;
+    std::vector<std::string> machines_with_durable_placements_;
 };
 
 }  // namespace pineroad::cluster
--- a/src/cluster/failure_detector.cpp
+++ b/src/cluster/failure_detector.cpp
@@ -25,7 +25,7 @@
             return "silent while others report";
         case ReleaseReason::silent_past_lease:
             return "silent past its lease";
-        case ReleaseReason::never_confirmed_token:
+        case ReleaseReason::token_unconfirmed_past_lease:
             return "reports, but never showed this term's token";
         case ReleaseReason::quarantined:
             return "quarantined";
@@ -118,7 +118,7 @@
     if (silent_s > lease_timeout_s()) return ReleaseReason::silent_past_lease;
     if (commands_reach_most_machines_ && machine.older_token_since_s &&
         now - *machine.older_token_since_s > context_.settings.worker_lease_s)
-        return ReleaseReason::never_confirmed_token;
+        return ReleaseReason::token_unconfirmed_past_lease;
     if (machine.quarantined && (machine.tasks.empty() || silent_s > detection_timeout_s()))
         return ReleaseReason::quarantined;
     return std::nullopt;
--- a/src/cluster/failure_detector.hpp
+++ b/src/cluster/failure_detector.hpp
@@ -13,15 +13,15 @@
 // Why a machine is released.
 enum class ReleaseReason {
     listed_as_failed,
-    interrupted,                 // the time of its interruption notice has run out
-    unlisted_and_silent,         // the cloud no longer lists it, and no heartbeat arrives
-    silent_while_others_report,  // no heartbeat arrives while most machines report
-    silent_past_lease,           // no heartbeat arrived for longer than its lease
-    never_confirmed_token,       // its heartbeats lacked this term's fencing token for longer than a lease
-    quarantined,                 // its tasks fail
-    unreported_with_tasks,       // has tasks of an earlier term, and has not reported in this term
-    unlisted_with_tasks,         // has tasks of an earlier term, and the cloud no longer lists it
-    running_without_heartbeat,   // listed as running, and has not reported in this term
+    interrupted,                   // the time of its interruption notice has run out
+    unlisted_and_silent,           // the cloud no longer lists it, and no heartbeat arrives
+    silent_while_others_report,    // no heartbeat arrives while most machines report
+    silent_past_lease,             // no heartbeat arrived for longer than its lease
+    token_unconfirmed_past_lease,  // its heartbeats lacked this term's fencing token for longer than a lease
+    quarantined,                   // its tasks fail
+    unreported_with_tasks,         // has tasks of an earlier term, and has not reported in this term
+    unlisted_with_tasks,           // has tasks of an earlier term, and the cloud no longer lists it
+    running_without_heartbeat,     // listed as running, and has not reported in this term
     never_booted,
     receives_no_commands,  // an inbound partition: its heartbeats arrive, but responses do not reach it
     idle,
--- a/src/cluster/job_shards.cpp
+++ b/src/cluster/job_shards.cpp
@@ -47,7 +47,7 @@
     model::Progress progress = job.progress;
     if (job.sharded) {
         const auto first = shard * c::tasks_per_shard;
-        progress.is_shard = true;
+        progress.covers_one_shard = true;
         progress.done = done_between(job.progress.done, first, first + c::tasks_per_shard);
     }
     for (const auto& [task, placement] : placements_in_shard(job, shard))
--- a/src/cluster/machine_table.cpp
+++ b/src/cluster/machine_table.cpp
@@ -50,7 +50,7 @@
     }
 }
 
-void MachineTable::clear_failures_of(const std::string& job) {
+void MachineTable::remove_from_failed_jobs(const std::string& job) {
     for (auto& [id, machine] : machines_) machine.failed_jobs.erase(job);
 }
 
--- a/src/cluster/machine_table.hpp
+++ b/src/cluster/machine_table.hpp
@@ -37,7 +37,7 @@
     // Records that the machine's cache will hold the job's image, after a task of the job was placed there.
     void record_cached_image(Machine& machine, const model::JobSpec& spec);
     // Removes the job from the `failed_jobs` of every machine.
-    void clear_failures_of(const std::string& job);
+    void remove_from_failed_jobs(const std::string& job);
 
     // Returns the machine types.
     [[nodiscard]] MachineTypes& types() { return types_; }
--- a/src/cluster/segment_store.cpp
+++ b/src/cluster/segment_store.cpp
@@ -91,7 +91,7 @@
     for (const auto& [id, job] : std::as_const(jobs_).all())
         entries += std::max<std::size_t>(1, job.shards.size());
     const auto entries_per_segment =
-        std::clamp(context_.settings.value_kb * 1024 / c::compaction_bytes_per_entry, 1.0,
+        std::clamp(context_.settings.max_value_kb * 1024 / c::compaction_bytes_per_entry, 1.0,
                    static_cast<double>(c::min_entries_per_segment));
     return static_cast<double>(segments_.size()) >
            static_cast<double>(c::min_segments) + static_cast<double>(entries) / entries_per_segment;
--- a/src/cluster/snapshot_builder.cpp
+++ b/src/cluster/snapshot_builder.cpp
@@ -195,7 +195,7 @@
 // The entry must fit one value of the store.
 std::uint32_t SnapshotBuilder::free_entry_capacity(const Job& job) const {
     const double bytes =
-        context_.settings.value_kb * 1024 * c::value_fill_ratio - c::progress_record_overhead_bytes;
+        context_.settings.max_value_kb * 1024 * c::value_fill_ratio - c::progress_record_overhead_bytes;
     const double free = bytes / c::max_progress_entry_bytes - static_cast<double>(job.placements.size()) -
                         static_cast<double>(job.progress.done.iterative_size());
     return static_cast<std::uint32_t>(std::max(0.0, free));
--- a/src/cluster/state_loader.cpp
+++ b/src/cluster/state_loader.cpp
@@ -34,7 +34,7 @@
         const bool has_own_record = progress.segment.empty();
         if (has_own_record) job.progress_revision = progress.mod_revision;
     }
-    job.sharded |= entry.is_shard;
+    job.sharded |= entry.covers_one_shard;
     job.shards[name.shard].segment = progress.segment;
     load_placements(watch_cache, name, entry, job);
 }
--- a/src/cluster/task_lifecycle.cpp
+++ b/src/cluster/task_lifecycle.cpp
@@ -61,7 +61,7 @@
 
 void TaskLifecycle::cancel_job(const std::string& id) {
     Job* job = jobs_.find(id);
-    if (!job || job->is_final()) return;
+    if (!job || job->is_finished()) return;
     job->phase = JobPhase::cancelled;
     // Placements whose start was not sent are removed, since nothing can run under them.
     for (auto next = job->placements.begin(); next != job->placements.end();) {
@@ -77,7 +77,7 @@
 
 void TaskLifecycle::cancel_job_by_dependency(const std::string& id) {
     Job* job = jobs_.find(id);
-    if (!job || job->is_final() || job->phase == JobPhase::cancelled_by_dependency) return;
+    if (!job || job->is_finished() || job->phase == JobPhase::cancelled_by_dependency) return;
     job->phase = JobPhase::cancelled_by_dependency;
     jobs_.mark_changed(*job);
     spdlog::info("job {} cancelled with a job that it depends on (term {})", id, context_.fencing_token);
@@ -179,7 +179,7 @@
                                                                c::max_failed_machines_per_job;
     if (job_at_fault) {
         job.failures.retry_at_s = context_.now_s + retry_backoff_s(job.failures.count);
-        machines_.clear_failures_of(job.id);
+        machines_.remove_from_failed_jobs(job.id);
         return;
     }
     ++machine.consecutive_failures;
--- a/src/cluster/write_batch_builder.cpp
+++ b/src/cluster/write_batch_builder.cpp
@@ -19,8 +19,8 @@
     BatchLimits limits;
     limits.changes = std::clamp<std::size_t>(changes, c::target_batch_changes,
                                              static_cast<std::size_t>(settings.max_transaction_changes));
-    limits.value_bytes = settings.value_kb * 1024 * c::value_fill_ratio;
-    limits.current_limits_hold = rejections == 0;
+    limits.value_bytes = settings.max_value_kb * 1024 * c::value_fill_ratio;
+    limits.current_limits_in_force = rejections == 0;
     for (int rejection = 1; rejection < rejections; ++rejection) {
         limits.changes = std::max(limits.changes / 2, c::min_batch_changes);
         limits.value_bytes = limits.value_bytes / 2;
@@ -77,7 +77,7 @@
     if (!types.needs_write()) return;
     auto value = wire::machine_types_json(types.all());
     const auto bytes = boost::json::serialize(value).size() + c::machine_types_overhead_bytes;
-    if (static_cast<double>(bytes) < dependencies_.context.settings.value_kb * 1024)
+    if (static_cast<double>(bytes) < dependencies_.context.settings.max_value_kb * 1024)
         put(std::string(records::machine_types_key), std::move(value), types.mod_revision(), bytes);
     else
         spdlog::error("{} machine types do not fit one value of the store", types.all().size());
@@ -145,7 +145,7 @@
     auto value = records::progress_json(progress_of_shard(job, shard_number), shard_number);
     const auto name = records::entry_name(entry);
     const auto bytes = boost::json::serialize(value).size() + name.size() + c::segment_entry_overhead_bytes;
-    if (!fits_value(entry, bytes)) return true;
+    if (!fits_in_value(entry, bytes)) return true;
     const bool fills_segment = static_cast<double>(open_segment_bytes_ + bytes) > limits_.value_bytes;
     if (!open_segment_entries_.empty() && fills_segment) close_segment();
     // Half of the changes are reserved for records that users wait for.
@@ -157,7 +157,7 @@
     batch_.written_shards.push_back({job.id, shard_number, shard.version});
     if (shard_number == 0 && job.progress_revision) {
         remove(records::progress_key(job.id), job.progress_revision);
-        batch_.removed_jobs.push_back(job.id);
+        batch_.removal_candidates.push_back(job.id);
     }
     return true;
 }
@@ -165,10 +165,11 @@
 // An entry that an earlier version wrote under a larger limit may not fit until its job may be sharded. It is
 // written under the limit currently in force until a batch is rejected; then the job waits until it is
 // sharded.
-bool WriteBatchBuilder::fits_value(const records::EntryName& entry, std::size_t bytes) const {
-    const double current_bytes = dependencies_.context.settings.current_value_kb * 1024 * c::value_fill_ratio;
+bool WriteBatchBuilder::fits_in_value(const records::EntryName& entry, std::size_t bytes) const {
+    const double current_bytes =
+        dependencies_.context.settings.current_max_value_kb * 1024 * c::value_fill_ratio;
     if (static_cast<double>(bytes) <= limits_.value_bytes) return true;
-    if (limits_.current_limits_hold && static_cast<double>(bytes) <= current_bytes) return true;
+    if (limits_.current_limits_in_force && static_cast<double>(bytes) <= current_bytes) return true;
     spdlog::error("the entry {} of {} bytes does not fit a value of the store", records::entry_name(entry),
                   bytes);
     return false;
@@ -224,7 +225,7 @@
             dependencies_.pending_changes.request_commit();
             return false;
         }
-    } else if (!job.is_final() || !job.placements.empty()) {
+    } else if (!job.is_finished() || !job.placements.empty()) {
         return true;  // written in a segment, or nothing to write until the last task has ended
     }
     if (job.placements.empty()) {
@@ -232,7 +233,7 @@
             if (!fits(1, c::progress_removal_bytes)) return false;
             remove(records::progress_key(job.id), job.progress_revision);
         }
-        batch_.removed_jobs.push_back(job.id);
+        batch_.removal_candidates.push_back(job.id);
     }
     batch_.written_shards.push_back({job.id, std::nullopt, job.version});
     return true;
--- a/src/cluster/write_batch_builder.hpp
+++ b/src/cluster/write_batch_builder.hpp
@@ -34,8 +34,8 @@
 // The limits of one batch.
 struct BatchLimits {
     std::size_t changes = 0;
-    double value_bytes = 0;           // of a segment, less a margin for growing numbers
-    bool current_limits_hold = true;  // no batch was rejected: the announced limits do not apply yet
+    double value_bytes = 0;               // of a segment, less a margin for growing numbers
+    bool current_limits_in_force = true;  // no batch was rejected: the announced limits do not apply yet
 
     // Returns the limits for a write of `changes` changes, or of target_batch_changes if that is more, after
     // this many batches of this term were rejected as malformed. The first rejection shows that the announced
@@ -90,7 +90,7 @@
     // Returns whether this many more changes and bytes fit into the transaction.
     [[nodiscard]] bool fits(std::size_t changes, std::size_t bytes) const;
     // Returns whether an entry of this size fits into one value.
-    [[nodiscard]] bool fits_value(const wire::records::EntryName& entry, std::size_t bytes) const;
+    [[nodiscard]] bool fits_in_value(const wire::records::EntryName& entry, std::size_t bytes) const;
     // Adds a write of the value, on the condition that the key still has this revision; 0: the key does not
     // exist.
     void put(const std::string& key, wire::Json value, std::uint64_t mod_revision, std::size_t bytes);
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -72,14 +72,14 @@
 void read_store_limits(const TomlSection& state, Settings& settings) {
     settings.store_requests_per_s = state.read_number("rps", 1, max_amount);
     settings.store_writes_per_s = state.read_number("write_rps", 1, max_amount);
-    settings.value_kb = state.read_number("value_kb", 1, 1e6);
+    settings.max_value_kb = state.read_number("value_kb", 1, 1e6);
     double transaction_changes = state.read_number("txn_ops", 4, 1e6);
-    settings.current_value_kb = settings.value_kb;
+    settings.current_max_value_kb = settings.max_value_kb;
     if (state.has("next")) {
         const auto next = state.read_table("next");
         lower_to(settings.store_requests_per_s, next.read_optional_number("rps", 1, max_amount));
         lower_to(settings.store_writes_per_s, next.read_optional_number("write_rps", 1, max_amount));
-        lower_to(settings.value_kb, next.read_optional_number("value_kb", 1, 1e6));
+        lower_to(settings.max_value_kb, next.read_optional_number("value_kb", 1, 1e6));
         lower_to(transaction_changes, next.read_optional_number("txn_ops", 4, 1e6));
     }
     settings.max_transaction_changes = static_cast<int>(transaction_changes);
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -86,9 +86,9 @@
     // (params.state.next), because the change takes effect without notice.
     double store_requests_per_s = 100;  // rps: requests per second
     double store_writes_per_s = 20;     // write_rps: keys written or deleted per second
-    double value_kb = 8;                // value_kb: maximum KiB per value
+    double max_value_kb = 8;            // value_kb: maximum KiB per value
     int max_transaction_changes = 12;   // txn_ops: keys written or deleted in one transaction
-    double current_value_kb = 8;        // params.state.value_kb: the current limit, in KiB
+    double current_max_value_kb = 8;    // params.state.value_kb: the current limit, in KiB
 
     double cloud_requests_per_s = 5;  // params.cloud.rps
     double list_lag_s = 5;   // params.cloud.list_lag_s: maximum staleness of the cloud's list of machines
--- a/src/controller/commit_loop.cpp
+++ b/src/controller/commit_loop.cpp
@@ -54,7 +54,7 @@
             continue;
         }
         co_await commit(leader, *batch);
-        for (const auto& machine : cluster_state.take_machines_with_durable_starts())
+        for (const auto& machine : cluster_state.take_machines_with_durable_placements())
             term.held_responses.release(machine);
         term.scaling_due.notify();
         co_await sleep_for(c::commit_interval_s);
--- a/src/controller/planning_loop.cpp
+++ b/src/controller/planning_loop.cpp
@@ -23,9 +23,9 @@
 // machines that each send a heartbeat every second would exceed the controller's share of a processor.
 net::awaitable<void> PlanningLoop::run(std::shared_ptr<cluster::LeaderTerm> leader,
                                        std::shared_ptr<DirectCommandDispatcher> dispatcher) {
-    bool lease_was_provable = true;
+    bool could_start_tasks = true;
     while (!leader->term->ended()) {
-        plan(*leader, *dispatcher, lease_was_provable);
+        plan(*leader, *dispatcher, could_start_tasks);
         co_await net::sleep_for(c::min_plan_interval_s +
                                 std::min(event_loop_lag_.lag_s(), c::max_plan_interval_s));
         co_await leader->term->plan_due.wait(c::max_plan_interval_s);
@@ -33,19 +33,19 @@
 }
 
 void PlanningLoop::plan(cluster::LeaderTerm& leader, DirectCommandDispatcher& dispatcher,
-                        bool& lease_was_provable) {
+                        bool& could_start_tasks) {
     auto& term = *leader.term;
     auto& cluster_state = leader.cluster_state;
     if (record_format_tracker_.all_controllers_read_format()) cluster_state.allow_sharding();
     if (term.may_start_tasks()) {
         // Without a valid lease this leader may have been partitioned: the silence of a machine during that
         // time does not indicate that the machine has failed.
-        if (!std::exchange(lease_was_provable, true)) cluster_state.restart_silence_timers(steady_now_s());
+        if (!std::exchange(could_start_tasks, true)) cluster_state.restart_silence_timers(steady_now_s());
         cluster_state.detect_failures(steady_now_s());
         cluster_state.plan(steady_now_s(), net::Clock::wall_ms(),
                            watch_cache_.demand.by_class(settings_, steady_now_s()));
     } else {
-        lease_was_provable = false;
+        could_start_tasks = false;
     }
     if (cluster_state.write_due()) term.commit_due.notify();
     dispatcher.dispatch(cluster_state.take_direct_commands());
--- a/src/controller/planning_loop.hpp
+++ b/src/controller/planning_loop.hpp
@@ -25,9 +25,9 @@
                              std::shared_ptr<DirectCommandDispatcher> dispatcher);
 
    private:
-    // Runs one planning round. `lease_was_provable` holds whether the lease was provably valid at
+    // Runs one planning round. `could_start_tasks` holds whether the lease was provably valid at
     // the previous call, and is updated.
-    void plan(cluster::LeaderTerm& leader, DirectCommandDispatcher& dispatcher, bool& lease_was_provable);
+    void plan(cluster::LeaderTerm& leader, DirectCommandDispatcher& dispatcher, bool& could_start_tasks);
 
     const config::Settings& settings_;
     const store::WatchCache& watch_cache_;
--- a/src/controller/provisioning_loops.cpp
+++ b/src/controller/provisioning_loops.cpp
@@ -67,7 +67,7 @@
         const auto page =
             response && response->status == 200 ? wire::parse_machine_list(response->body) : std::nullopt;
         if (!page) co_return std::nullopt;
-        more = page->truncated && !page->machines.empty();
+        more = page->has_more && !page->machines.empty();
         if (more) after = page->machines.back().id;
         machines.insert(machines.end(), page->machines.begin(), page->machines.end());
     }
--- a/src/leadership/lease_guard.cpp
+++ b/src/leadership/lease_guard.cpp
@@ -28,12 +28,13 @@
 // uptime, which the peer measured with its own clock.
 void LeaseGuard::apply_peer_confirmations(const std::vector<PeerConfirmation>& peers) {
     if (peers.empty() || cancellations_known_until_ < 0) return;
-    double oldest_request = peers.front().requested_at;
+    double oldest_request = peers.front().request_sent_at;
     for (const auto& peer : peers) {
         const double started_by = peer.received_at - peer.uptime_s * (1 - c::max_clock_drift);
-        if (peer.requested_at < 0 || !peer.confirms_cancellations || started_by >= cancellations_known_until_)
+        if (peer.request_sent_at < 0 || !peer.confirms_cancellations ||
+            started_by >= cancellations_known_until_)
             return;
-        oldest_request = std::min(oldest_request, peer.requested_at);
+        oldest_request = std::min(oldest_request, peer.request_sent_at);
     }
     confirm_cancellations_until(oldest_request);
 }
@@ -44,9 +45,9 @@
 // expired.
 bool LeaseGuard::store_serves_peer(double now, const store::StoreOutage& own_outage,
                                    const PeerStoreContact& peer) {
-    return own_outage.since >= 0 && peer.contacted_at >= now - c::recent_peer_contact_s &&
-           peer.contacted_at - peer.store_contact_age_s > own_outage.since &&
-           own_outage.last_sent > peer.contacted_at + c::peer_message_timeout_s;
+    return own_outage.since >= 0 && peer.request_sent_at >= now - c::recent_peer_contact_s &&
+           peer.request_sent_at - peer.store_contact_age_s > own_outage.since &&
+           own_outage.last_sent > peer.request_sent_at + c::peer_message_timeout_s;
 }
 
 // A leader whose lease may have expired keeps answering heartbeats for a while, because nobody else can lead
@@ -61,11 +62,12 @@
     if (peers.empty() || now < lease_valid_until_) return false;
     bool any_peer_responds = false;
     for (const auto& peer : peers) {
-        const double served_at = peer.contacted_at - peer.store_contact_age_s;
+        const double served_at = peer.request_sent_at - peer.store_contact_age_s;
         if (store_serves_peer(now, own_outage, peer) &&
             served_at > lease_valid_until_ + c::lease_expiry_margin_s)
             return true;
-        any_peer_responds |= peer.contacted_at >= 0 && peer.contacted_at >= now - c::recent_peer_contact_s;
+        any_peer_responds |=
+            peer.request_sent_at >= 0 && peer.request_sent_at >= now - c::recent_peer_contact_s;
     }
     return !any_peer_responds && now > lease_valid_until_ + c::isolated_leader_grace_s;
 }
@@ -73,13 +75,13 @@
 // A valid lease is not sufficient: a leader whose watches hang while its lease renewals succeed would never
 // learn of a cancellation.
 bool LeaseGuard::may_start_tasks(double now) const {
-    return now < lease_valid_until_ && may_answer_heartbeats(now);
+    return now < lease_valid_until_ && may_respond_to_heartbeats(now);
 }
 
 // Heartbeats may be answered without the lease, so that workers keep their tasks through a store outage. This
 // is limited to the time during which a worker that receives its last response now would still stop its tasks
 // before the timeout of a cancellation that is not known here.
-bool LeaseGuard::may_answer_heartbeats(double now) const {
+bool LeaseGuard::may_respond_to_heartbeats(double now) const {
     return cancellations_known_until_ >= 0 && now < cancellations_known_until_ + disconnected_grace_s_;
 }
 
--- a/src/leadership/lease_guard.hpp
+++ b/src/leadership/lease_guard.hpp
@@ -8,9 +8,9 @@
 
 namespace pineroad::leadership {
 
-// A peer's response, received at `received_at`, to a message that was sent at `requested_at`.
+// A peer's response, received at `received_at`, to a message that was sent at `request_sent_at`.
 struct PeerConfirmation {
-    double requested_at = -1, received_at = -1;
+    double request_sent_at = -1, received_at = -1;
     double uptime_s = 0;  // of the peer's process when it responded
     // Whether the response lists every cancellation known to the peer that is newer than the revision of this
     // controller's watch cache.
@@ -18,9 +18,9 @@
 };
 
 // What a peer last reported about its contact with the store, in response to a message sent at
-// `contacted_at`.
+// `request_sent_at`.
 struct PeerStoreContact {
-    double contacted_at = -1, store_contact_age_s = 0;
+    double request_sent_at = -1, store_contact_age_s = 0;
 };
 
 // Tracks until when the lease and the knowledge of cancellations are proven valid, and decides what the
@@ -38,8 +38,8 @@
     void reset_lease() { lease_valid_until_ = 0; }
     // Records that this controller knows every cancellation confirmed to a user before `sent_at`.
     void confirm_cancellations_until(double sent_at);
-    // Records that all cancellations confirmed before the oldest of the peers' `requested_at` are known, if
-    // the latest responses of all peers together prove it.
+    // Records that all cancellations confirmed before the oldest of the peers' `request_sent_at` are known,
+    // if the latest responses of all peers together prove it.
     void apply_peer_confirmations(const std::vector<PeerConfirmation>& peers);
 
     // Returns whether the store served the peer after it had begun to refuse this controller, and still
@@ -53,7 +53,7 @@
     // Returns whether the leader may start tasks and do everything else that requires the lease.
     [[nodiscard]] bool may_start_tasks(double now) const;
     // Returns whether heartbeats may be answered; each response extends the lease of a worker.
-    [[nodiscard]] bool may_answer_heartbeats(double now) const;
+    [[nodiscard]] bool may_respond_to_heartbeats(double now) const;
 
    private:
     double disconnected_grace_s_;
--- a/src/leadership/term.cpp
+++ b/src/leadership/term.cpp
@@ -73,8 +73,8 @@
     return !ended_ && lease_guard_.may_start_tasks(store::steady_now_s());
 }
 
-bool Term::may_answer_heartbeats() const {
-    return !ended_ && lease_guard_.may_answer_heartbeats(store::steady_now_s());
+bool Term::may_respond_to_heartbeats() const {
+    return !ended_ && lease_guard_.may_respond_to_heartbeats(store::steady_now_s());
 }
 
 }  // namespace pineroad::leadership
--- a/src/leadership/term.hpp
+++ b/src/leadership/term.hpp
@@ -86,7 +86,7 @@
     // Returns whether the leader may start tasks and do everything else that requires the lease.
     [[nodiscard]] bool may_start_tasks() const;
     // Returns whether heartbeats may be answered.
-    [[nodiscard]] bool may_answer_heartbeats() const;
+    [[nodiscard]] bool may_respond_to_heartbeats() const;
 
     net::Notification commit_due;   // there may be something to commit
     net::Notification plan_due;     // there is a change that planning should consider
--- a/src/model/dependency_graph.cpp
+++ b/src/model/dependency_graph.cpp
@@ -60,7 +60,7 @@
         return;
     }
     --dependent.pending_dependencies;
-    dependent.ready_since_ms = std::max(dependent.ready_since_ms, outcome.ended_at_ms);
+    dependent.ready_since_ms = std::max(dependent.ready_since_ms, outcome.finished_at_ms);
 }
 
 DependencyGraph::Change DependencyGraph::record_outcome(const std::string& id, const JobOutcome& outcome) {
--- a/src/model/progress.hpp
+++ b/src/model/progress.hpp
@@ -27,9 +27,9 @@
     std::uint64_t next_attempt = 1;     // greater than every attempt number of the job
     // Run time saved in checkpoints by stopped tasks; all other time counts as waiting.
     double checkpointed_run_s = 0;
-    Resources task_resources;  // repeated here because a cancelled job has no other record
-    std::string team;          // repeated for the same reason
-    bool is_shard = false;     // covers only the tasks of one shard of the job
+    Resources task_resources;       // repeated here because a cancelled job has no other record
+    std::string team;               // repeated for the same reason
+    bool covers_one_shard = false;  // covers only the tasks of one shard of the job
     // Returns the number of completed tasks.
     [[nodiscard]] std::uint32_t done_count() const { return static_cast<std::uint32_t>(done.size()); }
 };
@@ -40,7 +40,7 @@
 // Final status of a job, and when it ended.
 struct JobOutcome {
     FinalStatus status = FinalStatus::done;
-    std::int64_t ended_at_ms = 0;  // Unix time in milliseconds; 0: an older record without this time
+    std::int64_t finished_at_ms = 0;  // Unix time in milliseconds; 0: an older record without this time
     bool operator==(const JobOutcome&) const = default;
 };
 
--- a/src/peers/peer_directory.cpp
+++ b/src/peers/peer_directory.cpp
@@ -20,7 +20,7 @@
 constexpr std::uint64_t recent_heartbeat_ms = 4000;
 
 leadership::PeerStoreContact store_contact(const PeerContact& peer) {
-    return {peer.contacted_at, static_cast<double>(peer.last_response.store_contact_age_ms) / 1000.0};
+    return {peer.request_sent_at, static_cast<double>(peer.last_response.store_contact_age_ms) / 1000.0};
 }
 
 }  // namespace
@@ -43,7 +43,7 @@
 
 void PeerDirectory::record_response(std::size_t index, double sent_at, wire::PeerMessage response) {
     PeerContact& contact = contacts_[index];
-    contact.contacted_at = sent_at;
+    contact.request_sent_at = sent_at;
     contact.last_response_at = steady_now_s();
     contact.reads_format |= response.record_format >= records::record_format;
     contact.last_response = std::move(response);
@@ -52,7 +52,7 @@
 std::vector<leadership::PeerConfirmation> PeerDirectory::confirmations() const {
     std::vector<leadership::PeerConfirmation> confirmations;
     for (const auto& peer : contacts_)
-        confirmations.push_back({peer.contacted_at, peer.last_response_at,
+        confirmations.push_back({peer.request_sent_at, peer.last_response_at,
                                  static_cast<double>(peer.last_response.uptime_ms) / 1000.0,
                                  peer.last_response.confirms_cancellations});
     return confirmations;
@@ -61,7 +61,7 @@
 bool PeerDirectory::store_down_for_all(const store::StoreOutage& own_outage) const {
     const double now = steady_now_s();
     return std::all_of(contacts_.begin(), contacts_.end(), [&](const PeerContact& peer) {
-        return peer.contacted_at >= now - c::recent_peer_contact_s &&
+        return peer.request_sent_at >= now - c::recent_peer_contact_s &&
                !leadership::LeaseGuard::store_serves_peer(now, own_outage, store_contact(peer));
     });
 }
@@ -75,7 +75,7 @@
 bool PeerDirectory::heartbeats_reach_peer() const {
     const double oldest_recent_contact = steady_now_s() - c::recent_peer_contact_s;
     return std::any_of(contacts_.begin(), contacts_.end(), [&](const PeerContact& peer) {
-        return peer.contacted_at > oldest_recent_contact &&
+        return peer.request_sent_at > oldest_recent_contact &&
                peer.last_response.heartbeat_age_ms < recent_heartbeat_ms &&
                peer.last_response.uptime_ms > recent_heartbeat_ms;
     });
--- a/src/peers/peer_directory.hpp
+++ b/src/peers/peer_directory.hpp
@@ -16,7 +16,7 @@
 
 // The contact with one peer. Times are in seconds on the steady clock; -1 means never.
 struct PeerContact {
-    double contacted_at = -1;         // when the request that it last responded to was sent
+    double request_sent_at = -1;      // when the request that it last responded to was sent
     double last_response_at = -1;     // when that response arrived
     double last_request_at = -1;      // when its last request arrived
     bool reads_format = false;        // whether it announced that it reads the current record format
@@ -24,7 +24,7 @@
 
     // Returns whether the peer has neither responded to a request sent since `time` nor sent one itself.
     [[nodiscard]] bool silent_since(double time) const {
-        return contacted_at < time && last_request_at < time;
+        return request_sent_at < time && last_request_at < time;
     }
 };
 
--- a/src/scheduling/autoscaling.cpp
+++ b/src/scheduling/autoscaling.cpp
@@ -19,14 +19,14 @@
 struct ExpectedMachine {
     std::string type, zone;
     bool spot = false;
-    model::Resources free;                  // capacity minus the tasks that this plan places on it
-    int reserved_for_pool_count = INT_MAX;  // jobs with more eligible pools may not use it
+    model::Resources free;             // capacity minus the tasks that this plan places on it
+    int max_eligible_pools = INT_MAX;  // jobs with more eligible pools may not use it
 };
 
 // A job class as a queue with servers.
 struct ClassQueue {
-    double work_s = 0;   // pending work in task-seconds
-    double servers = 0;  // tasks that run, or that this plan places on expected machines
+    double work_s = 0;        // pending work in task-seconds
+    double active_tasks = 0;  // tasks that run, or that this plan places on expected machines
 };
 
 // Returns the only zone that the job may still use; empty if there are several.
@@ -86,7 +86,7 @@
     double longest_boot_s_ = 0;
     // Pending task-seconds by class and zone (empty: any) that are already assigned to machines of running
     // tasks.
-    std::map<std::pair<std::string, std::string>, double> served_by_running_s_;
+    std::map<std::pair<std::string, std::string>, double> assigned_work_s_;
 };
 
 AutoscalingPlan AutoscalingRound::run() {
@@ -128,7 +128,7 @@
         class_queues_[job->spec->job_class].work_s +=
             static_cast<double>(job->pending_tasks.size()) * job->expected_run_s;
     for (const auto& [job_class, demand] : snapshot_.demand)
-        class_queues_[job_class].servers = demand.running_tasks;
+        class_queues_[job_class].active_tasks = demand.running_tasks;
     for (const auto& pool : snapshot_.pools) longest_boot_s_ = std::max(longest_boot_s_, pool.type->boot_s);
 }
 
@@ -149,9 +149,9 @@
         std::max(tuning.queue_slack_share * job.slack_s, tuning.drain_boot_times * longest_boot_s_);
     const auto pending_task_count = static_cast<double>(job.pending_tasks.size());
     double work_s = pending_task_count * job.expected_run_s;
-    auto& counted_s = served_by_running_s_[{job.spec->job_class, zone}];
-    const double served_s = std::clamp(running_tasks * horizon_s - counted_s, 0.0, work_s);
-    counted_s += served_s;
+    auto& assigned_s = assigned_work_s_[{job.spec->job_class, zone}];
+    const double served_s = std::clamp(running_tasks * horizon_s - assigned_s, 0.0, work_s);
+    assigned_s += served_s;
     work_s -= served_s;
     // The 0.01 avoids an additional task due to rounding errors.
     const double needed = std::ceil(work_s / std::max(horizon_s, job.expected_run_s) - 0.01);
@@ -165,7 +165,7 @@
     for (std::size_t i = first_machine; i < expected_machines_.size() && placed < job.pending_tasks.size();
          ++i) {
         auto& machine = expected_machines_[i];
-        if (!spec.task_resources.fits_in(machine.free) || eligible_pools > machine.reserved_for_pool_count ||
+        if (!spec.task_resources.fits_in(machine.free) || eligible_pools > machine.max_eligible_pools ||
             !allowed_on(spec, machine.type, machine.zone, machine.spot) || !zone_allowed(job, machine.zone))
             continue;
         placed += place_tasks_on(job, machine, job.pending_tasks.size() - placed);
@@ -188,7 +188,7 @@
         auto& usage = snapshot_.usage[spec.team];
         usage.cpus += spec.task_resources.cpus;
         usage.gpus += spec.task_resources.gpus;
-        ++class_queues_[spec.job_class].servers;
+        ++class_queues_[spec.job_class].active_tasks;
         ++tasks;
         if (!zone_allowed(job, machine.zone)) break;
     }
@@ -218,7 +218,7 @@
     const auto& queue = class_queues_.at(spec.job_class);
     const double extra_queue_factor =
         std::pow(price_ratio(snapshot_, spec, pool.type->name, pool.spot), tuning.price_ratio_exponent) - 1;
-    return queue.work_s < queue.servers * tuning.drain_boot_times * longest_boot_s_ * extra_queue_factor;
+    return queue.work_s < queue.active_tasks * tuning.drain_boot_times * longest_boot_s_ * extra_queue_factor;
 }
 
 // Returns the number of running tasks of the job's class in `zone` (empty: any). Tasks that end in another
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -90,9 +90,9 @@
     // A machine with room for the smallest pending task.
     struct OpenMachine {
         MachineSnapshot* machine;
-        std::size_t pool;             // index into Snapshot::pools
-        int reserved_for_pool_count;  // jobs with more eligible pools may not use it
-        bool reserved_for_gang;       // reserved for the holder of the reservation
+        std::size_t pool;        // index into Snapshot::pools
+        int max_eligible_pools;  // jobs with more eligible pools may not use it
+        bool reserved_for_gang;  // reserved for the holder of the reservation
     };
     // A machine that the current job may use: its cost in seconds, and its index in `open_machines_`.
     using Candidate = std::pair<double, std::size_t>;
@@ -266,7 +266,7 @@
                                   ImageRule rule) const {
     const auto& machine = *open.machine;
     if (!job.spec->task_resources.fits_in(machine.free) || !evaluation.allowed[open.pool]) return false;
-    if (evaluation.eligible_pool_count > open.reserved_for_pool_count) return false;
+    if (evaluation.eligible_pool_count > open.max_eligible_pools) return false;
     if (open.reserved_for_gang && job.spec->id != reservation_.job) return false;
     if ((zone && machine.zone != *zone) || job.excluded_machines.contains(machine.id)) return false;
     return rule == ImageRule::any_machine || has_image(machine, *job.spec);
--- a/src/store/progress_view.cpp
+++ b/src/store/progress_view.cpp
@@ -60,9 +60,9 @@
     return shard == entry.shard || !entries_.contains({entry.job, shard});
 }
 
-ProgressView::TaskCounts ProgressView::task_counts(const std::string& job) const {
+ProgressView::RecordedTaskCounts ProgressView::task_counts(const std::string& job) const {
     model::TaskSet done;
-    TaskCounts counts;
+    RecordedTaskCounts counts;
     for (auto entry = entries_.lower_bound({job, 0}); entry != entries_.end() && entry->first.job == job;
          ++entry) {
         const auto& progress = entry->second.value;
--- a/src/store/progress_view.hpp
+++ b/src/store/progress_view.hpp
@@ -31,7 +31,7 @@
         std::uint64_t mod_revision = 0;
     };
     // Numbers of a job's tasks that are done and that are placed on a machine.
-    struct TaskCounts {
+    struct RecordedTaskCounts {
         std::uint64_t done = 0, placed = 0;
     };
 
@@ -50,7 +50,7 @@
     // tasks whose shard has an entry of its own, because that one was written later.
     [[nodiscard]] bool is_current(const EntryName& entry, const model::Placement& placement) const;
     // Returns the sums over all entries of a job, or zeros if it has none.
-    [[nodiscard]] TaskCounts task_counts(const std::string& job) const;
+    [[nodiscard]] RecordedTaskCounts task_counts(const std::string& job) const;
     // Returns every segment that was read, by name, even if none of its entries is current any more.
     [[nodiscard]] const std::map<std::string, Segment>& segments() const { return segments_; }
     // Returns an iterator to the first current entry, a pair of EntryName and Entry.
--- a/src/store/watch_cache.hpp
+++ b/src/store/watch_cache.hpp
@@ -58,7 +58,7 @@
         return progress.is_current(entry, placement);
     }
     // Returns the numbers of the job's tasks that are done and that are placed on a machine.
-    [[nodiscard]] ProgressView::TaskCounts task_counts(const std::string& id) const {
+    [[nodiscard]] ProgressView::RecordedTaskCounts task_counts(const std::string& id) const {
         return progress.task_counts(id);
     }
     // Returns the dependencies between live jobs.
--- a/src/store/watch_loop.cpp
+++ b/src/store/watch_loop.cpp
@@ -42,7 +42,7 @@
         if (first_revision == 0) first_revision = page->revision;
         for (const auto& row : page->rows)
             watch_cache_.apply_put(row.key, row.value, row.mod_revision, steady_now_s());
-        more = page->truncated && !page->rows.empty();
+        more = page->has_more && !page->rows.empty();
         if (more) after = page->rows.back().key;
     }
     co_return first_revision;
--- a/src/wire/cloud_protocol.cpp
+++ b/src/wire/cloud_protocol.cpp
@@ -136,7 +136,7 @@
     const auto* list = object ? read::list(*object, field_name::machines) : nullptr;
     if (!list) return std::nullopt;
     MachineList out;
-    out.truncated = read::flag(*object, field_name::truncated).value_or(false);
+    out.has_more = read::flag(*object, field_name::truncated).value_or(false);
     for (const auto& item : *list) {
         auto machine = parse_listed_machine(item);
         if (!machine) return std::nullopt;
--- a/src/wire/cloud_protocol.hpp
+++ b/src/wire/cloud_protocol.hpp
@@ -55,7 +55,7 @@
 // One page of the list of machines, sorted by name.
 struct MachineList {
     std::vector<model::ListedMachine> machines;
-    bool truncated = false;  // whether more machines follow
+    bool has_more = false;  // whether more machines follow
 };
 
 // Parses one page of the list of machines.
--- a/src/wire/outcome_record.cpp
+++ b/src/wire/outcome_record.cpp
@@ -9,7 +9,7 @@
 
 Json outcome_json(const model::JobOutcome& outcome) {
     json::object out{{"f", outcome.status == model::FinalStatus::done ? "done" : "cancelled"}};
-    if (outcome.ended_at_ms > 0) out["at"] = outcome.ended_at_ms;
+    if (outcome.finished_at_ms > 0) out["at"] = outcome.finished_at_ms;
     return out;
 }
 
@@ -18,8 +18,8 @@
     const auto name = object ? read::text(*object, "f") : std::nullopt;
     if (!name) return std::nullopt;
     const auto status = *name == "done" ? model::FinalStatus::done : model::FinalStatus::cancelled;
-    const auto ended_at_ms = static_cast<std::int64_t>(read::unsigned_integer(*object, "at").value_or(0));
-    return model::JobOutcome{status, ended_at_ms};
+    const auto finished_at_ms = static_cast<std::int64_t>(read::unsigned_integer(*object, "at").value_or(0));
+    return model::JobOutcome{status, finished_at_ms};
 }
 
 }  // namespace pineroad::wire::records
--- a/src/wire/progress_record.cpp
+++ b/src/wire/progress_record.cpp
@@ -65,7 +65,7 @@
     for (const auto& placement : progress.placements)
         placements.push_back(json::array{placement.index, placement.attempt, placement.machine});
     json::object out{{"d", std::move(done)}, {"r", std::move(placements)}, {"n", progress.next_attempt}};
-    if (progress.is_shard) out["c"] = true;
+    if (progress.covers_one_shard) out["c"] = true;
     if (shard > 0) return out;
     out["s"] = progress.checkpointed_run_s;
     out["w"] = resources_json(progress.task_resources);
@@ -83,8 +83,8 @@
     const auto task_resources = parse_resources(*object, "w");
     auto team = read::text(*object, "t");
     model::Progress progress;
-    progress.is_shard = read::flag(*object, "c").value_or(false);
-    if (!progress.is_shard && (!task_resources || !team)) return std::nullopt;
+    progress.covers_one_shard = read::flag(*object, "c").value_or(false);
+    if (!progress.covers_one_shard && (!task_resources || !team)) return std::nullopt;
     if (!read_done_tasks(*done, progress.done)) return std::nullopt;
     if (!read_placements(*placements, progress.placements)) return std::nullopt;
     progress.next_attempt = *next_attempt;
--- a/src/wire/store_protocol.cpp
+++ b/src/wire/store_protocol.cpp
@@ -108,7 +108,7 @@
     if (!list || !revision) return std::nullopt;
     Rows out;
     out.revision = *revision;
-    out.truncated = read::flag(*object, field_name::truncated).value_or(false);
+    out.has_more = read::flag(*object, field_name::truncated).value_or(false);
     for (const auto& item : *list) {
         const auto* fields = item.if_object();
         auto row = fields ? read_row(*fields) : std::nullopt;
--- a/src/wire/store_protocol.hpp
+++ b/src/wire/store_protocol.hpp
@@ -44,7 +44,7 @@
 // One page of rows, sorted by key.
 struct Rows {
     std::vector<Row> rows;
-    bool truncated = false;      // whether more rows follow
+    bool has_more = false;       // whether more rows follow
     std::uint64_t revision = 0;  // of the store at the time of the read
 };
 
--- a/src/wire/user_protocol.cpp
+++ b/src/wire/user_protocol.cpp
@@ -120,7 +120,8 @@
     return spec;
 }
 
-std::string job_status_response(std::string_view id, JobStatus status, std::optional<TaskCounts> counts) {
+std::string job_status_response(std::string_view id, JobStatus status,
+                                std::optional<DisplayedTaskCounts> counts) {
     json::object out{{field_name::id, id}, {field_name::status, name_of(job_statuses, status)}};
     if (counts) {
         out[field_name::done_tasks] = counts->done;
--- a/src/wire/user_protocol.hpp
+++ b/src/wire/user_protocol.hpp
@@ -47,13 +47,14 @@
 enum class JobStatus { queued, running, done, cancelled };
 
 // Numbers of completed and of placed tasks of a job, for display only.
-struct TaskCounts {
+struct DisplayedTaskCounts {
     std::uint64_t done = 0;
     std::uint64_t running = 0;
 };
 
 // Returns the body of the response to a submission, a poll or a cancellation.
-std::string job_status_response(std::string_view id, JobStatus status, std::optional<TaskCounts> counts = {});
+std::string job_status_response(std::string_view id, JobStatus status,
+                                std::optional<DisplayedTaskCounts> counts = {});
 
 // Returns the body of an error response.
 std::string error_response(std::string_view reason);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -68,13 +68,13 @@
 TEST(Settings, SmallerOfPresentAndAnnouncedLimitApplies) {
     const auto parsed =
         config::parse_settings(with_announced_limits("value_kb = 2.0\nwrite_rps = 40.0\n"), "f.toml");
-    EXPECT_EQ(parsed.value_kb, 2.0);
-    EXPECT_EQ(parsed.current_value_kb, 16.0);
+    EXPECT_EQ(parsed.max_value_kb, 2.0);
+    EXPECT_EQ(parsed.current_max_value_kb, 16.0);
     EXPECT_EQ(parsed.store_writes_per_s, 25.0);
     EXPECT_EQ(parsed.max_transaction_changes, 20);
     EXPECT_EQ(
         config::parse_settings(with_announced_limits("txn_ops = 4\n"), "f.toml").max_transaction_changes, 4);
-    EXPECT_EQ(config::parse_settings(valid_settings, "f.toml").current_value_kb, 16.0);
+    EXPECT_EQ(config::parse_settings(valid_settings, "f.toml").current_max_value_kb, 16.0);
     EXPECT_NE(
         settings_error(valid_settings, txn_ops_line, txn_ops_line + "next = 5\n").find("a table is needed"),
         std::string::npos);
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -116,7 +116,7 @@
 TEST(Dependencies, CancelledDependentsAreRecordedAcrossFailover) {
     LeaderSimulator simulator("dependency_fan_withdrawn");
     simulator.config.max_transaction_changes = 4;
-    simulator.config.value_kb = 2;
+    simulator.config.max_value_kb = 2;
     simulator.begin_term();
     simulator.submit(array_job("j-0", 1));
     for (int i = 1; i <= 8; ++i) simulator.submit(job_depending_on("j-" + std::to_string(i), {"j-0"}));
@@ -389,7 +389,9 @@
 // names or more bytes is rejected with an error, and its job stays unknown.
 TEST(Pipelines, LongDependencyListsAreAcceptedWholeOrRejected) {
     ClusterOptions small_limits;
-    small_limits.adjust_settings = [](config::Settings& s) { s.value_kb = 2, s.max_transaction_changes = 4; };
+    small_limits.adjust_settings = [](config::Settings& s) {
+        s.max_value_kb = 2, s.max_transaction_changes = 4;
+    };
     PipelineCluster cluster("pipeline_long_lists", small_limits);
     cluster.store.max_value_bytes = 2048, cluster.store.max_transaction_changes = 4;
     cluster.workers.cloud_capacity = 0;
--- a/tests/durable_writes_test.cpp
+++ b/tests/durable_writes_test.cpp
@@ -56,7 +56,7 @@
     job.task_resources = {0.5, 0, 1};
     simulator.submit(job);
     simulator.plan();
-    simulator.commit_all();  // the simulator checks every value against value_kb
+    simulator.commit_all();  // the simulator checks every value against max_value_kb
     std::size_t placed = 0;
     for (const auto& [key, row] : simulator.store.rows)
         if (records::strip_prefix(key, records::segment_prefix))
@@ -70,7 +70,7 @@
 // jobs whose tasks had long finished.
 TEST(DurableWrites, CompletionsComeBeforePlacements) {
     LeaderSimulator simulator("completions_before_placements");
-    simulator.config.value_kb = 1;  // a segment holds few jobs
+    simulator.config.max_value_kb = 1;  // a segment holds few jobs
     simulator.begin_term();
     simulator.add_ready_workers({"m-1"});
     simulator.run_job(array_job("j-1", 1), "m-1");
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -164,14 +164,14 @@
         out += "{" + print(machine.id) + " " + print(machine.address) + " " + print(machine.type) + " " +
                print(machine.zone) + " loaner " + print(machine.spot) + " " +
                states[static_cast<int>(machine.status)] + " held " + print(machine.age_s) + "}";
-    return "machines " + out + " more " + print(list.truncated);
+    return "machines " + out + " more " + print(list.has_more);
 }
 
 std::string print(const wire::Row& row) {
     return "{" + row.key + " " + print(row.value) + " stamp " + print(row.mod_revision) + "}";
 }
 std::string print(const wire::Rows& rows) {
-    std::string out = "epoch " + print(rows.revision) + " more " + print(rows.truncated);
+    std::string out = "epoch " + print(rows.revision) + " more " + print(rows.has_more);
     for (const auto& row : rows.rows) out += " " + print(row);
     return out;
 }
@@ -247,10 +247,10 @@
     return out + " next " + print(progress.next_attempt) + " ran " + print(progress.checkpointed_run_s) +
            " need " + print(progress.task_resources.cpus) + " " + print(progress.task_resources.gpus) + " " +
            print(progress.task_resources.memory_gb) + " team " + print(progress.team) + " partial " +
-           print(progress.is_shard);
+           print(progress.covers_one_shard);
 }
 
-model::Progress sample_progress(bool is_shard) {
+model::Progress sample_progress(bool covers_one_shard) {
     model::Progress progress;
     progress.done += boost::icl::discrete_interval<std::uint32_t>::closed(0, 4);
     progress.done += 9U;
@@ -259,7 +259,7 @@
     progress.checkpointed_run_s = 61.25;
     progress.task_resources = {8, 1, 32};
     progress.team = "team";
-    progress.is_shard = is_shard;
+    progress.covers_one_shard = covers_one_shard;
     return progress;
 }
 
@@ -291,7 +291,7 @@
 }
 std::string print(const model::JobOutcome& outcome) {
     return (outcome.status == model::FinalStatus::done ? "done at " : "cancelled at ") +
-           std::to_string(outcome.ended_at_ms);
+           std::to_string(outcome.finished_at_ms);
 }
 std::string print(const model::CategoryAverages& averages) {
     std::string out = "means";
@@ -392,7 +392,7 @@
     for (const auto& [name, state] : states) {
         golden.put(name, wire::job_status_response("j-1", state));
         golden.put(std::string(name) + " with counts",
-                   wire::job_status_response("j-1", state, wire::TaskCounts{3, 100000}));
+                   wire::job_status_response("j-1", state, wire::DisplayedTaskCounts{3, 100000}));
     }
     for (const auto* reason : {"", "no such job", "a \"quoted\" reason \n\x01 \xc3\xa9"})
         golden.put("error", wire::error_response(reason));
@@ -685,11 +685,12 @@
     Golden golden("progress_records");
     model::Progress none;
     golden.put("none", print(records::progress_json(none)));
-    for (const bool is_shard : {false, true})
+    for (const bool covers_one_shard : {false, true})
         for (const std::uint32_t shard : {0U, 3U}) {
-            const auto stored = records::progress_json(sample_progress(is_shard), shard);
-            golden.put(std::string(is_shard ? "partial" : "whole") + ", part " + std::to_string(shard),
-                       print(stored));
+            const auto stored = records::progress_json(sample_progress(covers_one_shard), shard);
+            golden.put(
+                std::string(covers_one_shard ? "partial" : "whole") + ", part " + std::to_string(shard),
+                print(stored));
             golden.put("read back", print_optional(records::parse_progress(stored)));
         }
     const auto full = print(records::progress_json(sample_progress(false)));
@@ -956,7 +957,7 @@
 TEST(Golden, StoreRowsOfARunningCluster) {
     Golden golden("rows");
     ClusterOptions options;
-    options.adjust_settings = [](config::Settings& s) { s.value_kb = s.current_value_kb = 2; };
+    options.adjust_settings = [](config::Settings& s) { s.max_value_kb = s.current_max_value_kb = 2; };
     ClusterSimulator cluster("golden_rows", 3, options);
     cluster.workers.cloud_capacity = 6;
     cluster.workers.task_run_s["j-array/0"] = cluster.workers.task_run_s["j-first/0"] = 5;
@@ -1072,7 +1073,7 @@
 TEST(Golden, TransactionsOfALargeJob) {
     Golden golden("transactions_large");
     TransactionRecorder simulator("golden_transactions_large", golden);
-    simulator.config.value_kb = simulator.config.current_value_kb = 2;
+    simulator.config.max_value_kb = simulator.config.current_max_value_kb = 2;
     simulator.sharding_allowed = true;
     simulator.begin_term();
     for (int i = 0; i < 40; ++i)
--- a/tests/leader_simulator.cpp
+++ b/tests/leader_simulator.cpp
@@ -151,7 +151,7 @@
     note("commit   " + keys + (revision ? "" : ": condition failed"));
     for (const auto& change : batch.transaction.changes)
         if (change.value) {
-            EXPECT_LE(boost::json::serialize(*change.value).size(), config.value_kb * 1024);
+            EXPECT_LE(boost::json::serialize(*change.value).size(), config.max_value_kb * 1024);
         }
     EXPECT_LE(batch.transaction.changes.size(), static_cast<std::size_t>(config.max_transaction_changes));
     EXPECT_LE(batch.transaction.conditions.size(),
--- a/tests/lease_guard_test.cpp
+++ b/tests/lease_guard_test.cpp
@@ -51,7 +51,7 @@
     guard.confirm_cancellations_until(100);
     guard.lease_renewed(126);
     EXPECT_FALSE(guard.may_start_tasks(126));
-    EXPECT_FALSE(guard.may_answer_heartbeats(126));
+    EXPECT_FALSE(guard.may_respond_to_heartbeats(126));
     guard.confirm_cancellations_until(126);
     EXPECT_TRUE(guard.may_start_tasks(127));
 }
@@ -61,15 +61,15 @@
 // proof that all confirmed cancellations are known.
 TEST(LeaseGuard, HeartbeatResponsesEndBeforeTheCancellationTimeout) {
     leadership::LeaseGuard guard(66, 36);
-    EXPECT_FALSE(guard.may_answer_heartbeats(0));
+    EXPECT_FALSE(guard.may_respond_to_heartbeats(0));
     guard.lease_renewed(100);
     guard.confirm_cancellations_until(100);
-    EXPECT_TRUE(guard.may_answer_heartbeats(125.9));
-    EXPECT_FALSE(guard.may_answer_heartbeats(126));
+    EXPECT_TRUE(guard.may_respond_to_heartbeats(125.9));
+    EXPECT_FALSE(guard.may_respond_to_heartbeats(126));
     // Responses of all peers that list every cancellation they confirmed are as good a proof as the store.
     guard.apply_peer_confirmations({{120, 120.1, 500, true}, {121, 121.1, 500, true}});
-    EXPECT_TRUE(guard.may_answer_heartbeats(145.9));
-    EXPECT_FALSE(guard.may_answer_heartbeats(146));
+    EXPECT_TRUE(guard.may_respond_to_heartbeats(145.9));
+    EXPECT_FALSE(guard.may_respond_to_heartbeats(146));
 }
 
 // A peer that restarted since the last proof no longer knows what it confirmed. A peer that does not respond
@@ -78,21 +78,21 @@
     leadership::LeaseGuard guard(66, 36);
     guard.confirm_cancellations_until(100);
     guard.apply_peer_confirmations({{120, 120.1, 500, true}, {121, 121.1, 5, true}});
-    EXPECT_FALSE(guard.may_answer_heartbeats(126));
+    EXPECT_FALSE(guard.may_respond_to_heartbeats(126));
     guard.apply_peer_confirmations({{120, 120.1, 500, true}, {-1, -1, 0, true}});
-    EXPECT_FALSE(guard.may_answer_heartbeats(126));
+    EXPECT_FALSE(guard.may_respond_to_heartbeats(126));
     guard.apply_peer_confirmations({{120, 120.1, 500, true}, {121, 121.1, 500, false}});
-    EXPECT_FALSE(guard.may_answer_heartbeats(126));
+    EXPECT_FALSE(guard.may_respond_to_heartbeats(126));
     // The peer restarted within a second: the message was sent before the new process started, and the
     // response came from the new process. Cancellations that the earlier process confirmed in between are
     // lost.
     guard.apply_peer_confirmations({{120, 120.1, 500, true}, {99.5, 100.4, 0.2, true}});
-    EXPECT_FALSE(guard.may_answer_heartbeats(126));
+    EXPECT_FALSE(guard.may_respond_to_heartbeats(126));
     // The peer's clock may run fast: a process that reports an uptime of 500 s may have started half a second
     // later than that.
     guard.confirm_cancellations_until(120);
     guard.apply_peer_confirmations({{620, 620.1, 900, true}, {619.8, 619.9, 500, true}});
-    EXPECT_FALSE(guard.may_answer_heartbeats(146));
+    EXPECT_FALSE(guard.may_respond_to_heartbeats(146));
 }
 
 }  // namespace
--- a/tests/asymmetric_partition_test.cpp
+++ b/tests/one_way_partition_test.cpp
@@ -7,7 +7,7 @@
 // A machine's heartbeats arrive, but it gets neither responses nor commands. The leader detects this by
 // unacknowledged commands and places no more tasks there. Once the machine's own lease has ended its tasks,
 // they are placed elsewhere and the machine is released.
-TEST(AsymmetricPartition, InboundPartitionIsDetected) {
+TEST(OneWayPartition, InboundPartitionIsDetected) {
     StartedLeader simulator("inbound_partition", {"m-1"});
     simulator.add_worker("m-2");
     simulator.run_job(array_job("j-1", 1), "m-1");
@@ -34,7 +34,7 @@
 
 // Without responses, a machine's lease expires and a new agent epoch begins. A machine that still reports the
 // same epoch after that time must have received responses, so it gets tasks again.
-TEST(AsymmetricPartition, HealedMachineIsUsedAgain) {
+TEST(OneWayPartition, HealedMachineIsUsedAgain) {
     StartedLeader simulator("inbound_partition_healed", {"m-1"});
     simulator.run_job(array_job("j-1", 1), "m-1");
     simulator.submit(array_job("j-2", 1));
@@ -51,7 +51,7 @@
 
 // If responses stop reaching many machines at once, the fault is taken to be the leader's, and no machine is
 // released.
-TEST(AsymmetricPartition, SimultaneousPartitionsReleaseNoMachine) {
+TEST(OneWayPartition, SimultaneousPartitionsReleaseNoMachine) {
     StartedLeader simulator("inbound_partition_of_many");
     std::vector<std::string> machines;
     for (int i = 1; i <= 8; ++i) {
@@ -75,7 +75,7 @@
 // A machine that never reports this term's fencing token gets no commands, and its heartbeats prove nothing.
 // It is released once its lease must have expired. If many machines behave like this, the fault is taken to
 // be the leader's.
-TEST(AsymmetricPartition, MachineNotReportingTheTokenIsReleased) {
+TEST(OneWayPartition, MachineNotReportingTheTokenIsReleased) {
     StartedLeader simulator("never_shows_token", {"m-1"});
     simulator.add_worker("m-2");
     simulator.run_job(array_job("j-1", 1), "m-1");
--- a/tests/sample_jobs.cpp
+++ b/tests/sample_jobs.cpp
@@ -13,7 +13,7 @@
     s.gang_start_timeout_s = 35;
     s.gang_failure_detection_s = 4;
     s.cancellation_timeout_s = 66;
-    s.value_kb = 8;
+    s.max_value_kb = 8;
     s.max_transaction_changes = 12;
     s.store_writes_per_s = 20;
     return s;
--- a/tests/sched_test.cpp
+++ b/tests/sched_test.cpp
@@ -277,7 +277,7 @@
     EXPECT_EQ(scheduling::plan_autoscaling(snapshot).scale_in.size(), 1U);
 }
 
-TEST(Slowdown, XfactorIsOnePlusWaitOverEstimate) {
+TEST(Xfactor, IsOnePlusWaitOverEstimate) {
     EXPECT_DOUBLE_EQ(scheduling::xfactor(60, 60), 2.0);
     EXPECT_DOUBLE_EQ(scheduling::xfactor(-5, 60), 1.0);
     EXPECT_DOUBLE_EQ(scheduling::xfactor(9, 0), 10.0);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -41,7 +41,7 @@
         }
         for (const auto* id : {"j-000001", "j-000002", "j-000003", "j-000004"})
             specs[id] = array_job(id, id == std::string("j-000001") ? 240 : 4);
-        config.value_kb = 2, config.current_value_kb = 16, config.max_transaction_changes = 4;
+        config.max_value_kb = 2, config.current_max_value_kb = 16, config.max_transaction_changes = 4;
     }
     // Returns the machine of each task as a new leader would read it from the store now.
     std::map<std::uint32_t, std::string> read_placements(const std::string& job) {
@@ -124,7 +124,7 @@
         const auto segment = records::parse_segment(*change.value);
         for (const auto& [entry, progress] : segment->entries) {
             EXPECT_EQ(entry.shard, 0U);
-            EXPECT_TRUE(!progress || !progress->is_shard);
+            EXPECT_TRUE(!progress || !progress->covers_one_shard);
             written_whole |= entry.job == "j-000001";
         }
     }
@@ -166,9 +166,9 @@
 ClusterOptions earlier_version() {
     ClusterOptions options;
     options.record_format = 1;
-    options.adjust_settings = [](config::Settings& s) { s.value_kb = s.current_value_kb = 16; };
+    options.adjust_settings = [](config::Settings& s) { s.max_value_kb = s.current_max_value_kb = 16; };
     options.adjust_settings_on_upgrade = [](config::Settings& s) {
-        s.value_kb = 2, s.max_transaction_changes = 4;
+        s.max_value_kb = 2, s.max_transaction_changes = 4;
     };
     return options;
 }
