--- a/tests/durable_writes_test.cpp
+++ b/tests/durable_writes_test.cpp
@@ -116,7 +116,7 @@
 
 // A finished job may still have an entry in a segment that other jobs need. A later segment then holds a
 // tombstone for it, so that a new leader does not treat its tasks as unknown.
-TEST(DurableWrites, EndedJobGetsATombstone) {
+TEST(DurableWrites, FinishedJobGetsATombstone) {
     StartedLeader simulator("tombstone", {"m-1"});
     simulator.submit(array_job("j-1", 1));
     simulator.run_job(array_job("j-2", 1), "m-1");
