--- a/src/api/job_lookup.cpp
+++ b/src/api/job_lookup.cpp
@@ -22,8 +22,8 @@
     return job_state_of(*outcome);
 }
 
-// A job with dependencies is reported as live only if the outcomes of all its ancestors that have ended are
-// known: an ancestor that ended before this controller's watch cache was loaded might have been cancelled.
+// A job with dependencies is reported as live only if the outcomes of all its finished ancestors are known:
+// an ancestor that finished before this controller's watch cache was loaded might have been cancelled.
 net::awaitable<JobState> JobLookup::look_up(std::string id) {
     if (!co_await linearizable_read_.catch_up()) co_return JobState::undetermined;
     if (watch_cache_.jobs.contains(id)) {
--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -16,14 +16,14 @@
 
 // State of a job as its users see it.
 enum class JobState {
-    live,         // accepted and not ended
-    done,         // ended: every task is done
-    cancelled,    // ended: by its user, or because a job that it depends on was cancelled
+    live,         // accepted and not finished
+    done,         // finished: every task is done
+    cancelled,    // finished: cancelled by its user, or because a job that it depends on was cancelled
     unknown,      // never accepted
     undetermined  // can't be determined now: the store does not respond
 };
 
-// Returns the state of a job that ended with this outcome.
+// Returns the state of a job that finished with this outcome.
 JobState job_state_of(model::FinalStatus outcome);
 
 // Looks up jobs for users and for admission.
@@ -33,12 +33,12 @@
     JobLookup(store::StoreClient& store, store::LinearizableRead& linearizable_read,
               store::WatchCache& watch_cache);
 
-    // Returns how the job ended, or nothing if the watch cache does not hold its outcome.
+    // Returns the final state of the job, or nothing if the watch cache does not hold its outcome.
     [[nodiscard]] std::optional<JobState> cached_outcome(const std::string& id);
     // Returns the job's state, based on a read that was sent after the call.
     net::awaitable<JobState> look_up(std::string id);
-    // Returns how the job ended, from the watch cache or the store: done, cancelled, undetermined, or unknown
-    // if there is no record of its end.
+    // Returns the final state of the job, from the watch cache or the store: done, cancelled, undetermined,
+    // or unknown if it has no final record.
     net::awaitable<JobState> look_up_outcome(std::string id);
     // Looks up the outcomes of live jobs' dependencies that the watch cache does not hold, every
     // dependency_lookup_period_s. Never returns.
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -81,7 +81,7 @@
         if (state != JobState::live) co_return job_state_response(id, state);
         const auto& jobs = dependencies_.watch_cache.jobs;
         const auto job = jobs.find(id);
-        if (job == jobs.end()) continue;  // the job ended during the look-up
+        if (job == jobs.end()) continue;  // the job finished during the look-up
         const auto result = co_await dependencies_.job_writer.cancel(job->second);
         if (result.status == CancellationStatus::cancelled) {
             co_await dependencies_.peers.forward_cancellation(result.revision, id);
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -71,12 +71,14 @@
     // --- workers ---
     // Applies a heartbeat. Returns false without changing anything if it is stale or from a released machine.
     bool apply_heartbeat(const model::Heartbeat& heartbeat, double now);
-    // Returns whether every start for the machine is durable.
+    // Returns whether the placement of every task to be started on the machine is durable. True for unknown
+    // machines.
     [[nodiscard]] bool placements_durable(const std::string& machine) const;
     // Returns whether the machine could run the smallest recently submitted task. If so, the response to its
     // heartbeat may be held briefly for a placement.
     [[nodiscard]] bool has_free_capacity(const std::string& machine, double now) const;
-    // Returns whether there is a command to send to the machine: a durable start, or a stop.
+    // Returns whether there is a command to send to the machine: a stop, or a start whose placement is
+    // durable.
     [[nodiscard]] bool has_pending_commands(const std::string& machine) const;
     // Returns the commands for the response to the machine's latest heartbeat; includes starts only if
     // `may_start_tasks`.
@@ -103,7 +105,7 @@
     // Records that the store rejected a batch as malformed, because its limits are lower than announced. The
     // next batches are smaller. Returns false if smaller batches were rejected too often.
     bool record_write_rejection();
-    // Returns the machines with starts that became durable since the last call.
+    // Returns the machines with placements that became durable since the last call.
     std::vector<std::string> take_machines_with_durable_placements();
 
     // --- cloud ---
--- a/src/cluster/command_delivery.hpp
+++ b/src/cluster/command_delivery.hpp
@@ -28,9 +28,11 @@
     CommandDelivery(JobTable& jobs, MachineTable& machines, StopRequests& stop_requests)
         : jobs_(jobs), machines_(machines), stop_requests_(stop_requests) {}
 
-    // Returns whether every start for the machine is durable. True for unknown machines.
+    // Returns whether the placement of every task to be started on the machine is durable. True for unknown
+    // machines.
     [[nodiscard]] bool placements_durable(const std::string& machine) const;
-    // Returns whether there is a command to send to the machine: a durable start, or a stop.
+    // Returns whether there is a command to send to the machine: a stop, or a start whose placement is
+    // durable.
     [[nodiscard]] bool has_pending_commands(const std::string& machine) const;
     // Returns the commands for the response to the machine's latest heartbeat; includes starts only if
     // `may_start_tasks`. Marks the returned starts and forget commands as sent.
--- a/src/cluster/durable_writes.hpp
+++ b/src/cluster/durable_writes.hpp
@@ -28,8 +28,8 @@
     // Records that the store rejected a batch as malformed: its limits are lower than announced, and later
     // batches are smaller. Returns false if too many batches were rejected.
     bool record_rejection();
-    // Returns the machines with starts that became durable since the last call. A machine may occur several
-    // times.
+    // Returns the machines with placements that became durable since the last call. A machine may occur
+    // several times.
     std::vector<std::string> take_machines_with_durable_placements();
 
    private:
@@ -37,7 +37,7 @@
     void apply_legacy_progress_removals(const WriteBatch& batch);
     // Applies the final state of a job, which is now durable.
     void apply_outcome(const FinishedJob& finished, std::int64_t wall_ms);
-    // Removes a job that is over and has no task left.
+    // Removes the job if it is finished, has no tasks left, and has no progress record of version 0.1.
     void remove_if_finished(const std::string& id);
 
     DurableWritesDependencies dependencies_;
--- a/src/cluster/job.hpp
+++ b/src/cluster/job.hpp
@@ -65,7 +65,7 @@
     FailureHistory failures;
     double waiting_since_s = 0;  // when it was added in this term, or when the last attempt of its gang ended
 
-    // Returns whether its final state is durable. No task of a final job may start.
+    // Returns whether its final state is durable. No task of a finished job may start.
     [[nodiscard]] bool is_finished() const { return phase == JobPhase::done || phase == JobPhase::cancelled; }
     // Returns whether its final state is known but its final record is not durable yet.
     [[nodiscard]] bool needs_final_record() const {
--- a/src/cluster/segment_store.hpp
+++ b/src/cluster/segment_store.hpp
@@ -1,8 +1,8 @@
 // Segments in the store: which entries each of them holds, which are still needed, and which is written next.
 //
 // If several segments hold the same entry, the one in the segment with the greatest sequence applies. A
-// segment is needed while it holds the latest entry of a job that is not over, or a tombstone that supersedes
-// an older entry of a job that is over. A segment that is no longer needed is overwritten, never deleted.
+// segment is needed while it holds the latest entry of an unfinished job, or a tombstone that supersedes an
+// older entry of a finished job. A segment that is no longer needed is overwritten, never deleted.
 #pragma once
 
 #include <cstdint>
@@ -39,14 +39,14 @@
     [[nodiscard]] wire::records::Sequence next_sequence() {
         return {context_.fencing_token, ++segments_written_};
     }
-    // Returns the entries that segments still hold for jobs that are over; each needs a tombstone.
+    // Returns the entries that segments still hold for finished jobs; each needs a tombstone.
     [[nodiscard]] const std::set<EntryName>& pending_tombstones() const { return pending_tombstones_; }
 
     // Applies a write of the segment at this revision.
     void apply_commit(const WrittenSegment& written, std::uint64_t revision);
     // Records that a tombstone for the entry was written.
     void mark_tombstone_written(const EntryName& entry) { pending_tombstones_.erase(entry); }
-    // Requests tombstones for the entries of a job that is over and has no tasks left.
+    // Requests tombstones for the entries of a finished job that has no tasks left.
     void add_tombstones(const std::string& job);
     // Schedules the entries of the oldest segment to be written again if there are too many segments.
     // Otherwise long jobs would keep sparse segments in use forever.
--- a/src/cluster/task_lifecycle.hpp
+++ b/src/cluster/task_lifecycle.hpp
@@ -37,7 +37,7 @@
           estimates_(estimates) {}
 
     // Cancels a job because a user cancelled it or its record is gone. Tasks whose start was not sent never
-    // start; the others are stopped. Does nothing for unknown or final jobs.
+    // start; the others are stopped. Does nothing for unknown or finished jobs.
     void cancel_job(const std::string& id);
     // Cancels a job because a job that it depends on was cancelled. None of its tasks was placed, and its own
     // final record must be written.
--- a/src/cluster/write_batch.hpp
+++ b/src/cluster/write_batch.hpp
@@ -37,8 +37,8 @@
     wire::Transaction transaction;
     std::vector<WrittenShard> written_shards;
     std::vector<FinishedJob> finished_jobs;
-    std::vector<std::string>
-        removal_candidates;  // removed by the commit if they are over and have no tasks left
+    // Jobs that the commit removes if they are finished and have no tasks left.
+    std::vector<std::string> removal_candidates;
     std::vector<wire::records::EntryName> tombstones;
     std::optional<ProvisioningRequests::Record> provisioning_requests;
     std::vector<WrittenSegment> segments;
--- a/src/cluster/write_batch_builder.hpp
+++ b/src/cluster/write_batch_builder.hpp
@@ -34,8 +34,9 @@
 // The limits of one batch.
 struct BatchLimits {
     std::size_t changes = 0;
-    double value_bytes = 0;               // of a segment, less a margin for growing numbers
-    bool current_limits_in_force = true;  // no batch was rejected: the announced limits do not apply yet
+    double value_bytes = 0;  // of a segment, less a margin for growing numbers
+    // Whether no batch was rejected yet, so that the announced, lower limits do not apply.
+    bool current_limits_in_force = true;
 
     // Returns the limits for a write of `changes` changes, or of target_batch_changes if that is more, after
     // this many batches of this term were rejected as malformed. The first rejection shows that the announced
@@ -67,13 +68,13 @@
     bool add_changed_shards(bool awaited_by_starts);
     // Adds the entry of one shard. Returns false if the batch is full.
     bool add_shard(Job& job, std::uint32_t shard_number, const ProgressShard& shard);
-    // Adds tombstones for entries that older segments hold for jobs that are over, as far as the open segment
-    // has space.
+    // Adds tombstones for entries that older segments hold for finished jobs, as far as the open segment has
+    // space.
     void add_tombstones();
     // Adds the open segment to the transaction.
     void close_segment();
     // Adds the final states of jobs that are completing or cancelled by a dependency, and removes the records
-    // that are left of jobs that are over.
+    // that are left of finished jobs.
     void add_finished_jobs();
     // Adds these changes for one job, none if it is active. Returns false if they do not fit.
     bool add_finished_job(Job& job);
@@ -89,7 +90,7 @@
                                                    const ProgressShard& shard);
     // Returns whether this many more changes and bytes fit into the transaction.
     [[nodiscard]] bool fits(std::size_t changes, std::size_t bytes) const;
-    // Returns whether an entry of this size fits into one value.
+    // Returns whether an entry of this size fits into one value; logs an error if not.
     [[nodiscard]] bool fits_in_value(const wire::records::EntryName& entry, std::size_t bytes) const;
     // Adds a write of the value, on the condition that the key still has this revision; 0: the key does not
     // exist.
--- a/src/controller/commit_loop.cpp
+++ b/src/controller/commit_loop.cpp
@@ -158,7 +158,7 @@
         leader.term->end(EndReason::commit_rejected);
 }
 
-// Records the outcomes of ended jobs immediately instead of waiting for the watch, because other jobs may
+// Records the outcomes of finished jobs immediately instead of waiting for the watch, because other jobs may
 // wait for them.
 void CommitLoop::apply(cluster::LeaderTerm& leader, const cluster::WriteBatch& batch,
                        std::uint64_t revision) {
--- a/src/controller/leader_loops.cpp
+++ b/src/controller/leader_loops.cpp
@@ -58,7 +58,7 @@
         leader.term->plan_due.notify();
     };
     watch_cache.on_job_cancelled = [&leader](const std::string& id, bool is_new) {
-        // A job that this term ended itself is no longer in the cluster state.
+        // A job that this term finished itself is no longer in the cluster state.
         const bool by_user = leader.cluster_state.jobs().contains(id);
         leader.cluster_state.job_cancelled(id, steady_now_s());
         if (is_new && by_user) leader.write_limiter.record_writes_of_others(2);
--- a/src/controller/planning_loop.hpp
+++ b/src/controller/planning_loop.hpp
@@ -25,8 +25,8 @@
                              std::shared_ptr<DirectCommandDispatcher> dispatcher);
 
    private:
-    // Runs one planning round. `could_start_tasks` holds whether the lease was provably valid at
-    // the previous call, and is updated.
+    // Runs one planning round. `could_start_tasks` holds whether the term was allowed to start tasks at the
+    // previous call, and is updated.
     void plan(cluster::LeaderTerm& leader, DirectCommandDispatcher& dispatcher, bool& could_start_tasks);
 
     const config::Settings& settings_;
--- a/src/leadership/lease_guard.cpp
+++ b/src/leadership/lease_guard.cpp
@@ -50,13 +50,13 @@
            own_outage.last_sent > peer.request_sent_at + c::peer_message_timeout_s;
 }
 
-// A leader whose lease may have expired keeps answering heartbeats for a while, because nobody else can lead
-// during a store outage. If it alone is cut off from the store, this would keep its workers from finding the
-// leader that the others elect. It therefore ends its term once the store has served a peer after this lease
-// must have expired, or after isolated_leader_grace_s if no peer responds. A peer that was served before the
-// expiry proves nothing: if the store refuses first the leader and then everybody, the lease is still valid
-// in the store and nobody else can lead. In the operators' day-long test a leader ended its term 3 s into
-// such an outage, and thousands of tasks were stopped when their workers' leases expired.
+// A leader whose lease may have expired keeps responding to heartbeats for a while, because nobody else can
+// lead during a store outage. If it alone is cut off from the store, this would keep its workers from finding
+// the leader that the others elect. It therefore ends its term once the store has served a peer after this
+// lease must have expired, or after isolated_leader_grace_s if no peer responds. A peer that was served
+// before the expiry proves nothing: if the store refuses first the leader and then everybody, the lease is
+// still valid in the store and nobody else can lead. In the operators' day-long test a leader ended its term
+// 3 s into such an outage, and thousands of tasks were stopped when their workers' leases expired.
 bool LeaseGuard::is_isolated(double now, const store::StoreOutage& own_outage,
                              const std::vector<PeerStoreContact>& peers) const {
     if (peers.empty() || now < lease_valid_until_) return false;
@@ -78,9 +78,9 @@
     return now < lease_valid_until_ && may_respond_to_heartbeats(now);
 }
 
-// Heartbeats may be answered without the lease, so that workers keep their tasks through a store outage. This
-// is limited to the time during which a worker that receives its last response now would still stop its tasks
-// before the timeout of a cancellation that is not known here.
+// The leader may respond to heartbeats without the lease, so that workers keep their tasks through a store
+// outage. This is limited to the time during which a worker that receives its last response now would still
+// stop its tasks before the timeout of a cancellation that is not known here.
 bool LeaseGuard::may_respond_to_heartbeats(double now) const {
     return cancellations_known_until_ >= 0 && now < cancellations_known_until_ + disconnected_grace_s_;
 }
--- a/src/leadership/lease_guard.hpp
+++ b/src/leadership/lease_guard.hpp
@@ -52,7 +52,7 @@
                                    const std::vector<PeerStoreContact>& peers) const;
     // Returns whether the leader may start tasks and do everything else that requires the lease.
     [[nodiscard]] bool may_start_tasks(double now) const;
-    // Returns whether heartbeats may be answered; each response extends the lease of a worker.
+    // Returns whether the leader may respond to heartbeats; each response extends the lease of a worker.
     [[nodiscard]] bool may_respond_to_heartbeats(double now) const;
 
    private:
--- a/src/leadership/term.hpp
+++ b/src/leadership/term.hpp
@@ -85,7 +85,7 @@
     void end(EndReason reason);
     // Returns whether the leader may start tasks and do everything else that requires the lease.
     [[nodiscard]] bool may_start_tasks() const;
-    // Returns whether heartbeats may be answered.
+    // Returns whether the leader may respond to heartbeats.
     [[nodiscard]] bool may_respond_to_heartbeats() const;
 
     net::Notification commit_due;   // there may be something to commit
--- a/src/model/dependency_graph.hpp
+++ b/src/model/dependency_graph.hpp
@@ -32,8 +32,8 @@
         std::vector<std::string> cancelled;  // an ancestor was cancelled
     };
 
-    // Adds a live job. Each of its dependencies may be live, final or not yet known. Does nothing if the job
-    // has already been added.
+    // Adds a live job. Each of its dependencies may be live, finished or not yet known. Does nothing if the
+    // job has already been added.
     Change add(const JobSpec& spec);
     // Records the final state of a job, which is kept while live jobs depend on it. Only the first call for a
     // job has an effect.
@@ -59,7 +59,7 @@
     // Returns by when the job should be done so that it and its direct and transitive dependents can meet
     // their deadlines; nothing if none of them has a deadline.
     [[nodiscard]] std::optional<std::int64_t> deadline_ms(const JobSpec& spec) const;
-    // Returns the ids of the dependencies of live jobs that are neither live nor known to be final, in
+    // Returns the ids of the dependencies of live jobs that are neither live nor known to be finished, in
     // ascending order.
     [[nodiscard]] std::vector<std::string> unresolved() const;
     // Returns the same for the dependencies of one job and of its live ancestors.
@@ -100,7 +100,7 @@
     std::map<std::string, LiveJob> live_;
     std::map<std::string, std::set<std::string>> dependents_;  // ids of live jobs by dependency
     std::map<std::string, JobOutcome> outcomes_;               // of the keys of dependents_
-    std::set<std::string> unresolved_;  // keys of dependents_ that are neither live nor final
+    std::set<std::string> unresolved_;  // keys of dependents_ that are neither live nor finished
 };
 
 }  // namespace pineroad::model
--- a/src/model/progress.hpp
+++ b/src/model/progress.hpp
@@ -29,7 +29,7 @@
     double checkpointed_run_s = 0;
     Resources task_resources;       // repeated here because a cancelled job has no other record
     std::string team;               // repeated for the same reason
-    bool covers_one_shard = false;  // covers only the tasks of one shard of the job
+    bool covers_one_shard = false;  // whether this is the record of one shard, not of the whole job
     // Returns the number of completed tasks.
     [[nodiscard]] std::uint32_t done_count() const { return static_cast<std::uint32_t>(done.size()); }
 };
@@ -37,7 +37,7 @@
 // Final status of a job.
 enum class FinalStatus { done, cancelled };
 
-// Final status of a job, and when it ended.
+// Final status of a job, and when it finished.
 struct JobOutcome {
     FinalStatus status = FinalStatus::done;
     std::int64_t finished_at_ms = 0;  // Unix time in milliseconds; 0: an older record without this time
--- a/src/scheduling/autoscaling.cpp
+++ b/src/scheduling/autoscaling.cpp
@@ -23,7 +23,7 @@
     int max_eligible_pools = INT_MAX;  // jobs with more eligible pools may not use it
 };
 
-// A job class as a queue with servers.
+// Pending work of a job class, and the tasks that reduce it.
 struct ClassQueue {
     double work_s = 0;        // pending work in task-seconds
     double active_tasks = 0;  // tasks that run, or that this plan places on expected machines
@@ -84,8 +84,8 @@
     std::vector<PendingJob*> queue_;
     std::map<std::string, ClassQueue> class_queues_;
     double longest_boot_s_ = 0;
-    // Pending task-seconds by class and zone (empty: any) that are already assigned to machines of running
-    // tasks.
+    // Pending task-seconds by class and zone (empty: any) that are already assigned to the machines of
+    // running tasks.
     std::map<std::pair<std::string, std::string>, double> assigned_work_s_;
 };
 
--- a/src/store/progress_view.hpp
+++ b/src/store/progress_view.hpp
@@ -30,7 +30,7 @@
         std::vector<EntryName> entries;
         std::uint64_t mod_revision = 0;
     };
-    // Numbers of a job's tasks that are done and that are placed on a machine.
+    // Task counts of a job as recorded in the store: completed tasks, and tasks placed on a machine.
     struct RecordedTaskCounts {
         std::uint64_t done = 0, placed = 0;
     };
--- a/src/store/watch_cache.hpp
+++ b/src/store/watch_cache.hpp
@@ -25,8 +25,8 @@
 namespace pineroad::store {
 
 // The decoded live records and what is derived from them: the dependency graph, the outcomes of recently
-// ended jobs and the demand by class. Times are seconds on the steady clock. A record that cannot be read is
-// logged or skipped, and the previous value stays.
+// finished jobs and the demand by class. Times are seconds on the steady clock. A record that cannot be read
+// is logged or skipped, and the previous value stays.
 class WatchCache {
    public:
     // Creates an empty cache that is not ready.
@@ -49,8 +49,8 @@
     // or a peer.
     void record_outcome(const std::string& id, const model::JobOutcome& outcome, std::uint64_t mod_revision);
 
-    // Returns how the job ended, if the outcome is in memory. A live job counts as cancelled once a job that
-    // it depends on is: it cannot end in any other way, even before its own final record is written.
+    // Returns the final status of the job, if it is in memory. A live job counts as cancelled once a job that
+    // it depends on is: it cannot finish in any other way, even before its own final record is written.
     std::optional<model::FinalStatus> outcome_of(const std::string& id);
     // Returns whether this placement of the entry is current; see ProgressView.
     [[nodiscard]] bool is_current(const wire::records::EntryName& entry,
@@ -104,7 +104,7 @@
 
     DependencyAssembler dependency_assembler_;
     model::DependencyGraph dependencies_;
-    // Outcomes of recently ended jobs; the least recently used are evicted beyond
+    // Outcomes of recently finished jobs; the least recently used are evicted beyond
     // constants::max_cached_outcomes.
     boost::compute::detail::lru_cache<std::string, model::JobOutcome> recent_outcomes_;
     CancellationLog cancellations_;
--- a/src/wire/job_record.cpp
+++ b/src/wire/job_record.cpp
@@ -13,7 +13,7 @@
 
 namespace json = boost::json;
 
-constexpr std::string_view omitted_id_prefix = "j-";  // common to all ids, omitted in records
+constexpr std::string_view omitted_id_prefix = "j-";  // begins every job id; lists of dependencies omit it
 
 constexpr auto last_shape = static_cast<std::uint64_t>(model::Shape::service);
 constexpr auto last_priority = static_cast<std::uint64_t>(model::Priority::low);
--- a/src/wire/records.hpp
+++ b/src/wire/records.hpp
@@ -15,13 +15,14 @@
 //                    entry, the one with the highest sequence is current. Null is a tombstone: the entry was
 //                    removed. A segment that is no longer needed is overwritten (compaction), never removed.
 //                    A job's entry covers all of its tasks. In format 2 a large job has one entry for each
-//                    shard of its tasks (ID, ID#1, ID#2 ...), marked as partial. A partial entry applies to
-//                    the tasks of its shard; an entry of the whole job only to tasks without a partial entry
+//                    shard of its tasks (ID, ID#1, ID#2 ...), each marked as covering one shard ("c"). It
+//                    applies to the tasks of its shard; an entry of the whole job applies only to tasks whose
+//                    shard has no entry of its own
 //   pr/live/p/ID     progress of one job, as written by version 0.1: still read, never written; entries of
 //                    segments take precedence
 //   pr/live/rentals  open provisioning requests (the cloud has not responded yet), by name
 //   pr/live/r/NAME   one provisioning request, as written by version 0.2: still read, never written
-//   pr/final/ID      outcome of a finished job and, since version 0.5, the time of its end
+//   pr/final/ID      outcome of a finished job and, since version 0.5, the time when it finished
 #pragma once
 
 #include "wire/category_averages_record.hpp"
--- a/src/wire/user_protocol.hpp
+++ b/src/wire/user_protocol.hpp
@@ -46,7 +46,7 @@
 // Status of a job as reported to users.
 enum class JobStatus { queued, running, done, cancelled };
 
-// Numbers of completed and of placed tasks of a job, for display only.
+// Task counts that a response shows to the user: completed tasks, and tasks placed on a machine.
 struct DisplayedTaskCounts {
     std::uint64_t done = 0;
     std::uint64_t running = 0;
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -57,7 +57,7 @@
     EXPECT_EQ(simulator.starts, 2);
 }
 
-// A dependency ended before the leader took over. The leader must read that from the final record and must
+// A dependency finished before the leader took over. The leader must read that from the final record and must
 // not infer it from the missing live record; until then the dependent job does not start.
 TEST(Dependencies, MissingLiveRecordDoesNotCountAsDone) {
     LeaderSimulator simulator("dependency_not_read");
@@ -333,8 +333,8 @@
         EXPECT_EQ(cluster.job_status(0, id) == "done", cluster.job_status(1, id + "next") == "done") << id;
 }
 
-// The dependencies ended before all processes were restarted, so no controller has them in memory. A list may
-// name a job of another team, and a job may be submitted while its dependency is being cancelled.
+// The dependencies finished before all processes were restarted, so no controller has them in memory. A list
+// may name a job of another team, and a job may be submitted while its dependency is being cancelled.
 TEST(Pipelines, DependenciesEndedBeforeRestartAreResolved) {
     PipelineCluster cluster("pipeline_long_ago");
     cluster.workers.task_run_s["j-1/0"] = 2;
@@ -357,7 +357,7 @@
     cluster.run(1);
     ASSERT_TRUE(*pending_response);
     cluster.expect_status_everywhere("j-8", "withdrawn");
-    cluster.run_until_done("j-4", 120);  // j-1 had ended before the new leader's term began
+    cluster.run_until_done("j-4", 120);  // j-1 had finished before the new leader's term began
     cluster.run_until_done("j-5", 60);
 }
 
--- a/tests/durable_writes_test.cpp
+++ b/tests/durable_writes_test.cpp
@@ -56,7 +56,7 @@
     job.task_resources = {0.5, 0, 1};
     simulator.submit(job);
     simulator.plan();
-    simulator.commit_all();  // the simulator checks every value against max_value_kb
+    simulator.commit_all();  // the simulator checks every value against the setting value_kb
     std::size_t placed = 0;
     for (const auto& [key, row] : simulator.store.rows)
         if (records::strip_prefix(key, records::segment_prefix))
--- a/tests/lease_guard_test.cpp
+++ b/tests/lease_guard_test.cpp
@@ -56,9 +56,9 @@
     EXPECT_TRUE(guard.may_start_tasks(127));
 }
 
-// Without the store, heartbeats may be answered only while a cancellation confirmed by another controller can
-// still take effect in time: cancel_s (66) less lease_s (36) less the margin of 4 s, counted from the last
-// proof that all confirmed cancellations are known.
+// Without the store, the leader may respond to heartbeats only while a cancellation confirmed by another
+// controller can still take effect in time: cancel_s (66) less lease_s (36) less the margin of 4 s, counted
+// from the last proof that all confirmed cancellations are known.
 TEST(LeaseGuard, HeartbeatResponsesEndBeforeTheCancellationTimeout) {
     leadership::LeaseGuard guard(66, 36);
     EXPECT_FALSE(guard.may_respond_to_heartbeats(0));
