--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -335,7 +335,7 @@
 
 // The dependencies finished before all processes were restarted, so no controller has them in memory. A list
 // may name a job of another team, and a job may be submitted while its dependency is being cancelled.
-TEST(Pipelines, DependenciesEndedBeforeRestartAreResolved) {
+TEST(Pipelines, DependenciesFinishedBeforeRestartAreResolved) {
     PipelineCluster cluster("pipeline_long_ago");
     cluster.workers.task_run_s["j-1/0"] = 2;
     cluster.workers.default_task_run_s = 40;
