--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -81,7 +81,7 @@
         if (state != JobState::live) co_return job_state_response(id, state);
         const auto& jobs = dependencies_.watch_cache.jobs;
         const auto job = jobs.find(id);
-        if (job == jobs.end()) continue;  // the job ended during the look-up
+        if (job == jobs.end()) continue;  // the job finished during the look-up
         const auto result = co_await dependencies_.job_writer.cancel(job->second);
         if (result.status == CancellationStatus::cancelled) {
             co_await dependencies_.peers.forward_cancellation(result.revision, id);
@@ -107,7 +107,8 @@
     }
     const auto counts = dependencies_.watch_cache.task_counts(id);
     const auto status = counts.placed > 0 ? wire::JobStatus::running : wire::JobStatus::queued;
-    return {200, wire::job_status_response(id, status, wire::TaskCounts{counts.done, counts.placed})};
+    return {200,
+            wire::job_status_response(id, status, wire::DisplayedTaskCounts{counts.done, counts.placed})};
 }
 
 }  // namespace pineroad::api
--- a/src/controller/commit_loop.cpp
+++ b/src/controller/commit_loop.cpp
@@ -54,7 +54,7 @@
             continue;
         }
         co_await commit(leader, *batch);
-        for (const auto& machine : cluster_state.take_machines_with_durable_starts())
+        for (const auto& machine : cluster_state.take_machines_with_durable_placements())
             term.held_responses.release(machine);
         term.scaling_due.notify();
         co_await sleep_for(c::commit_interval_s);
@@ -158,7 +158,7 @@
         leader.term->end(EndReason::commit_rejected);
 }
 
-// Records the outcomes of ended jobs immediately instead of waiting for the watch, because other jobs may
+// Records the outcomes of finished jobs immediately instead of waiting for the watch, because other jobs may
 // wait for them.
 void CommitLoop::apply(cluster::LeaderTerm& leader, const cluster::WriteBatch& batch,
                        std::uint64_t revision) {
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -57,7 +57,7 @@
     EXPECT_EQ(simulator.starts, 2);
 }
 
-// A dependency ended before the leader took over. The leader must read that from the final record and must
+// A dependency finished before the leader took over. The leader must read that from the final record and must
 // not infer it from the missing live record; until then the dependent job does not start.
 TEST(Dependencies, MissingLiveRecordDoesNotCountAsDone) {
     LeaderSimulator simulator("dependency_not_read");
@@ -116,7 +116,7 @@
 TEST(Dependencies, CancelledDependentsAreRecordedAcrossFailover) {
     LeaderSimulator simulator("dependency_fan_withdrawn");
     simulator.config.max_transaction_changes = 4;
-    simulator.config.value_kb = 2;
+    simulator.config.max_value_kb = 2;
     simulator.begin_term();
     simulator.submit(array_job("j-0", 1));
     for (int i = 1; i <= 8; ++i) simulator.submit(job_depending_on("j-" + std::to_string(i), {"j-0"}));
@@ -333,9 +333,9 @@
         EXPECT_EQ(cluster.job_status(0, id) == "done", cluster.job_status(1, id + "next") == "done") << id;
 }
 
-// The dependencies ended before all processes were restarted, so no controller has them in memory. A list may
-// name a job of another team, and a job may be submitted while its dependency is being cancelled.
-TEST(Pipelines, DependenciesEndedBeforeRestartAreResolved) {
+// The dependencies finished before all processes were restarted, so no controller has them in memory. A list
+// may name a job of another team, and a job may be submitted while its dependency is being cancelled.
+TEST(Pipelines, DependenciesFinishedBeforeRestartAreResolved) {
     PipelineCluster cluster("pipeline_long_ago");
     cluster.workers.task_run_s["j-1/0"] = 2;
     cluster.workers.default_task_run_s = 40;
@@ -357,7 +357,7 @@
     cluster.run(1);
     ASSERT_TRUE(*pending_response);
     cluster.expect_status_everywhere("j-8", "withdrawn");
-    cluster.run_until_done("j-4", 120);  // j-1 had ended before the new leader's term began
+    cluster.run_until_done("j-4", 120);  // j-1 had finished before the new leader's term began
     cluster.run_until_done("j-5", 60);
 }
 
@@ -389,7 +389,9 @@
 // names or more bytes is rejected with an error, and its job stays unknown.
 TEST(Pipelines, LongDependencyListsAreAcceptedWholeOrRejected) {
     ClusterOptions small_limits;
-    small_limits.adjust_settings = [](config::Settings& s) { s.value_kb = 2, s.max_transaction_changes = 4; };
+    small_limits.adjust_settings = [](config::Settings& s) {
+        s.max_value_kb = 2, s.max_transaction_changes = 4;
+    };
     PipelineCluster cluster("pipeline_long_lists", small_limits);
     cluster.store.max_value_bytes = 2048, cluster.store.max_transaction_changes = 4;
     cluster.workers.cloud_capacity = 0;
